--- a/internal/policy/assign/assign.go
+++ b/internal/policy/assign/assign.go
@@ -3,105 +3,111 @@
 import "math/rand/v2"
 
 const (
-	// Full is the share of an engine's memory that streams may fill with what they
-	// have and take soon.
+	// MaxCallFill is the fraction of an engine's memory that streams may occupy, with
+	// the tokens that they hold and those that they will need soon.
 	Full = 1.0
-	// Spare is the share up to which copies kept for a loss may fill it. Without
-	// the rest new streams wait at the engines.
+	// MaxCopyFill is the fraction up to which KV cache copies, kept in case an engine is
+	// lost, may fill an engine's memory. Without the remainder, new streams wait at the
+	// engines.
 	Spare = 0.7
-	// riskFill is how full a service's engines may be in all for copies to be kept
-	// for a loss, once engines were lost without notice. Where calls wait, each copy
-	// takes the room of a call.
-	riskFill = 0.6
-	// calmFill is the same while engines give notice. Their streams need no copies,
-	// and copies take the room that streams need when they leave.
-	calmFill = 0.3
-	// readAhead is how many prompt tokens an engine that gets a call may have to
-	// read before, half a second's work: a new engine must not take all calls that
-	// wait, as the last of them would begin late.
-	readAhead = 3500
-	// FarCall is the weight of the way to another failure domain for a call: it costs
-	// the network bytes and the caller a millisecond, and is less than a stream more
-	// beside the call.
+	// maxFillWithoutNotice is the fill of all of a service's engines together below which
+	// KV cache copies are kept if engines have been lost without notice. Where calls wait,
+	// each copy takes the memory of a call.
+	maxFillWithoutNotice = 0.6
+	// maxFillWithNotice is the same fill if engines give notice before they end. Their
+	// streams need no copies, and copies take the memory to which streams must be moved
+	// when engines end.
+	maxFillWithNotice = 0.3
+	// maxPrefillBacklog is the largest prefill backlog, in prompt tokens, with which an
+	// engine may get a call that needs prefill. It takes half a second to process. Without
+	// the limit, a new engine would get all waiting calls, and the last would start late.
+	maxPrefillBacklog = 3500
+	// CrossDomainCallCost is the cost of sending a call to another failure domain, which
+	// uses network bandwidth and adds a millisecond of latency. It is lower than the cost
+	// of one more stream in the call's batch.
 	FarCall = 0.08
-	// seatWeight and backlogWeight order engines that have room: a full batch
-	// doubles a step, and prompts hold up the streams beside which they are read.
-	seatWeight    = 0.5
-	backlogWeight = 3.0
-	// FarCopy is the weight of the way to another failure domain for a copy of a
-	// cache, which takes twice as long there: an engine's copies must all arrive
-	// within its notice.
+	// inFlightWeight and backlogWeight are weights in the cost of an engine: a full batch
+	// doubles the duration of a decode step, and prefill delays the other streams of the
+	// batch.
+	inFlightWeight = 0.5
+	backlogWeight  = 3.0
+	// CrossDomainCopyCost is the cost of sending a KV cache copy to another failure
+	// domain, which takes twice as long: all copies of an engine must arrive within its
+	// notice period.
 	FarCopy = 0.6
-	// copyWeight is the weight of a cache under way to an engine, for the next one,
-	// which waits behind it.
-	copyWeight = 0.25
-	// drawWeight spreads the choices of VMs that know the same.
-	drawWeight = 0.02
+	// incomingCopyWeight is the cost of each KV cache in transfer to an engine. The next
+	// transfer has to wait for it.
+	incomingCopyWeight = 0.25
+	// jitterWeight scales a random cost, so that VMs with the same load information choose
+	// different engines.
+	jitterWeight = 0.02
 )
 
-// Server is what is known of one server at the time of a choice.
+// Server is the state of one server at the time of a choice.
 type Server struct {
-	Slots   int  // calls that run at once
-	Reads   bool // the engine has to read the new call's prompt
-	Memory  int  // tokens; zero: a plain server
-	Seats   int  // calls under way
-	Tokens  int  // memory that these will take
-	Backlog int  // prompt tokens to be read before a new call's
-	Copies  int  // caches under way to it; zero where that does not matter
-	Far     bool
-	Weight  float64 // share of its usual work it should get, 0 to 1
-	Skip    bool
+	Slots   int     // maximum number of concurrent calls
+	Reads   bool    // the new call's prompt needs prefill
+	Memory  int     // in tokens; zero for a plain server
+	Seats   int     // calls in flight
+	Tokens  int     // memory reserved for the calls in flight
+	Backlog int     // prompt tokens that await prefill before the new call's
+	Copies  int     // KV caches in transfer to it; zero if the choice does not depend on them
+	Far     bool    // in another failure domain than the caller
+	Weight  float64 // fraction of its normal load that it should get, 0 to 1
+	Skip    bool    // must not be chosen
 }
 
-// CopyFill returns how full a service's engines may be in all for copies of
-// caches to be kept for a loss; risky says that engines are lost without notice.
-func CopyFill(risky bool) float64 {
-	if risky {
-		return riskFill
+// MaxServiceFillForCopies returns the fill of all of a service's engines together below
+// which KV cache copies are kept. lossWithoutNotice is whether engines have been lost
+// without notice.
+func CopyFill(lossWithoutNotice bool) float64 {
+	if lossWithoutNotice {
+		return maxFillWithoutNotice
 	}
-	return calmFill
+	return maxFillWithNotice
 }
 
-// Random returns a source of numbers for one choice.
+// NewRand returns a random number generator for one choice.
 func Random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// Choose returns the server with the lowest cost for a generation that needs
-// need tokens in an engine filled up to share at most, or -1 if none has room.
-// The weight of the way to another failure domain is far.
-func Choose(need int, share, far float64, servers []Server, rng *rand.Rand) int {
+// ChooseEngine returns the index of the engine with the lowest cost for a generation that
+// requires the given number of tokens, or -1 if none has capacity. It fills an engine's
+// memory up to the fraction maxFill. An engine in another failure domain costs
+// crossDomainCost more.
+func Choose(required int, maxFill, crossDomainCost float64, servers []Server, rng *rand.Rand) int {
 	best, cost := -1, 0.0
 	for i := range servers {
 		s := &servers[i]
-		if s.Skip || !s.room(need, share) {
+		if s.Skip || !s.hasCapacity(required, maxFill) {
 			continue
 		}
-		if c := s.cost(need, far) + drawWeight*rng.Float64(); best < 0 || c < cost {
+		if c := s.cost(required, crossDomainCost) + jitterWeight*rng.Float64(); best < 0 || c < cost {
 			best, cost = i, c
 		}
 	}
 	return best
 }
 
-func (s *Server) room(need int, share float64) bool {
-	if s.Reads && s.Backlog > readAhead {
+func (s *Server) hasCapacity(required int, maxFill float64) bool {
+	if s.Reads && s.Backlog > maxPrefillBacklog {
 		return false
 	}
-	return s.Seats < s.Slots && float64(s.Tokens+need) <= share*float64(s.Memory)
+	return s.Seats < s.Slots && float64(s.Tokens+required) <= maxFill*float64(s.Memory)
 }
 
-func (s *Server) cost(need int, far float64) float64 {
-	c := float64(s.Tokens+need)/float64(s.Memory) +
-		seatWeight*float64(s.Seats)/float64(s.Slots) +
+func (s *Server) cost(required int, crossDomainCost float64) float64 {
+	c := float64(s.Tokens+required)/float64(s.Memory) +
+		inFlightWeight*float64(s.Seats)/float64(s.Slots) +
 		backlogWeight*float64(s.Backlog)/float64(s.Memory) +
-		copyWeight*float64(s.Copies)
+		incomingCopyWeight*float64(s.Copies)
 	if s.Far {
-		c += far
+		c += crossDomainCost
 	}
 	return c / max(s.Weight, 0.05)
 }
 
-// ChoosePlain returns the plain server with the fewest calls under way, nearer
-// ones first, or -1 if there is none.
+// ChoosePlain returns the index of the plain server with the lowest fraction of its slots
+// in use, or -1 if there is none. It prefers servers in the caller's failure domain.
 func ChoosePlain(servers []Server, rng *rand.Rand) int {
 	best, cost := -1, 0.0
 	for i := range servers {
@@ -109,7 +115,7 @@
 		if s.Skip {
 			continue
 		}
-		c := (float64(s.Seats)+1)/float64(max(s.Slots, 1))/max(s.Weight, 0.05) + drawWeight*rng.Float64()
+		c := (float64(s.Seats)+1)/float64(max(s.Slots, 1))/max(s.Weight, 0.05) + jitterWeight*rng.Float64()
 		if s.Far {
 			c += 1 / float64(max(s.Slots, 1))
 		}
--- a/internal/policy/assign/doc.go
+++ b/internal/policy/assign/doc.go
@@ -1,3 +1,3 @@
-// Package assign chooses the backend server for one call from what is under way
-// at each. It is pure: all it knows comes with the call.
+// Package assign chooses the backend server for one call by the load of each
+// server. Its functions depend only on their arguments.
 package assign
--- a/internal/policy/limit/doc.go
+++ b/internal/policy/limit/doc.go
@@ -1,7 +1,7 @@
-// Package limit holds a workspace to its limits on one VM: so many open
-// requests, so many generated tokens a second.
+// Package limit enforces a workspace's limits on one VM: the number of concurrent
+// requests and of generated tokens per second.
 //
-// A VM holds a share of each limit. The shares of n VMs add up to the limit
-// exactly, so that no number of VMs together passes it, and a VM that hears
-// from no other keeps to the share it had.
+// Each VM enforces a share of each limit. The shares of all VMs add up to exactly
+// the limit, so the VMs together do not exceed it. A VM that loses contact with the
+// others keeps its last share.
 package limit
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -12,19 +12,19 @@
 
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := rapid.IntRange(0, 10000).Draw(t, "limit")
+		limit := rapid.IntRange(0, 10000).Draw(t, "limit")
 		n := rapid.IntRange(1, 400).Draw(t, "vms")
 		sum := 0
 		for i := range n {
-			sum += Share(bound, i, n)
+			sum += Share(limit, i, n)
 		}
-		assert.Equal(t, sum, bound)
+		assert.Equal(t, sum, limit)
 	})
 }
 
-// TestBucketNeverBeatsTheRate takes and waits at random: what is taken over a
-// time is at most the rate, the first second's store, and one last take.
-func TestBucketNeverBeatsTheRate(t *testing.T) {
+// TestBucketKeepsRate takes tokens at random times. The tokens taken in a period may not
+// exceed the rate times the period, the initial second's tokens and one last Take.
+func TestBucketKeepsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
 		now := time.Unix(0, 0)
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestWaitIsHonest(t *testing.T) {
+func TestWaitUntilDebtIsPaid(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBucket(100, now)
 	b.Take(350, now)
--- a/internal/policy/queue/queue.go
+++ b/internal/policy/queue/queue.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// Entry is a waiting value. It belongs to at most one queue.
+// Entry is a queued value. It belongs to at most one queue.
 type Entry[T any] struct {
 	Value    T
 	Rank     int
 	Arrival  time.Time
-	Deadline time.Time // of the wait
+	Deadline time.Time // arrival time plus the maximum wait
 	seq      uint64
-	at       int // position in the heap, -1 when not queued
+	index    int // position in the heap, -1 when not queued
 }
 
-// Queue is a priority queue of entries. It is not safe for use by several
-// goroutines.
+// Queue is a priority queue of entries. It is not safe for concurrent use.
 type Queue[T any] struct {
 	heap   entries[T]
 	seq    uint64
@@ -27,16 +26,17 @@
 // New returns an empty queue.
 func New[T any]() *Queue[T] { return &Queue[T]{} }
 
-// Len returns how many entries wait.
+// Len returns the number of entries.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// Urgent returns how many entries of rank 0 wait.
+// Urgent returns the number of entries of rank 0.
 func (q *Queue[T]) Urgent() int { return q.urgent }
 
-// Push adds an entry for v and returns it.
-func (q *Queue[T]) Push(v T, rank int, arrival time.Time, bound time.Duration) *Entry[T] {
+// Push adds an entry for v, whose deadline is the arrival time plus maxWait, and
+// returns it.
+func (q *Queue[T]) Push(v T, rank int, arrival time.Time, maxWait time.Duration) *Entry[T] {
 	q.seq++
-	e := &Entry[T]{Value: v, Rank: rank, Arrival: arrival, Deadline: arrival.Add(bound), seq: q.seq}
+	e := &Entry[T]{Value: v, Rank: rank, Arrival: arrival, Deadline: arrival.Add(maxWait), seq: q.seq}
 	heap.Push(&q.heap, e)
 	if rank == 0 {
 		q.urgent++
@@ -44,7 +44,7 @@
 	return e
 }
 
-// Peek returns the entry that goes next, or nil.
+// Peek returns the first entry, or nil if the queue is empty.
 func (q *Queue[T]) Peek() *Entry[T] {
 	if len(q.heap) == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return q.heap[0]
 }
 
-// Sorted returns the entries in the order in which they go.
+// Sorted returns the entries in queue order.
 func (q *Queue[T]) Sorted() []*Entry[T] {
 	out := slices.Clone(q.heap)
 	slices.SortFunc(out, func(a, b *Entry[T]) int {
@@ -64,21 +64,21 @@
 	return out
 }
 
-// Remove takes an entry out, wherever it stands; false if it is not queued.
+// Remove removes an entry at any position. It returns false if e is not queued.
 func (q *Queue[T]) Remove(e *Entry[T]) bool {
-	if e.at < 0 {
+	if e.index < 0 {
 		return false
 	}
-	heap.Remove(&q.heap, e.at)
+	heap.Remove(&q.heap, e.index)
 	if e.Rank == 0 {
 		q.urgent--
 	}
 	return true
 }
 
-// Ahead returns how many entries would go before a new one.
-func (q *Queue[T]) Ahead(rank int, arrival time.Time, bound time.Duration) int {
-	probe := &Entry[T]{Rank: rank, Arrival: arrival, Deadline: arrival.Add(bound), seq: q.seq + 1}
+// Ahead returns the number of entries that would precede a new entry.
+func (q *Queue[T]) Ahead(rank int, arrival time.Time, maxWait time.Duration) int {
+	probe := &Entry[T]{Rank: rank, Arrival: arrival, Deadline: arrival.Add(maxWait), seq: q.seq + 1}
 	n := 0
 	for _, e := range q.heap {
 		if e.before(probe) {
@@ -105,12 +105,12 @@
 
 func (h entries[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].index, h[j].index = i, j
 }
 
 func (h *entries[T]) Push(x any) {
 	e := x.(*Entry[T])
-	e.at = len(*h)
+	e.index = len(*h)
 	*h = append(*h, e)
 }
 
@@ -120,6 +120,6 @@
 	e := old[n]
 	old[n] = nil
 	*h = old[:n]
-	e.at = -1
+	e.index = -1
 	return e
 }
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -13,8 +13,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// TestOracle pushes, removes and takes at random, against a sorted list.
-func TestOracle(t *testing.T) {
+// TestQueueAgainstSortedList runs random pushes, removals and takes, and compares the first
+// entry and the counts with a reference list.
+func TestQueueAgainstSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int]()
 		var all []*Entry[int]
@@ -84,7 +85,7 @@
 		got = append(got, e.Value)
 		q.Remove(e)
 	}
-	// The urgent go first, in order of arrival; batch, though of the lowest
-	// class, is due before standard.
+	// Urgent entries come first, in order of arrival. The batch entry has the lowest
+	// rank, but an earlier deadline than the standard one.
 	assert.DeepEqual(t, got, []string{"urgent-1", "urgent-2", "batch", "standard"})
 }
--- a/internal/policy/room/doc.go
+++ b/internal/policy/room/doc.go
@@ -1,3 +1,3 @@
-// Package room reckons how much of an engine's memory a generation takes soon,
-// and how long it may wait for it.
+// Package room estimates how much of an engine's memory a generation will need soon,
+// and how long the generation may wait for that memory.
 package room
--- a/internal/policy/room/room.go
+++ b/internal/policy/room/room.go
@@ -3,51 +3,56 @@
 import "time"
 
 const (
-	// ahead is how many tokens a stream is expected to take beyond what it has, until
-	// another stream of its engine ends. With whole expected lengths, engines would
-	// count as full long before they are.
-	ahead = 250
-	// readRate is how many prompt tokens an engine reads in a second beside the
-	// streams of a batch.
-	readRate = 7000.0
-	// startTime is kept of the latency target for the way to the engine and its
-	// first step, and for one prompt that is read before.
-	startTime = 700 * time.Millisecond
-	// minDueShare is the minimum share of the latency target for which a generation may
-	// wait for room, regardless of its prompt size. Without it, calls with the largest
-	// prompts count as late on arrival and get only the room that no other call takes.
-	minDueShare = 0.125
-	// lateWait and lateShare bound the wait of a generation that will begin late,
-	// in time and in its share of the time that the client waits: new engines come
-	// each 3 s, and who is refused should have the time to come back.
-	lateWait  = 3 * time.Second
-	lateShare = 0.125
-	// retryShare is the part of the time left after which a client comes back at
-	// most.
+	// maxTokensAhead is how many more tokens a stream is expected to generate before
+	// another stream of its engine ends. Reserving the whole expected length would make
+	// engines count as full long before they are.
+	maxTokensAhead = 250
+	// prefillRate is the number of prompt tokens per second that an engine processes
+	// while it also decodes the streams of a batch.
+	prefillRate = 7000.0
+	// startAllowance is the part of the latency target that is reserved for the network
+	// latency to the engine, its first decode step and the prefill of one earlier prompt.
+	startAllowance = 700 * time.Millisecond
+	// minWaitShare is the minimum fraction of the latency target for which a generation
+	// may wait for memory, regardless of its prompt size. Without it, calls with the
+	// largest prompts count as late on arrival and get only memory that no other call uses.
+	minWaitShare = 0.125
+	// maxLateWait and maxLateShare bound the wait of a generation that will start late, as
+	// a time and as a fraction of the client's timeout. A new engine becomes available
+	// every 3 s, and a refused client should have time left to retry.
+	maxLateWait  = 3 * time.Second
+	maxLateShare = 0.125
+	// retryShare is the largest fraction of a client's remaining time that it is told to
+	// wait before a retry.
 	retryShare = 1.0 / 3
 )
 
-// Need returns the memory, in tokens, that a generation takes now and soon: of a
-// prompt, of which made tokens of at most limit were generated.
-func Need(prompt, limit, made int) int { return prompt + min(made+ahead, limit) }
+// MemoryNeed returns the memory, in tokens, that a generation needs now and soon, given
+// its prompt length, its maximum number of generated tokens and those generated so far.
+func Need(prompt, maxTokens, generated int) int {
+	return prompt + min(generated+maxTokensAhead, maxTokens)
+}
 
-// Due returns how long a generation that arrived some time ago may wait for
-// room and still begin within its latency target; read are the prompt's tokens. The
-// result is at least minDueShare of the target, less the time since arrival.
-func Due(target, since time.Duration, read int) time.Duration {
-	reading := time.Duration(float64(read) / readRate * float64(time.Second))
-	minDue := time.Duration(minDueShare * float64(target))
-	return max(0, max(target-reading-startTime, minDue)-since)
+// OnTimeWait returns how long a generation may wait for memory and still start within its
+// latency target. elapsed is the time since its arrival. promptTokens is the number of
+// prompt tokens that need prefill. The result is at least minWaitShare of the target, less
+// the elapsed time, and not negative.
+func Due(target, elapsed time.Duration, promptTokens int) time.Duration {
+	prefill := time.Duration(float64(promptTokens) / prefillRate * float64(time.Second))
+	minWait := time.Duration(minWaitShare * float64(target))
+	return max(0, max(target-prefill-startAllowance, minWait)-elapsed)
 }
 
-// Wait returns how long a generation may wait for room at all, though it then
-// begins late; allowed is the time from its arrival in which an answer is of use.
-func Wait(due, allowed, since time.Duration) time.Duration {
-	late := min(lateWait, time.Duration(lateShare*float64(allowed)))
-	return max(0, min(max(due, late-since), allowed-since))
+// MaxWait returns how long a generation may wait for memory, even if it then starts late.
+// onTime is the result of OnTimeWait, timeout the client's timeout, counted from the
+// arrival, and elapsed the time since the arrival.
+func Wait(onTime, timeout, elapsed time.Duration) time.Duration {
+	late := min(maxLateWait, time.Duration(maxLateShare*float64(timeout)))
+	return max(0, min(max(onTime, late-elapsed), timeout-elapsed))
 }
 
-// Retry returns after which time a client should come back that was told wait.
-func Retry(wait, left time.Duration) time.Duration {
-	return min(wait, time.Duration(retryShare*float64(max(0, left))))
+// RetryAfter returns the time after which a client should retry: the suggested wait, or
+// retryShare of the client's remaining time if that is shorter.
+func Retry(wait, remaining time.Duration) time.Duration {
+	return min(wait, time.Duration(retryShare*float64(max(0, remaining))))
 }
--- a/internal/policy/room/room_test.go
+++ b/internal/policy/room/room_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	_ "umberladder/internal/test/check" // fixes the seed
+	_ "umberladder/internal/test/check" // fixes the seed of rapid
 )
 
 func ExampleNeed() {
@@ -17,7 +17,7 @@
 }
 
 func ExampleDue() {
-	// A prompt of 3,500 tokens is read in half a second.
+	// Prefill of a prompt of 3,500 tokens takes half a second.
 	fmt.Println(Due(1800*time.Millisecond, 100*time.Millisecond, 3500))
 	// Output: 500ms
 }
@@ -26,17 +26,17 @@
 	for name, tc := range map[string]struct {
 		due, allowed, since, want time.Duration
 	}{
-		"a long call may begin late":        {due: 600 * time.Millisecond, allowed: 39 * time.Second, want: lateWait},
-		"one that waited already":           {allowed: 39 * time.Second, since: 2 * time.Second, want: time.Second},
-		"a short one waits while in time":   {due: 900 * time.Millisecond, allowed: 6 * time.Second, want: 900 * time.Millisecond},
-		"an eighth of the time that it has": {due: 100 * time.Millisecond, allowed: 6 * time.Second, want: 750 * time.Millisecond},
-		"nothing is left":                   {due: time.Second, allowed: time.Second, since: 2 * time.Second},
+		"a long call may start late":                    {due: 600 * time.Millisecond, allowed: 39 * time.Second, want: maxLateWait},
+		"elapsed time is subtracted":                    {allowed: 39 * time.Second, since: 2 * time.Second, want: time.Second},
+		"a short call waits while it can start on time": {due: 900 * time.Millisecond, allowed: 6 * time.Second, want: 900 * time.Millisecond},
+		"at most an eighth of the timeout":              {due: 100 * time.Millisecond, allowed: 6 * time.Second, want: 750 * time.Millisecond},
+		"the timeout is over":                           {due: time.Second, allowed: time.Second, since: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, Wait(tc.due, tc.allowed, tc.since), tc.want) })
 	}
 }
 
-// TestBounds holds every wait to the time in which an answer is of use.
+// TestBounds checks that no wait exceeds the remaining time of the client's timeout.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := rapid.Int64Range(0, int64(time.Minute))
