--- a/internal/policy/health/doc.go
+++ b/internal/policy/health/doc.go
@@ -1,2 +1,2 @@
-// Package health weighs backend servers by what calls met at them lately.
+// Package health weights backend servers by the results of recent calls to them.
 package health
--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -8,62 +8,64 @@
 )
 
 const (
-	// half is the time after which what was seen of a server counts half.
-	half = 2 * time.Second
-	// prior is the weight of the belief that a server is sound, in calls.
-	prior = 4.0
+	// decayTime is the time after which past results count half, if there is no newer one.
+	decayTime = 2 * time.Second
+	// priorWeight is the weight of the prior assumption that a server is healthy, in
+	// successful calls.
+	priorWeight = 4.0
 )
 
-// Book weighs servers by the calls they failed lately. Servers fail while
-// their own health check is good, so only what calls met counts.
+// Tracker weights servers by their recent failures. Servers may fail calls while their
+// own health check passes, so only the results of calls count. It is safe for concurrent
+// use.
 type Book struct {
 	mu      sync.Mutex
 	servers map[ident.Server]*record
-	pauses  map[ident.Server]time.Time // until when a server wants no calls of this VM
+	pauses  map[ident.Server]time.Time // when the pause that a server requested ends
 }
 
 type record struct {
-	at   time.Time
-	good float64
-	bad  float64
+	updatedAt time.Time
+	successes float64
+	failures  float64
 }
 
-// New makes a record of sound servers.
+// New returns a tracker that considers all servers healthy.
 func New() *Book {
 	return &Book{servers: make(map[ident.Server]*record), pauses: make(map[ident.Server]time.Time)}
 }
 
-// Success notes a call that the server answered.
-func (h *Book) Success(id ident.Server, now time.Time) { h.note(id, now, 1, 0) }
+// Success records a call that the server completed.
+func (h *Book) Success(id ident.Server, now time.Time) { h.add(id, now, 1, 0) }
 
-// Failure notes a call that the server failed.
-func (h *Book) Failure(id ident.Server, now time.Time) { h.note(id, now, 0, 1) }
+// Failure records a call that failed at the server.
+func (h *Book) Failure(id ident.Server, now time.Time) { h.add(id, now, 0, 1) }
 
-func (h *Book) note(id ident.Server, now time.Time, good, bad float64) {
+func (h *Book) add(id ident.Server, now time.Time, successes, failures float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.servers[id]
 	if r == nil {
-		r = &record{at: now}
+		r = &record{updatedAt: now}
 		h.servers[id] = r
 	}
-	r.fade(now)
-	r.good += good
-	r.bad += bad
+	r.decay(now)
+	r.successes += successes
+	r.failures += failures
 }
 
-func (r *record) fade(now time.Time) {
-	age := now.Sub(r.at)
+func (r *record) decay(now time.Time) {
+	age := now.Sub(r.updatedAt)
 	if age <= 0 {
 		return
 	}
-	keep := 1 / (1 + float64(age)/float64(half))
-	r.good *= keep
-	r.bad *= keep
-	r.at = now
+	keep := 1 / (1 + float64(age)/float64(decayTime))
+	r.successes *= keep
+	r.failures *= keep
+	r.updatedAt = now
 }
 
-// Weight returns the share of its usual work that the server should get, in (0, 1].
+// Weight returns the fraction of its normal load that the server should get, in (0, 1].
 func (h *Book) Weight(id ident.Server, now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,19 +73,19 @@
 	if r == nil {
 		return 1
 	}
-	r.fade(now)
-	w := (prior + r.good) / (prior + r.good + 3*r.bad)
+	r.decay(now)
+	w := (priorWeight + r.successes) / (priorWeight + r.successes + 3*r.failures)
 	return w
 }
 
-// mostPause bounds the pause that a server may ask for.
-const mostPause = 10 * time.Minute
+// maxPause bounds the pause that a server may request.
+const maxPause = 10 * time.Minute
 
-// Pause notes that a server wants no calls of this VM for a time.
+// Pause records that a server requested no calls from this VM for a time.
 func (h *Book) Pause(id ident.Server, d time.Duration, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.pauses[id] = now.Add(min(d, mostPause))
+	h.pauses[id] = now.Add(min(d, maxPause))
 	for other, until := range h.pauses {
 		if !now.Before(until) {
 			delete(h.pauses, other)
@@ -91,15 +93,15 @@
 	}
 }
 
-// Paused returns for how long a server still wants no calls of this VM.
+// Paused returns the remaining time of a server's pause, or zero.
 func (h *Book) Paused(id ident.Server, now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(h.pauses[id].Sub(now), 0)
 }
 
-// Keep forgets the servers that known does not report.
-func (h *Book) Keep(known func(ident.Server) bool) {
+// Retain drops the results of servers for which known returns false.
+func (h *Book) Retain(known func(ident.Server) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id := range h.servers {
--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -9,8 +9,9 @@
 	"umberladder/internal/core/ident"
 )
 
-// TestHealth has a server that fails half of its calls while others are sound.
-func TestHealth(t *testing.T) {
+// TestFailingServerLosesWeight guards against a failing server keeping its weight, a healthy
+// one losing it, and old failures counting for long.
+func TestFailingServerLosesWeight(t *testing.T) {
 	h, now := New(), time.Now()
 	for range 10 {
 		h.Failure("bad", now)
@@ -20,6 +21,6 @@
 	assert.Equal(t, h.Weight("good", now), 1.0)
 	assert.Equal(t, h.Weight("new", now), 1.0)
 	assert.Assert(t, h.Weight("bad", now.Add(time.Minute)) > 0.7, "an old failure counts little")
-	h.Keep(func(id ident.Server) bool { return id == "good" })
+	h.Retain(func(id ident.Server) bool { return id == "good" })
 	assert.Equal(t, h.Weight("bad", now), 1.0)
 }
--- a/internal/policy/place/baseline.go
+++ b/internal/policy/place/baseline.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// RoundRobin takes the engines in turn. Its zero value is ready for use by
-// one goroutine.
+// RoundRobin chooses the engines in turn. Its zero value is ready for use. It is not
+// safe for concurrent use.
 type RoundRobin struct {
 	next int
 }
@@ -20,7 +20,7 @@
 	return -1
 }
 
-// LeastLoad takes the engine that reported the least memory in use.
+// LeastLoad chooses the engine that reported the least memory in use.
 type LeastLoad struct{}
 
 // Choose implements Chooser.
@@ -42,8 +42,8 @@
 	return best
 }
 
-// TwoChoices draws two engines and takes the one with fewer streams of this
-// VM (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing,
+// TwoChoices draws two engines at random and chooses the one with fewer streams of
+// this VM (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing,
 // 2001).
 type TwoChoices struct{}
 
@@ -66,8 +66,8 @@
 	return a
 }
 
-// New returns the chooser of a name, or nil: "predicted", "round-robin",
-// "least-load" or "two-choices".
+// New returns the chooser with the given name, or nil if there is none. The names are
+// "predicted", "round-robin", "least-load" and "two-choices".
 func New(name string) Chooser {
 	switch name {
 	case "predicted":
--- a/internal/policy/place/doc.go
+++ b/internal/policy/place/doc.go
@@ -1,8 +1,8 @@
-// Package place chooses the engine for one generation among those that a VM
-// knows. It is pure: what is known of the engines comes in as values.
+// Package place chooses the engine for one generation among the engines that a VM
+// knows. It keeps no state of the engines: their state is passed in by the caller.
 //
-// Predicted, the system's own way, lets a generation in where the memory that
-// all streams are predicted to hold stays inside the engine's with the
-// service's chance, and prefers the engine that has the prompt's prefix. The
-// others are baselines, kept to be measured against.
+// PredictedLoad, the default, admits a generation to an engine only if the predicted
+// memory of all its streams exceeds the engine's memory with at most the service's
+// overflow probability. It prefers the engine that has the prompt's prefix in its KV
+// cache. The other policies are baselines for comparison.
 package place
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -6,68 +6,70 @@
 	"umberladder/internal/policy/length"
 )
 
-// Engine is what a VM knows of one engine at the time of a decision.
+// Engine is the state of one engine that a VM knows at the time of a choice.
 type Engine struct {
-	Size      float64      // memory, in tokens
-	Reported  float64      // memory used by the last report, in tokens
-	Own       int          // this VM's streams on it
-	Predicted length.Share // memory predicted for all streams known or inferred
-	Weight    float64      // share of its usual work it should get, 0 to 1
-	Affinity  uint64       // rank of the prompt's prefix on it; the highest holds it
-	Skip      bool         // may not be chosen
+	Size      float64      // in tokens
+	Reported  float64      // memory in use by the last load report, in tokens
+	Own       int          // number of this VM's streams on the engine
+	Predicted length.Share // memory forecast of all streams, known and inferred
+	Weight    float64      // fraction of its normal load that it should get, 0 to 1
+	Affinity  uint64       // rank for the prompt's prefix; the engine with the highest has it
+	Skip      bool         // must not be chosen
 }
 
-// Ask is one generation to place.
+// Request describes one generation to place.
 type Ask struct {
-	Share length.Share // memory predicted for it
-	Z     float64      // bound on the chance of overflow, as a normal quantile
-	Room  float64      // share of each engine's memory it may use, 0 to 1
-	// Prompt is the length of the prompt, in tokens: what an engine that has
-	// its prefix need not compute.
+	Share length.Share // memory forecast of the generation
+	Z     float64      // bound on the overflow probability, as a quantile of the normal distribution
+	Room  float64      // fraction of each engine's memory that may be used, 0 to 1
+	// PromptTokens is the length of the prompt, an upper bound of the prefill that an
+	// engine with the prompt's prefix saves.
 	Prompt int
 }
 
-// Chooser picks an engine. It returns -1 if none may take the generation now.
+// Chooser chooses an engine for a generation.
 type Chooser interface {
-	Choose(ask *Ask, engines []Engine, rng *rand.Rand) int
+	// Choose returns the index of an engine, or -1 if no engine can run the generation
+	// now.
+	Choose(req *Ask, engines []Engine, rng *rand.Rand) int
 }
 
 const (
-	// affinityMost is how much fuller, as a share of its memory, the engine
-	// with the prompt's prefix may be than the emptiest one.
-	affinityMost = 0.1
-	// affinityGain is how much fuller it may be for each token of the prompt,
-	// in tokens: a short prompt is not worth an uneven load.
-	affinityGain = 2.0
+	// maxAffinitySlack is how much fuller, as a fraction of its memory, the engine with
+	// the prompt's prefix may be than the engine that is chosen by load.
+	maxAffinitySlack = 0.1
+	// slackPerPromptToken is how much fuller it may be, in tokens, for each token of the
+	// prompt. A short prompt does not justify uneven load.
+	slackPerPromptToken = 2.0
 )
 
-// Predicted is the system's own way.
+// PredictedLoad chooses by predicted memory and prefix affinity.
 type Predicted struct{}
 
-// Choose implements Chooser. Of two engines drawn from those that fit, it
-// takes the emptier (Mitzenmacher 2001): always taking the emptiest of all
-// would send every VM that has the same late reports to the same engine.
-func (Predicted) Choose(ask *Ask, engines []Engine, rng *rand.Rand) int {
-	first, second, near, fit := -1, -1, -1, 0
+// Choose implements Chooser. It draws two of the engines that have capacity and takes
+// the less full one (Mitzenmacher 2001). If it always took the least full engine, all
+// VMs with the same delayed load reports would choose the same engine.
+func (Predicted) Choose(req *Ask, engines []Engine, rng *rand.Rand) int {
+	first, second, cached, fitting := -1, -1, -1, 0
 	for i := range engines {
 		e := &engines[i]
-		if e.Skip || !e.fits(ask) || rng.Float64() > e.Weight {
+		if e.Skip || !e.fits(req) || rng.Float64() > e.Weight {
 			continue
 		}
-		// Two places of a reservoir: each pair is as likely as any other.
-		fit++
-		switch at := rng.IntN(fit); {
-		case fit <= 2 && first < 0:
+		// Reservoir sampling of two engines: all pairs are equally likely.
+		fitting++
+		switch at := rng.IntN(fitting); {
+		case fitting <= 2 && first < 0:
 			first = i
-		case fit <= 2:
+		case fitting <= 2:
 			second = i
 		case at == 0:
 			first = i
 		case at == 1:
 			second = i
 		}
-		if near < 0 || e.Affinity > engines[near].Affinity {
-			near = i
+		if cached < 0 || e.Affinity > engines[cached].Affinity {
+			cached = i
 		}
 	}
 	if first < 0 {
@@ -77,18 +79,18 @@
 	if second >= 0 && engines[second].fill() < engines[first].fill() {
 		best = second
 	}
-	slack := min(affinityMost, affinityGain*float64(ask.Prompt)/engines[best].Size)
-	if engines[near].fill() <= engines[best].fill()+slack {
-		return near
+	slack := min(maxAffinitySlack, slackPerPromptToken*float64(req.Prompt)/engines[best].Size)
+	if engines[cached].fill() <= engines[best].fill()+slack {
+		return cached
 	}
 	return best
 }
 
-func (e *Engine) fits(ask *Ask) bool {
+func (e *Engine) fits(req *Ask) bool {
 	sum := e.Predicted
-	sum.Add(&ask.Share, 1)
-	return sum.Within(e.Size*ask.Room, ask.Z)
+	sum.Add(&req.Share, 1)
+	return sum.Within(e.Size*req.Room, req.Z)
 }
 
-// fill is the share of memory predicted to be held at the nearest horizon.
+// fill returns the predicted fraction of memory in use at the nearest horizon.
 func (e *Engine) fill() float64 { return e.Predicted.Mean[0] / e.Size }
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -21,7 +21,7 @@
 	return out
 }
 
-func ask() *Ask {
+func request() *Ask {
 	a := &Ask{Z: length.Z(0.05), Room: 1, Prompt: 50}
 	for j := range a.Share.Mean {
 		a.Share.Mean[j], a.Share.Var[j] = 50, 2500
@@ -29,36 +29,36 @@
 	return a
 }
 
-func TestPredicted(t *testing.T) {
+func TestPredictedLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	p := Predicted{}
-	t.Run("takes the engine with the prefix", func(t *testing.T) {
-		assert.Equal(t, p.Choose(ask(), engines(4, 300), rng), 3)
+	t.Run("prefers the engine with the prefix", func(t *testing.T) {
+		assert.Equal(t, p.Choose(request(), engines(4, 300), rng), 3)
 	})
-	t.Run("unless it is much fuller", func(t *testing.T) {
+	t.Run("avoids the engine with the prefix if it is much fuller", func(t *testing.T) {
 		e := engines(4, 300)
 		e[3].Predicted.Mean[0] = 600
-		assert.Assert(t, p.Choose(ask(), e, rng) != 3)
+		assert.Assert(t, p.Choose(request(), e, rng) != 3)
 	})
-	t.Run("never one that would overflow", func(t *testing.T) {
+	t.Run("never chooses an engine that would overflow", func(t *testing.T) {
 		e := engines(4, 990)
 		e[1].Predicted = length.Share{}
 		for range 50 {
-			assert.Equal(t, p.Choose(ask(), e, rng), 1)
+			assert.Equal(t, p.Choose(request(), e, rng), 1)
 		}
 	})
-	t.Run("none if all would", func(t *testing.T) {
-		assert.Equal(t, p.Choose(ask(), engines(4, 990), rng), -1)
+	t.Run("chooses none if all would overflow", func(t *testing.T) {
+		assert.Equal(t, p.Choose(request(), engines(4, 990), rng), -1)
 	})
 	t.Run("leaves the reserve free", func(t *testing.T) {
-		a := ask()
+		a := request()
 		a.Room = 0.5
 		assert.Equal(t, p.Choose(a, engines(4, 450), rng), -1)
 	})
-	t.Run("skips what may not be chosen", func(t *testing.T) {
+	t.Run("skips excluded engines", func(t *testing.T) {
 		e := engines(2, 0)
 		e[1].Skip = true
-		assert.Equal(t, p.Choose(ask(), e, rng), 0)
+		assert.Equal(t, p.Choose(request(), e, rng), 0)
 	})
 }
 
@@ -70,10 +70,10 @@
 			e := engines(3, 0)
 			e[0].Skip, e[2].Skip = true, true
 			for range 10 {
-				assert.Equal(t, c.Choose(ask(), e, rng), 1)
+				assert.Equal(t, c.Choose(request(), e, rng), 1)
 			}
 			e[1].Skip = true
-			assert.Equal(t, c.Choose(ask(), e, rng), -1)
+			assert.Equal(t, c.Choose(request(), e, rng), -1)
 		})
 	}
 	assert.Assert(t, New("other") == nil)
@@ -83,7 +83,7 @@
 	for _, n := range []int{16, 128, 2048} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			e, a := engines(n, 300), ask()
+			e, a := engines(n, 300), request()
 			b.ReportAllocs()
 			for b.Loop() {
 				Predicted{}.Choose(a, e, rng)
