--- a/internal/policy/retry/delay.go
+++ b/internal/policy/retry/backoff.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Delay returns the wait before attempt n (from 1 on): exponential from base
-// up to limit, drawn evenly from the upper half, so that callers who failed
-// together do not come back together.
+// Backoff returns the delay before attempt n, counted from 1. The delay doubles with each
+// attempt from base up to limit, and is drawn uniformly from its upper half, so that
+// callers that failed at the same time do not retry at the same time.
 func Delay(rng *rand.Rand, n int, base, limit time.Duration) time.Duration {
 	d := limit
 	if n < 1 {
--- a/internal/policy/retry/breaker.go
+++ b/internal/policy/retry/breaker.go
@@ -3,63 +3,65 @@
 import "time"
 
 const (
-	failuresToOpen = 3
-	openBase       = 250 * time.Millisecond
-	openLimit      = 8 * time.Second
-	rampTime       = 4 * time.Second
-	rampFloor      = 0.1
+	openThreshold = 3
+	baseOpenTime  = 250 * time.Millisecond
+	maxOpenTime   = 8 * time.Second
+	rampTime      = 4 * time.Second
+	minRampWeight = 0.1
 )
 
-// Breaker follows one server. After several failures in a row it opens: the
-// server gets no work for a time that doubles while failures go on. Then an
-// answer to a load report may close it, and the server's weight rises slowly
-// to one. It is not safe for use by several goroutines.
+// Breaker is the circuit breaker of one server. It opens after openThreshold consecutive
+// failures: the server gets no calls for a time that doubles with each further failure,
+// from baseOpenTime to maxOpenTime. After that time, a successful response may close the
+// breaker, and the server's weight rises to 1 within rampTime. It is not safe for
+// concurrent use.
 type Breaker struct {
-	failures int
-	opens    int
-	until    time.Time // open at least until then
-	healed   time.Time // when it last closed
+	failures  int       // consecutive failures
+	openCount int       // failures since it opened, including the one that opened it; zero: closed
+	openUntil time.Time // open at least until then
+	closedAt  time.Time // when it last closed
 }
 
-// Open reports whether the server gets no work.
-func (b *Breaker) Open() bool { return b.opens > 0 }
+// Open reports whether the breaker is open.
+func (b *Breaker) Open() bool { return b.openCount > 0 }
 
-// Trial reports whether an answer of the server may close the breaker now.
-func (b *Breaker) Trial(now time.Time) bool { return !now.Before(b.until) }
+// ProbeAllowed reports whether the minimum open time is over, so that a successful response
+// may close the breaker.
+func (b *Breaker) Trial(now time.Time) bool { return !now.Before(b.openUntil) }
 
-// Success notes a call that the server answered, and closes the breaker.
+// Success records a successful call and closes the breaker.
 func (b *Breaker) Success(now time.Time) {
 	b.failures = 0
-	if b.opens > 0 {
-		b.healed = now
+	if b.openCount > 0 {
+		b.closedAt = now
 	}
-	b.opens = 0
+	b.openCount = 0
 }
 
-// Failure notes a call that failed. The jitter, in [0, 1), spreads the times
-// at which several VMs come back.
+// Failure records a failed call. The jitter, in [0, 1), spreads the times at which
+// different VMs probe the server again.
 func (b *Breaker) Failure(now time.Time, jitter float64) {
 	b.failures++
-	if b.failures < failuresToOpen {
+	if b.failures < openThreshold {
 		return
 	}
-	d := openLimit
-	if b.opens < 10 && openBase<<b.opens < openLimit {
-		d = openBase << b.opens
+	d := maxOpenTime
+	if b.openCount < 10 && baseOpenTime<<b.openCount < maxOpenTime {
+		d = baseOpenTime << b.openCount
 	}
-	b.opens++
-	b.until = now.Add(time.Duration((0.5 + jitter) * float64(d)))
+	b.openCount++
+	b.openUntil = now.Add(time.Duration((0.5 + jitter) * float64(d)))
 }
 
-// Weight returns the share of its usual work that the server should get: less
-// than one for a time after it came back.
+// Weight returns the fraction of its normal load that the server should get. It is less
+// than 1 for rampTime after the breaker has closed.
 func (b *Breaker) Weight(now time.Time) float64 {
-	if b.healed.IsZero() {
+	if b.closedAt.IsZero() {
 		return 1
 	}
-	since := now.Sub(b.healed)
+	since := now.Sub(b.closedAt)
 	if since >= rampTime {
 		return 1
 	}
-	return max(rampFloor, float64(since)/float64(rampTime))
+	return max(minRampWeight, float64(since)/float64(rampTime))
 }
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -3,37 +3,39 @@
 import "sync"
 
 const (
-	// retryShare is how many retries each first attempt pays for.
-	retryShare = 0.1
-	// retryFloor is what a quiet VM may spend before it has any traffic.
-	retryFloor = 10.0
+	// retriesPerAttempt is the number of retries that each first attempt adds to the
+	// budget.
+	retriesPerAttempt = 0.1
+	// maxBalance is the capacity of the budget and its initial balance, which a VM without
+	// traffic may spend.
+	maxBalance = 10.0
 )
 
-// Budget bounds retries to a share of first attempts, so that a failing
-// service is not met with more traffic than a healthy one. It is safe for use
-// by several goroutines.
+// Budget bounds the retries of one VM to a fraction of its first attempts, so that a
+// failing service does not get much more traffic than a healthy one. It is safe for
+// concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	level float64
+	mu      sync.Mutex
+	balance float64
 }
 
 // NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{level: retryFloor} }
+func NewBudget() *Budget { return &Budget{balance: maxBalance} }
 
-// Earn notes a first attempt.
+// RecordFirstAttempt records a first attempt, which adds to the budget.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.level = min(b.level+retryShare, retryFloor)
+	b.balance = min(b.balance+retriesPerAttempt, maxBalance)
 }
 
-// Spend takes one retry out of the budget; false if there is none.
+// AllowRetry takes one retry from the budget. It returns false if the budget is used up.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.level < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.level--
+	b.balance--
 	return true
 }
--- a/internal/policy/retry/doc.go
+++ b/internal/policy/retry/doc.go
@@ -1,5 +1,5 @@
-// Package retry decides whether something may be tried again, where, and
-// when: a budget that ties retries to live traffic, a breaker that takes a
-// failing server out and lets it back slowly, and jittered delays so that no
-// two VMs come back in step.
+// Package retry decides whether, where and when failed operations are retried. It
+// provides retry budgets in proportion to traffic, a circuit breaker with a slow start
+// after recovery, and exponential backoff with jitter, so that VMs do not retry in
+// lockstep.
 package retry
--- a/internal/policy/retry/rate.go
+++ b/internal/policy/retry/rate.go
@@ -12,26 +12,26 @@
 func (w *Window) Rates(s ident.Service, now time.Time) (own, all float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	sent := w.turn(s, now).sum()
+	sent := w.advance(s, now).sum()
 	t := w.others(now)
 	others := t.Sent[s]
 	seconds := w.span.Seconds()
 	own = float64(sent.First+sent.Again) / seconds
 	all = own + float64(others.First+others.Again)/seconds
-	return own, all * float64(w.vms(t)) / float64(t.Heard+1)
+	return own, all * float64(w.vmCount(t)) / float64(t.Heard+1)
 }
 
 // VMs returns the number of VMs, this one included.
 func (w *Window) VMs(now time.Time) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.vms(w.others(now))
+	return w.vmCount(w.others(now))
 }
 
-// vms returns the number of VMs, this one included, or leastVMs if no other is known.
-func (w *Window) vms(t Total) int {
+// vmCount returns the number of VMs, this one included, or minVMs if no other is known.
+func (w *Window) vmCount(t Total) int {
 	if t.Known == 0 {
-		return leastVMs
+		return minVMs
 	}
 	return max(t.Known, t.Heard) + 1
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -17,7 +17,7 @@
 			spent++
 		}
 	}
-	// A tenth of 1,000 first attempts and the 10 it starts with.
+	// A tenth of 1,000 first attempts and the initial balance of 10.
 	assert.Assert(t, spent >= 105 && spent <= 110, "%d retries", spent)
 }
 
@@ -37,28 +37,28 @@
 			b.Failure(now, 0.5)
 		}
 	}
-	fail(failuresToOpen - 1)
+	fail(openThreshold - 1)
 	assert.Assert(t, !b.Open())
 	b.Success(now)
-	fail(failuresToOpen - 1)
-	assert.Assert(t, !b.Open(), "a success starts the count anew")
+	fail(openThreshold - 1)
+	assert.Assert(t, !b.Open(), "a success resets the failure count")
 	fail(1)
 	assert.Assert(t, b.Open() && !b.Trial(now))
-	now = now.Add(openBase)
+	now = now.Add(baseOpenTime)
 	assert.Assert(t, b.Trial(now))
 	b.Success(now)
 	assert.Assert(t, !b.Open())
-	assert.Equal(t, b.Weight(now), rampFloor)
+	assert.Equal(t, b.Weight(now), minRampWeight)
 	assert.Equal(t, b.Weight(now.Add(rampTime/2)), 0.5)
 	assert.Equal(t, b.Weight(now.Add(rampTime)), 1.0)
 }
 
-func TestBreakerBacksOff(t *testing.T) {
+func TestOpenTimeIsBounded(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := &Breaker{}
 	for range 60 {
 		b.Failure(now, 0.999)
-		assert.Assert(t, b.until.Sub(now) <= 2*openLimit)
+		assert.Assert(t, b.openUntil.Sub(now) <= 2*maxOpenTime)
 	}
-	assert.Assert(t, b.until.Sub(now) > openLimit)
+	assert.Assert(t, b.openUntil.Sub(now) > maxOpenTime)
 }
--- a/internal/policy/retry/pause.go
+++ b/internal/policy/retry/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for d, or until ctx ends.
+// Sleep waits for d or until ctx is done.
 func Pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -9,249 +9,255 @@
 )
 
 const (
-	// slots is into how many parts a window is divided. One part more is kept,
-	// so that every span as long as the window is covered.
+	// slots is the number of slots that a window is divided into. One more slot is kept,
+	// so that the counts always cover a full window.
 	slots = 20
-	// safety is the share of the allowance that is used: VMs that die take the
-	// memory of what they spent with them.
-	safety = 0.8
-	// leastVMs is how many VMs at least are taken to share the extra while not
-	// all are heard: one that starts knows none, and each would take the whole.
-	leastVMs = 12
-	// totalTime is how long a hub's word counts: two of its answers may be lost.
-	totalTime = 1300 * time.Millisecond
+	// safetyFactor is the fraction of the budget that is used. The retries of VMs that
+	// fail are no longer counted, so the rest is kept as a margin.
+	safetyFactor = 0.8
+	// minVMs is the minimum number of VMs that are assumed to share the extra while the
+	// reports of some are missing. A VM that starts knows no other VMs, and without the
+	// minimum each of several starting VMs would use the whole extra.
+	minVMs = 12
+	// responseTime is how long a hub's response is valid. It tolerates the loss of two
+	// responses.
+	responseTime = 1300 * time.Millisecond
 )
 
-// Window is a budget that all VMs share: in any window, the calls sent beyond
-// the first sending of each stay under a share of the first ones and an extra.
+// FleetBudget is a retry budget that all VMs share. In any window, the retries to a
+// service stay below a ratio of the first attempts plus an extra.
 //
-// VMs report what they sent to hubs, which tell each the sum of the others. A VM
-// spends from what is left of the whole, less an even part of the extra for each VM
-// that the hub does not hear; one that hears no hub keeps to its part of the extra
-// and to its own first sendings. It is safe for use by several goroutines.
+// VMs report their attempts to hubs, and each hub responds with the sum of the other VMs'
+// attempts. A VM may use the remaining budget, less an equal share of the extra for each
+// VM that does not report to the hub. A VM that receives no responses uses only its share
+// of the extra and the ratio of its own first attempts. It is safe for concurrent use.
 type Window struct {
 	ratio float64
 	extra float64
 	span  time.Duration
 	peers Peers
 
-	mu       sync.Mutex
-	services map[ident.Service]*spans
-	heard    map[ident.VM]told
-	all      map[ident.Service]Sent // sum of heard
-	purged   time.Time              // when the VMs were last looked through
-	totals   map[ident.VM]Total     // by the hub that told them
-	known    int                    // most VMs that a hub told of last
+	mu        sync.Mutex
+	counts    map[ident.Service]*slidingCounts
+	reports   map[ident.VM]report
+	reportSum map[ident.Service]Sent // sum of reports
+	purgedAt  time.Time              // when expired reports were last removed
+	responses map[ident.VM]Total     // by hub
+	maxKnown  int                    // largest number of VMs in the hubs' last responses
 }
 
-// Peers tells how many other VMs report to this one or did of late, and how many
-// do now.
+// Peers counts the VMs that report to this one.
 type Peers interface {
+	// ReporterCounts returns the number of other VMs that have reported to this VM in the
+	// recent past, and the number of those that still do.
 	Count(now time.Time) (known, heard int)
 }
 
-// Total is what a hub knows of what VMs sent.
+// FleetTotal is a hub's response: the sum of the attempts of VMs in a window.
 type Total struct {
-	At    time.Time // when it was told
-	Known int       // VMs that the hub knows of, the one that is told left out
-	Heard int       // VMs of these whose sendings are counted
+	At    time.Time // when the hub responded
+	Known int       // VMs that the hub knows, without the receiver
+	Heard int       // those of them whose attempts are included
 	Sent  map[ident.Service]Sent
 }
 
-// Sent counts the sendings of a VM in a window.
+// Attempts counts the attempts to send requests in a window.
 type Sent struct {
-	First int
+	First int // first attempts
 	Again int
 }
 
-type told struct {
-	at   time.Time
-	sent map[ident.Service]Sent
+// report holds the attempts that a VM has reported.
+type report struct {
+	at       time.Time
+	attempts map[ident.Service]Sent
 }
 
-type spans struct {
-	at    int64 // number of the newest part
-	first [slots + 1]int
-	again [slots + 1]int
+// slidingCounts counts the attempts in a sliding window.
+type slidingCounts struct {
+	newest  int64 // number of the newest slot, counted from the Unix epoch
+	first   [slots + 1]int
+	retries [slots + 1]int
 }
 
-// NewWindow makes a budget.
+// NewFleetBudget returns a budget of ratio retries per first attempt plus extra retries in
+// any window of the length span.
 func NewWindow(ratio, extra float64, span time.Duration, peers Peers) *Window {
 	return &Window{
-		ratio:    ratio,
-		extra:    extra,
-		span:     span,
-		peers:    peers,
-		services: make(map[ident.Service]*spans),
-		heard:    make(map[ident.VM]told),
-		all:      make(map[ident.Service]Sent),
-		totals:   make(map[ident.VM]Total),
+		ratio:     ratio,
+		extra:     extra,
+		span:      span,
+		peers:     peers,
+		counts:    make(map[ident.Service]*slidingCounts),
+		reports:   make(map[ident.VM]report),
+		reportSum: make(map[ident.Service]Sent),
+		responses: make(map[ident.VM]Total),
 	}
 }
 
-// Set changes what is allowed.
+// SetLimits changes the ratio and the extra.
 func (w *Window) Set(ratio, extra float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ratio, w.extra = ratio, extra
 }
 
-// Hear takes what another VM sent in the window before now.
-func (w *Window) Hear(vm ident.VM, sent map[ident.Service]Sent, now time.Time) {
+// HandleReport records the attempts of another VM in the window before now.
+func (w *Window) Hear(vm ident.VM, attempts map[ident.Service]Sent, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.drop(w.heard[vm])
-	w.heard[vm] = told{at: now, sent: sent}
-	for s, n := range sent {
-		w.all[s] = w.all[s].plus(n)
+	w.subtract(w.reports[vm])
+	w.reports[vm] = report{at: now, attempts: attempts}
+	for s, n := range attempts {
+		w.reportSum[s] = w.reportSum[s].add(n)
 	}
 }
 
-// drop takes what a VM told out of the sum.
-func (w *Window) drop(t told) {
-	for s, n := range t.sent {
-		left := w.all[s].minus(n)
-		if left == (Sent{}) {
-			delete(w.all, s)
+// subtract removes a report from the sum.
+func (w *Window) subtract(r report) {
+	for s, n := range r.attempts {
+		remaining := w.reportSum[s].sub(n)
+		if remaining == (Sent{}) {
+			delete(w.reportSum, s)
 			continue
 		}
-		w.all[s] = left
+		w.reportSum[s] = remaining
 	}
 }
 
-// purge forgets VMs that fell silent once what they sent has left the window.
+// purge removes the reports of VMs that have not reported for a whole window.
 func (w *Window) purge(now time.Time) {
-	if now.Sub(w.purged) < w.span/slots {
+	if now.Sub(w.purgedAt) < w.span/slots {
 		return
 	}
-	w.purged = now
-	for vm, t := range w.heard {
+	w.purgedAt = now
+	for vm, t := range w.reports {
 		if now.Sub(t.at) > w.span {
-			w.drop(t)
-			delete(w.heard, vm)
+			w.subtract(t)
+			delete(w.reports, vm)
 		}
 	}
 }
 
-// Sent returns what this VM sent in the window before now.
+// Report returns this VM's attempts in the window before now.
 func (w *Window) Sent(now time.Time) map[ident.Service]Sent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := make(map[ident.Service]Sent, len(w.services))
-	for s := range w.services {
-		out[s] = w.turn(s, now).sum()
+	out := make(map[ident.Service]Sent, len(w.counts))
+	for s := range w.counts {
+		out[s] = w.advance(s, now).sum()
 	}
 	return out
 }
 
-// Learn takes what a hub knows of the other VMs.
+// HandleResponse records a hub's response.
 func (w *Window) Learn(hub ident.VM, t Total) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.totals[hub] = t
-	w.known = t.Known
-	for _, o := range w.totals {
-		if t.At.Sub(o.At) < totalTime {
-			w.known = max(w.known, o.Known)
+	w.responses[hub] = t
+	w.maxKnown = t.Known
+	for _, o := range w.responses {
+		if t.At.Sub(o.At) < responseTime {
+			w.maxKnown = max(w.maxKnown, o.Known)
 		}
 	}
 }
 
-// Rest returns what a VM that reports to this one is told: what all others sent,
-// this VM among them.
+// Response returns this VM's response, as a hub, to a VM that reports to it: the attempts
+// of all other VMs, this one included.
 func (w *Window) Rest(vm ident.VM, now time.Time) Total {
-	known, heard := w.peers.Count(now)
+	known, reporting := w.peers.Count(now)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.purge(now)
-	t := Total{At: now, Known: known, Heard: heard, Sent: maps.Clone(w.all)}
-	for s, n := range w.heard[vm].sent {
-		t.Sent[s] = t.Sent[s].minus(n)
+	t := Total{At: now, Known: known, Heard: reporting, Sent: maps.Clone(w.reportSum)}
+	for s, n := range w.reports[vm].attempts {
+		t.Sent[s] = t.Sent[s].sub(n)
 	}
-	for s := range w.services {
-		t.Sent[s] = t.Sent[s].plus(w.turn(s, now).sum())
+	for s := range w.counts {
+		t.Sent[s] = t.Sent[s].add(w.advance(s, now).sum())
 	}
 	return t
 }
 
-// others returns the widest knowledge of the other VMs: that of a hub, or this VM's
-// own if more report to it.
+// others returns the attempts of the other VMs from the source that includes the most VMs:
+// a hub's response or the reports to this VM.
 func (w *Window) others(now time.Time) Total {
-	known, heard := w.peers.Count(now)
-	known = max(known, w.known)
-	best := Total{Heard: heard}
-	own := true
-	for hub, t := range w.totals {
-		if now.Sub(t.At) > totalTime {
-			delete(w.totals, hub)
+	known, reporting := w.peers.Count(now)
+	known = max(known, w.maxKnown)
+	best := Total{Heard: reporting}
+	ownReports := true
+	for hub, t := range w.responses {
+		if now.Sub(t.At) > responseTime {
+			delete(w.responses, hub)
 			continue
 		}
 		if t.Heard > best.Heard {
-			best, own = t, false
+			best, ownReports = t, false
 		}
 	}
 	best.Known = known
-	if own {
+	if ownReports {
 		w.purge(now)
-		best.Sent = w.all
+		best.Sent = w.reportSum
 	}
 	return best
 }
 
-func (n Sent) minus(o Sent) Sent { return Sent{First: n.First - o.First, Again: n.Again - o.Again} }
+func (n Sent) sub(o Sent) Sent { return Sent{First: n.First - o.First, Again: n.Again - o.Again} }
 
-func (n Sent) plus(o Sent) Sent { return Sent{First: n.First + o.First, Again: n.Again + o.Again} }
+func (n Sent) add(o Sent) Sent { return Sent{First: n.First + o.First, Again: n.Again + o.Again} }
 
-func (p *spans) sum() Sent {
+func (p *slidingCounts) sum() Sent {
 	var sum Sent
 	for i := range p.first {
 		sum.First += p.first[i]
-		sum.Again += p.again[i]
+		sum.Again += p.retries[i]
 	}
 	return sum
 }
 
-// Earn notes the first sending of a call.
+// RecordFirstAttempt records the first attempt of a call, which adds to the budget.
 func (w *Window) Earn(s ident.Service, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.turn(s, now)
-	p.first[p.at%(slots+1)]++
+	p := w.advance(s, now)
+	p.first[p.newest%(slots+1)]++
 }
 
-// Spend takes one further sending out of the budget; false if there is none.
+// AllowRetry takes one retry from the budget. It returns false if the budget is used up.
 func (w *Window) Spend(s ident.Service, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.turn(s, now)
+	p := w.advance(s, now)
 	own := p.sum()
 	t := w.others(now)
 	others := t.Sent[s]
 	extra := w.extra
 	if t.Heard < t.Known || t.Known == 0 {
-		// Each VM that isn't heard may spend its part.
-		extra *= float64(t.Heard+1) / float64(max(t.Known+1, leastVMs))
+		// The VMs that do not report may use their shares.
+		extra *= float64(t.Heard+1) / float64(max(t.Known+1, minVMs))
 	}
-	left := safety*(w.ratio*float64(own.First+others.First)+extra) - float64(others.Again)
-	if float64(own.Again+1) > left {
+	remaining := safetyFactor*(w.ratio*float64(own.First+others.First)+extra) - float64(others.Again)
+	if float64(own.Again+1) > remaining {
 		return false
 	}
-	p.again[p.at%(slots+1)]++
+	p.retries[p.newest%(slots+1)]++
 	return true
 }
 
-// turn returns the service's parts with those that have passed emptied.
-func (w *Window) turn(s ident.Service, now time.Time) *spans {
-	at := now.UnixNano() / (int64(w.span) / slots)
-	p := w.services[s]
+// advance clears the slots that have left the window and returns the service's counts.
+func (w *Window) advance(s ident.Service, now time.Time) *slidingCounts {
+	current := now.UnixNano() / (int64(w.span) / slots)
+	p := w.counts[s]
 	if p == nil {
-		p = &spans{at: at}
-		w.services[s] = p
+		p = &slidingCounts{newest: current}
+		w.counts[s] = p
 	}
-	for steps := 0; p.at < at && steps <= slots; steps++ {
-		p.at++
-		p.first[p.at%(slots+1)], p.again[p.at%(slots+1)] = 0, 0
+	for steps := 0; p.newest < current && steps <= slots; steps++ {
+		p.newest++
+		p.first[p.newest%(slots+1)], p.retries[p.newest%(slots+1)] = 0, 0
 	}
-	p.at = max(p.at, at)
+	p.newest = max(p.newest, current)
 	return p
 }
