--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -36,18 +36,18 @@
 }
 
 // Success records a call that the server completed.
-func (h *Book) Success(id ident.Server, now time.Time) { h.add(id, now, 1, 0) }
+func (t *Book) Success(id ident.Server, now time.Time) { t.add(id, now, 1, 0) }
 
 // Failure records a call that failed at the server.
-func (h *Book) Failure(id ident.Server, now time.Time) { h.add(id, now, 0, 1) }
+func (t *Book) Failure(id ident.Server, now time.Time) { t.add(id, now, 0, 1) }
 
-func (h *Book) add(id ident.Server, now time.Time, successes, failures float64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	r := h.servers[id]
+func (t *Book) add(id ident.Server, now time.Time, successes, failures float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.servers[id]
 	if r == nil {
 		r = &record{updatedAt: now}
-		h.servers[id] = r
+		t.servers[id] = r
 	}
 	r.decay(now)
 	r.successes += successes
@@ -66,10 +66,10 @@
 }
 
 // Weight returns the fraction of its normal load that the server should get, in (0, 1].
-func (h *Book) Weight(id ident.Server, now time.Time) float64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	r := h.servers[id]
+func (t *Book) Weight(id ident.Server, now time.Time) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.servers[id]
 	if r == nil {
 		return 1
 	}
@@ -82,31 +82,31 @@
 const maxPause = 10 * time.Minute
 
 // Pause records that a server requested no calls from this VM for a time.
-func (h *Book) Pause(id ident.Server, d time.Duration, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.pauses[id] = now.Add(min(d, maxPause))
-	for other, until := range h.pauses {
+func (t *Book) Pause(id ident.Server, d time.Duration, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.pauses[id] = now.Add(min(d, maxPause))
+	for other, until := range t.pauses {
 		if !now.Before(until) {
-			delete(h.pauses, other)
+			delete(t.pauses, other)
 		}
 	}
 }
 
 // Paused returns the remaining time of a server's pause, or zero.
-func (h *Book) Paused(id ident.Server, now time.Time) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return max(h.pauses[id].Sub(now), 0)
+func (t *Book) Paused(id ident.Server, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return max(t.pauses[id].Sub(now), 0)
 }
 
 // Retain drops the results of servers for which known returns false.
-func (h *Book) Retain(known func(ident.Server) bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for id := range h.servers {
+func (t *Book) Retain(known func(ident.Server) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id := range t.servers {
 		if !known(id) {
-			delete(h.servers, id)
+			delete(t.servers, id)
 		}
 	}
 }
--- a/internal/policy/rates/book.go
+++ b/internal/policy/rates/limiter.go
@@ -21,13 +21,13 @@
 	// small limits.
 	tolerance     = 1.1
 	extraRequests = 2
-	// expiry is how long a limit stays in force without being confirmed by an answer.
+	// expiry is how long a limit stays in force without being confirmed by a response.
 	expiry = 30 * time.Second
 	// endedTime is how long an ended limit is remembered and reported, so that outdated
 	// reports do not restore it.
 	endedTime = 10 * time.Second
 	// minRate is the lowest limit that is enforced, in requests a second. Some requests
-	// must be sent for their answers to show that the limit has ended.
+	// must be sent for their responses to show that the limit has ended.
 	minRate = 0.25
 	// maxReported bounds the number of limits in one message.
 	maxReported = 64
@@ -49,10 +49,10 @@
 	Server ident.Server
 	Rate   float64   // requests a second; zero: the limit has ended
 	At     time.Time // when the server stated the limit or its end
-	Sent   int       // requests sent in the last Span by the VM or, in a hub's answer, by all VMs but the receiver
+	Sent   int       // requests sent in the last Span by the VM or, in a hub's response, by all VMs but the receiver
 }
 
-// Book holds the rate limits that servers have stated. It is safe for concurrent use.
+// Limiter enforces the rate limits that servers have stated. It is safe for concurrent use.
 type Book struct {
 	demand  Demand
 	changed func(id ident.Server, rate float64)
@@ -73,48 +73,48 @@
 	refilledAt time.Time
 }
 
-// New returns an empty book. It calls changed when a limit is first stated and when an
-// answer or a report ends it, but not when it expires.
+// New returns a limiter without limits. The limiter calls changed when a limit is first
+// stated and when a response or a report ends it, but not when it expires.
 func New(d Demand, changed func(id ident.Server, rate float64)) *Book {
 	return &Book{demand: d, changed: changed, servers: make(map[ident.Server]*entry), peers: newPeers()}
 }
 
-// Observe records the limit in a server's answer, in requests a second; zero: it states
-// none. An answer without a limit is dated to when its request was sent, because the server
+// Observe records the limit in a server's response, in requests a second; zero: it states
+// none. A response without a limit is dated to when its request was sent, because the server
 // may have produced it at any time since. A limit is dated to now.
-func (b *Book) Observe(id ident.Server, rate float64, sent, now time.Time) {
+func (l *Book) Observe(id ident.Server, rate float64, sent, now time.Time) {
 	if !(rate > 0) {
-		if b.entryCount.Load() > 0 {
-			b.setLimit(id, 0, sent, now)
+		if l.entryCount.Load() > 0 {
+			l.setLimit(id, 0, sent, now)
 		}
 		return
 	}
-	b.setLimit(id, rate, now, now)
+	l.setLimit(id, rate, now, now)
 }
 
 // setLimit records a limit that a server stated at the given time, and calls changed if
 // needed.
-func (b *Book) setLimit(id ident.Server, rate float64, at, now time.Time) {
-	b.mu.Lock()
-	changed := b.update(id, rate, at, now)
-	b.mu.Unlock()
+func (l *Book) setLimit(id ident.Server, rate float64, at, now time.Time) {
+	l.mu.Lock()
+	changed := l.update(id, rate, at, now)
+	l.mu.Unlock()
 	if changed {
-		b.changed(id, rate)
+		l.changed(id, rate)
 	}
 }
 
 // update records a limit unless a later one is known. It reports whether the server went
 // from unlimited to limited or back. The caller holds the lock.
-func (b *Book) update(id ident.Server, rate float64, at, now time.Time) bool {
-	b.expire(now)
-	e := b.servers[id]
+func (l *Book) update(id ident.Server, rate float64, at, now time.Time) bool {
+	l.expire(now)
+	e := l.servers[id]
 	if e == nil && (rate == 0 || now.Sub(at) > expiry) {
 		return false
 	}
 	if e == nil {
 		e = &entry{tokens: 1, refilledAt: now}
-		b.servers[id] = e
-		b.entryCount.Store(int64(len(b.servers)))
+		l.servers[id] = e
+		l.entryCount.Store(int64(len(l.servers)))
 	}
 	if !at.After(e.at) {
 		return false
@@ -129,18 +129,18 @@
 }
 
 // expire removes limits that were not confirmed in time, and ended limits after endedTime.
-func (b *Book) expire(now time.Time) {
-	for id, e := range b.servers {
+func (l *Book) expire(now time.Time) {
+	for id, e := range l.servers {
 		if age := now.Sub(e.at); age > expiry || e.rate == 0 && age > endedTime {
-			delete(b.servers, id)
+			delete(l.servers, id)
 		}
 	}
-	b.entryCount.Store(int64(len(b.servers)))
+	l.entryCount.Store(int64(len(l.servers)))
 }
 
 // limited returns the entry of a server whose limit is in force, or nil.
-func (b *Book) limited(id ident.Server, now time.Time) *entry {
-	e := b.servers[id]
+func (l *Book) limited(id ident.Server, now time.Time) *entry {
+	e := l.servers[id]
 	if e == nil || e.rate == 0 || now.Sub(e.at) > expiry {
 		return nil
 	}
@@ -148,37 +148,37 @@
 }
 
 // Sent counts a request that is sent to a server.
-func (b *Book) Sent(id ident.Server, now time.Time) {
-	if b.entryCount.Load() == 0 {
+func (l *Book) Sent(id ident.Server, now time.Time) {
+	if l.entryCount.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.servers[id]; e != nil {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.servers[id]; e != nil {
 		e.sent.add(now)
 	}
 }
 
 // IsLimited reports whether a server's limit is in force.
-func (b *Book) IsLimited(id ident.Server, now time.Time) bool {
-	if b.entryCount.Load() == 0 {
+func (l *Book) IsLimited(id ident.Server, now time.Time) bool {
+	if l.entryCount.Load() == 0 {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.limited(id, now) != nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.limited(id, now) != nil
 }
 
 // LimitedCount returns the number of servers whose limits are in force.
-func (b *Book) LimitedCount(now time.Time) int {
-	if b.entryCount.Load() == 0 {
+func (l *Book) LimitedCount(now time.Time) int {
+	if l.entryCount.Load() == 0 {
 		return 0
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	n := 0
-	for id := range b.servers {
-		if b.limited(id, now) != nil {
+	for id := range l.servers {
+		if l.limited(id, now) != nil {
 			n++
 		}
 	}
@@ -188,24 +188,24 @@
 // Skips reports, for each server in the list, whether a call to the service must not be
 // sent to it. A server whose limit is not used up stays available with a probability of its limit
 // divided by the fleet's demand. Skips may return nil if no server is limited.
-func (b *Book) Skips(s ident.Service, list []ident.Server, now time.Time) []bool {
-	if b.entryCount.Load() == 0 {
+func (l *Book) Skips(s ident.Service, list []ident.Server, now time.Time) []bool {
+	if l.entryCount.Load() == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own, all := b.demand.Rates(s, now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	own, all := l.demand.Rates(s, now)
 	out := make([]bool, len(list))
 	available := make([]float64, len(list)) // limits that are not used up
 	total, open := 0.0, false
 	for i, id := range list {
-		e := b.limited(id, now)
+		e := l.limited(id, now)
 		if e == nil {
 			open = true
 			continue
 		}
 		total += e.rate
-		if b.exhausted(id, e, own, all, now) {
+		if l.exhausted(id, e, own, all, now) {
 			out[i] = true
 			continue
 		}
@@ -223,10 +223,10 @@
 
 // exhausted reports whether, in the last Span, the fleet has used up the limit or this VM
 // has used up its share.
-func (b *Book) exhausted(id ident.Server, e *entry, own, all float64, now time.Time) bool {
+func (l *Book) exhausted(id ident.Server, e *entry, own, all float64, now time.Time) bool {
 	allowed := tolerance * e.rate * Span.Seconds()
 	sent := float64(e.sent.sum(now))
-	if others, ok := b.peers.sent(id, now); ok && sent+float64(others) >= allowed+extraRequests {
+	if others, ok := l.peers.sent(id, now); ok && sent+float64(others) >= allowed+extraRequests {
 		return true
 	}
 	return all > 0 && sent >= allowed*min(own/all, 1)+extraRequests
@@ -248,38 +248,38 @@
 	return -1
 }
 
-// CanGrant reports whether a server may be granted a request now. It is called by the VM
-// that places the service's requests.
-func (b *Book) CanGrant(id ident.Server, now time.Time) bool {
-	if b.entryCount.Load() == 0 {
+// CanGrant reports whether a server may be granted a request now. It is called by the
+// coordinator of the service.
+func (l *Book) CanGrant(id ident.Server, now time.Time) bool {
+	if l.entryCount.Load() == 0 {
 		return true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.limited(id, now)
-	return e == nil || b.refill(id, e, now) >= 1
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.limited(id, now)
+	return e == nil || l.refill(id, e, now) >= 1
 }
 
 // Grant takes one token from a limited server's bucket.
-func (b *Book) Grant(id ident.Server, now time.Time) {
-	if b.entryCount.Load() == 0 {
+func (l *Book) Grant(id ident.Server, now time.Time) {
+	if l.entryCount.Load() == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.limited(id, now); e != nil {
-		e.tokens = b.refill(id, e, now) - 1
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.limited(id, now); e != nil {
+		e.tokens = l.refill(id, e, now) - 1
 	}
 }
 
 // refill adds the tokens accrued since the last call and returns how many requests may be
 // granted now. A VM that has no counts from other VMs refills at an equal share of the
 // limit.
-func (b *Book) refill(id ident.Server, e *entry, now time.Time) float64 {
+func (l *Book) refill(id ident.Server, e *entry, now time.Time) float64 {
 	rate := e.rate
-	others, ok := b.peers.sent(id, now)
+	others, ok := l.peers.sent(id, now)
 	if !ok {
-		rate /= float64(max(b.demand.VMs(now), 1))
+		rate /= float64(max(l.demand.VMs(now), 1))
 	} else if float64(others+e.sent.sum(now)) >= tolerance*e.rate*Span.Seconds()+extraRequests {
 		return 0
 	}
@@ -290,67 +290,67 @@
 }
 
 // Report returns the limits that this VM reports to hubs, with its own request counts.
-func (b *Book) Report(now time.Time) []Limit {
-	return b.limits(now, func(ident.Server) int { return 0 })
+func (l *Book) Report(now time.Time) []Limit {
+	return l.limits(now, func(ident.Server) int { return 0 })
 }
 
-// Answer returns the limits that this VM, as a hub, sends to another VM, with the request
+// Response returns the limits that this VM, as a hub, sends to another VM, with the request
 // counts of all VMs but that one.
-func (b *Book) Answer(to ident.VM, now time.Time) []Limit {
-	return b.limits(now, func(id ident.Server) int { return b.peers.reported(id, to, now) })
+func (l *Book) Answer(to ident.VM, now time.Time) []Limit {
+	return l.limits(now, func(id ident.Server) int { return l.peers.reported(id, to, now) })
 }
 
 // limits returns the latest limits, with this VM's request counts plus those that others
 // returns.
-func (b *Book) limits(now time.Time, others func(ident.Server) int) []Limit {
-	if b.entryCount.Load() == 0 {
+func (l *Book) limits(now time.Time, others func(ident.Server) int) []Limit {
+	if l.entryCount.Load() == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.expire(now)
-	out := make([]Limit, 0, len(b.servers))
-	for id, e := range b.servers {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.expire(now)
+	out := make([]Limit, 0, len(l.servers))
+	for id, e := range l.servers {
 		out = append(out, Limit{Server: id, Rate: e.rate, At: e.at, Sent: e.sent.sum(now) + others(id)})
 	}
 	slices.SortFunc(out, func(a, c Limit) int { return cmp.Or(c.At.Compare(a.At), cmp.Compare(a.Server, c.Server)) })
 	return out[:min(len(out), maxReported)]
 }
 
-// Reported records the limits and request counts that another VM reports to this hub.
-func (b *Book) Reported(vm ident.VM, list []Limit, now time.Time) {
-	if len(list) == 0 && b.entryCount.Load() == 0 {
+// HandleReport records the limits and request counts that another VM reports to this hub.
+func (l *Book) Reported(vm ident.VM, list []Limit, now time.Time) {
+	if len(list) == 0 && l.entryCount.Load() == 0 {
 		return
 	}
-	b.merge(list, now, func() { b.peers.report(vm, sentByServer(list), now) })
+	l.merge(list, now, func() { l.peers.addReport(vm, sentByServer(list), now) })
 }
 
-// HubAnswered records a hub's limits and its request counts of all other VMs. heard is the
-// number of VMs that report to the hub.
-func (b *Book) HubAnswered(hub ident.VM, heard int, list []Limit, now time.Time) {
-	if len(list) == 0 && b.entryCount.Load() == 0 {
+// HandleResponse records a hub's limits and its request counts of all other VMs. reporting
+// is the number of VMs that report to the hub.
+func (l *Book) HubAnswered(hub ident.VM, reporting int, list []Limit, now time.Time) {
+	if len(list) == 0 && l.entryCount.Load() == 0 {
 		return
 	}
-	b.merge(list, now, func() { b.peers.answer(hub, heard, sentByServer(list), now) })
+	l.merge(list, now, func() { l.peers.addResponse(hub, reporting, sentByServer(list), now) })
 }
 
 // merge calls record under the lock, then adopts the valid limits from another VM that were
 // stated later than the known ones.
-func (b *Book) merge(list []Limit, now time.Time, record func()) {
+func (l *Book) merge(list []Limit, now time.Time, record func()) {
 	changed := make(map[ident.Server]float64)
-	b.mu.Lock()
+	l.mu.Lock()
 	record()
-	for _, l := range list {
-		if l.Server == "" || !(l.Rate >= 0) || math.IsInf(l.Rate, 0) || l.At.After(now) {
+	for _, limit := range list {
+		if limit.Server == "" || !(limit.Rate >= 0) || math.IsInf(limit.Rate, 0) || limit.At.After(now) {
 			continue
 		}
-		if b.update(l.Server, l.Rate, l.At, now) {
-			changed[l.Server] = l.Rate
+		if l.update(limit.Server, limit.Rate, limit.At, now) {
+			changed[limit.Server] = limit.Rate
 		}
 	}
-	b.mu.Unlock()
+	l.mu.Unlock()
 	for id, rate := range maps.All(changed) {
-		b.changed(id, rate)
+		l.changed(id, rate)
 	}
 }
 
--- a/internal/policy/rates/book_test.go
+++ b/internal/policy/rates/limiter_test.go
@@ -13,7 +13,7 @@
 
 const (
 	service = ident.Service("s")
-	// exchangeInterval is how often VMs report to their hub and receive its answer.
+	// exchangeInterval is how often VMs report to their hub and receive its response.
 	exchangeInterval = 500 * time.Millisecond
 	// step is the simulation time step.
 	step = 5 * time.Millisecond
@@ -103,7 +103,7 @@
 	f.denied++
 }
 
-// exchange has all VMs report to the hub and receive its answers.
+// exchange has all VMs report to the hub and receive its responses.
 func (f *fleet) exchange(now time.Time) {
 	hub := f.vms[0]
 	for _, v := range f.vms[1:] {
@@ -234,21 +234,21 @@
 func TestStatements(t *testing.T) {
 	const id = ident.Server("a")
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	book := func() (*Book, *[]float64) {
+	newLimiter := func() (*Book, *[]float64) {
 		changes := &[]float64{}
 		return New(&vm{fleet: &fleet{vms: make([]*vm, 3)}, isolated: true, rate: 1}, func(_ ident.Server, r float64) { *changes = append(*changes, r) }), changes
 	}
-	t.Run("a limit ends with an answer to a request that was sent after it", func(t *testing.T) {
-		b, changes := book()
+	t.Run("a limit ends with a response to a request that was sent after it", func(t *testing.T) {
+		b, changes := newLimiter()
 		b.Observe(id, 2, at(0), at(1))
 		b.Observe(id, 0, at(0.5), at(1.5))
-		assert.Equal(t, b.LimitedCount(at(2)), 1, "the answer may predate the limit")
+		assert.Equal(t, b.LimitedCount(at(2)), 1, "the response may predate the limit")
 		b.Observe(id, 0, at(1.5), at(2))
 		assert.Equal(t, b.LimitedCount(at(2)), 0)
 		assert.DeepEqual(t, *changes, []float64{2, 0})
 	})
 	t.Run("an outdated report does not restore a limit", func(t *testing.T) {
-		b, _ := book()
+		b, _ := newLimiter()
 		b.Observe(id, 2, at(0), at(1))
 		b.Observe(id, 0, at(3), at(3))
 		b.Reported("other", []Limit{{Server: id, Rate: 2, At: at(2)}}, at(4))
@@ -257,19 +257,19 @@
 		assert.Equal(t, b.LimitedCount(at(4)), 1)
 	})
 	t.Run("an unconfirmed limit expires", func(t *testing.T) {
-		b, _ := book()
+		b, _ := newLimiter()
 		b.Observe(id, 2, at(0), at(0))
 		assert.Equal(t, b.LimitedCount(at(0).Add(expiry)), 1)
 		assert.Equal(t, b.LimitedCount(at(0).Add(expiry+1)), 0)
 	})
 	t.Run("invalid limits are ignored", func(t *testing.T) {
-		b, changes := book()
+		b, changes := newLimiter()
 		b.Reported("other", []Limit{{Rate: 1, At: at(0)}, {Server: id, Rate: -1, At: at(0)}, {Server: id, Rate: 1, At: at(9)}}, at(1))
 		assert.Equal(t, len(*changes), 0)
 		assert.Equal(t, b.LimitedCount(at(1)), 0)
 	})
-	t.Run("the placing VM grants no more than the limit", func(t *testing.T) {
-		b, _ := book()
+	t.Run("the coordinator grants no more than the limit", func(t *testing.T) {
+		b, _ := newLimiter()
 		b.Reported("other", nil, at(0))
 		b.Observe(id, 4, at(0), at(0))
 		b.Reported("other", []Limit{{Server: id, Rate: 4, At: at(0)}}, at(0))
--- a/internal/policy/rates/peers.go
+++ b/internal/policy/rates/peers.go
@@ -6,30 +6,30 @@
 	"umberladder/internal/core/ident"
 )
 
-// answerTime is how long a hub's answer is valid. It tolerates the loss of two answers.
-const answerTime = 1300 * time.Millisecond
+// responseTime is how long a hub's response is valid. It tolerates the loss of two responses.
+const responseTime = 1300 * time.Millisecond
 
 // sentCounts holds the requests sent to each server in the last Span, by one VM or, in a
-// hub's answer, by all VMs but the receiver.
+// hub's response, by all VMs but the receiver.
 type sentCounts struct {
-	at    time.Time
-	heard int // in a hub's answer, the VMs that report to the hub
-	sent  map[ident.Server]int
+	at        time.Time
+	reporting int // in a hub's response, the number of VMs that report to the hub
+	sent      map[ident.Server]int
 }
 
 // peers holds the request counts of other VMs, both reported to this VM directly and
 // summed by hubs.
 type peers struct {
-	reports map[ident.VM]sentCounts
-	answers map[ident.VM]sentCounts // by hub
+	reports   map[ident.VM]sentCounts
+	responses map[ident.VM]sentCounts // by hub
 }
 
 func newPeers() peers {
-	return peers{reports: make(map[ident.VM]sentCounts), answers: make(map[ident.VM]sentCounts)}
+	return peers{reports: make(map[ident.VM]sentCounts), responses: make(map[ident.VM]sentCounts)}
 }
 
-// report stores a VM's report and drops outdated ones.
-func (p *peers) report(vm ident.VM, sent map[ident.Server]int, now time.Time) {
+// addReport stores a VM's report and drops outdated ones.
+func (p *peers) addReport(vm ident.VM, sent map[ident.Server]int, now time.Time) {
 	p.reports[vm] = sentCounts{at: now, sent: sent}
 	for other, c := range p.reports {
 		if now.Sub(c.at) > Span {
@@ -38,9 +38,9 @@
 	}
 }
 
-// answer stores a hub's answer.
-func (p *peers) answer(hub ident.VM, heard int, sent map[ident.Server]int, now time.Time) {
-	p.answers[hub] = sentCounts{at: now, heard: heard, sent: sent}
+// addResponse stores a hub's response.
+func (p *peers) addResponse(hub ident.VM, reporting int, sent map[ident.Server]int, now time.Time) {
+	p.responses[hub] = sentCounts{at: now, reporting: reporting, sent: sent}
 }
 
 // reported returns how many requests the VMs that report to this one, except the given VM,
@@ -56,18 +56,18 @@
 }
 
 // sent returns how many requests the other VMs have sent to a server, from the source that
-// covers the most VMs: the direct reports or a hub's answer. It returns false if no source
+// covers the most VMs: the direct reports or a hub's response. It returns false if no source
 // covers any VM.
 func (p *peers) sent(id ident.Server, now time.Time) (int, bool) {
-	heard, n := len(p.reports), p.reported(id, "", now)
-	for hub, c := range p.answers {
-		if now.Sub(c.at) > answerTime {
-			delete(p.answers, hub)
+	reporting, n := len(p.reports), p.reported(id, "", now)
+	for hub, c := range p.responses {
+		if now.Sub(c.at) > responseTime {
+			delete(p.responses, hub)
 			continue
 		}
-		if c.heard > heard {
-			heard, n = c.heard, c.sent[id]
+		if c.reporting > reporting {
+			reporting, n = c.reporting, c.sent[id]
 		}
 	}
-	return n, heard > 0
+	return n, reporting > 0
 }
--- a/internal/policy/retry/rate.go
+++ b/internal/policy/retry/rate.go
@@ -9,27 +9,27 @@
 // Rates returns the request rates, per second and retries included, of this VM and of all
 // VMs to a service, averaged over the window before now. VMs whose counts are missing are
 // assumed to send as many requests as the average of the others.
-func (w *Window) Rates(s ident.Service, now time.Time) (own, all float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	sent := w.advance(s, now).sum()
-	t := w.others(now)
+func (b *Window) Rates(s ident.Service, now time.Time) (own, all float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	sent := b.advance(s, now).sum()
+	t := b.others(now)
 	others := t.Sent[s]
-	seconds := w.span.Seconds()
+	seconds := b.span.Seconds()
 	own = float64(sent.First+sent.Again) / seconds
 	all = own + float64(others.First+others.Again)/seconds
-	return own, all * float64(w.vmCount(t)) / float64(t.Heard+1)
+	return own, all * float64(b.vmCount(t)) / float64(t.Heard+1)
 }
 
 // VMs returns the number of VMs, this one included.
-func (w *Window) VMs(now time.Time) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.vmCount(w.others(now))
+func (b *Window) VMs(now time.Time) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.vmCount(b.others(now))
 }
 
 // vmCount returns the number of VMs, this one included, or minVMs if no other is known.
-func (w *Window) vmCount(t Total) int {
+func (b *Window) vmCount(t Total) int {
 	if t.Known == 0 {
 		return minVMs
 	}
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -96,100 +96,100 @@
 }
 
 // SetLimits changes the ratio and the extra.
-func (w *Window) Set(ratio, extra float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ratio, w.extra = ratio, extra
+func (b *Window) Set(ratio, extra float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.ratio, b.extra = ratio, extra
 }
 
 // HandleReport records the attempts of another VM in the window before now.
-func (w *Window) Hear(vm ident.VM, attempts map[ident.Service]Sent, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.subtract(w.reports[vm])
-	w.reports[vm] = report{at: now, attempts: attempts}
+func (b *Window) Hear(vm ident.VM, attempts map[ident.Service]Sent, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.subtract(b.reports[vm])
+	b.reports[vm] = report{at: now, attempts: attempts}
 	for s, n := range attempts {
-		w.reportSum[s] = w.reportSum[s].add(n)
+		b.reportSum[s] = b.reportSum[s].add(n)
 	}
 }
 
 // subtract removes a report from the sum.
-func (w *Window) subtract(r report) {
+func (b *Window) subtract(r report) {
 	for s, n := range r.attempts {
-		remaining := w.reportSum[s].sub(n)
+		remaining := b.reportSum[s].sub(n)
 		if remaining == (Sent{}) {
-			delete(w.reportSum, s)
+			delete(b.reportSum, s)
 			continue
 		}
-		w.reportSum[s] = remaining
+		b.reportSum[s] = remaining
 	}
 }
 
 // purge removes the reports of VMs that have not reported for a whole window.
-func (w *Window) purge(now time.Time) {
-	if now.Sub(w.purgedAt) < w.span/slots {
+func (b *Window) purge(now time.Time) {
+	if now.Sub(b.purgedAt) < b.span/slots {
 		return
 	}
-	w.purgedAt = now
-	for vm, t := range w.reports {
-		if now.Sub(t.at) > w.span {
-			w.subtract(t)
-			delete(w.reports, vm)
+	b.purgedAt = now
+	for vm, t := range b.reports {
+		if now.Sub(t.at) > b.span {
+			b.subtract(t)
+			delete(b.reports, vm)
 		}
 	}
 }
 
 // Report returns this VM's attempts in the window before now.
-func (w *Window) Sent(now time.Time) map[ident.Service]Sent {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := make(map[ident.Service]Sent, len(w.counts))
-	for s := range w.counts {
-		out[s] = w.advance(s, now).sum()
+func (b *Window) Sent(now time.Time) map[ident.Service]Sent {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	out := make(map[ident.Service]Sent, len(b.counts))
+	for s := range b.counts {
+		out[s] = b.advance(s, now).sum()
 	}
 	return out
 }
 
 // HandleResponse records a hub's response.
-func (w *Window) Learn(hub ident.VM, t Total) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.responses[hub] = t
-	w.maxKnown = t.Known
-	for _, o := range w.responses {
+func (b *Window) Learn(hub ident.VM, t Total) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.responses[hub] = t
+	b.maxKnown = t.Known
+	for _, o := range b.responses {
 		if t.At.Sub(o.At) < responseTime {
-			w.maxKnown = max(w.maxKnown, o.Known)
+			b.maxKnown = max(b.maxKnown, o.Known)
 		}
 	}
 }
 
 // Response returns this VM's response, as a hub, to a VM that reports to it: the attempts
 // of all other VMs, this one included.
-func (w *Window) Rest(vm ident.VM, now time.Time) Total {
-	known, reporting := w.peers.Count(now)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.purge(now)
-	t := Total{At: now, Known: known, Heard: reporting, Sent: maps.Clone(w.reportSum)}
-	for s, n := range w.reports[vm].attempts {
+func (b *Window) Rest(vm ident.VM, now time.Time) Total {
+	known, reporting := b.peers.Count(now)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.purge(now)
+	t := Total{At: now, Known: known, Heard: reporting, Sent: maps.Clone(b.reportSum)}
+	for s, n := range b.reports[vm].attempts {
 		t.Sent[s] = t.Sent[s].sub(n)
 	}
-	for s := range w.counts {
-		t.Sent[s] = t.Sent[s].add(w.advance(s, now).sum())
+	for s := range b.counts {
+		t.Sent[s] = t.Sent[s].add(b.advance(s, now).sum())
 	}
 	return t
 }
 
 // others returns the attempts of the other VMs from the source that includes the most VMs:
 // a hub's response or the reports to this VM.
-func (w *Window) others(now time.Time) Total {
-	known, reporting := w.peers.Count(now)
-	known = max(known, w.maxKnown)
+func (b *Window) others(now time.Time) Total {
+	known, reporting := b.peers.Count(now)
+	known = max(known, b.maxKnown)
 	best := Total{Heard: reporting}
 	ownReports := true
-	for hub, t := range w.responses {
+	for hub, t := range b.responses {
 		if now.Sub(t.At) > responseTime {
-			delete(w.responses, hub)
+			delete(b.responses, hub)
 			continue
 		}
 		if t.Heard > best.Heard {
@@ -198,8 +198,8 @@
 	}
 	best.Known = known
 	if ownReports {
-		w.purge(now)
-		best.Sent = w.reportSum
+		b.purge(now)
+		best.Sent = b.reportSum
 	}
 	return best
 }
@@ -218,27 +218,27 @@
 }
 
 // RecordFirstAttempt records the first attempt of a call, which adds to the budget.
-func (w *Window) Earn(s ident.Service, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := w.advance(s, now)
+func (b *Window) Earn(s ident.Service, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	p := b.advance(s, now)
 	p.first[p.newest%(slots+1)]++
 }
 
 // AllowRetry takes one retry from the budget. It returns false if the budget is used up.
-func (w *Window) Spend(s ident.Service, now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p := w.advance(s, now)
+func (b *Window) Spend(s ident.Service, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	p := b.advance(s, now)
 	own := p.sum()
-	t := w.others(now)
+	t := b.others(now)
 	others := t.Sent[s]
-	extra := w.extra
+	extra := b.extra
 	if t.Heard < t.Known || t.Known == 0 {
 		// The VMs that do not report may use their shares.
 		extra *= float64(t.Heard+1) / float64(max(t.Known+1, minVMs))
 	}
-	remaining := safetyFactor*(w.ratio*float64(own.First+others.First)+extra) - float64(others.Again)
+	remaining := safetyFactor*(b.ratio*float64(own.First+others.First)+extra) - float64(others.Again)
 	if float64(own.Again+1) > remaining {
 		return false
 	}
@@ -247,12 +247,12 @@
 }
 
 // advance clears the slots that have left the window and returns the service's counts.
-func (w *Window) advance(s ident.Service, now time.Time) *slidingCounts {
-	current := now.UnixNano() / (int64(w.span) / slots)
-	p := w.counts[s]
+func (b *Window) advance(s ident.Service, now time.Time) *slidingCounts {
+	current := now.UnixNano() / (int64(b.span) / slots)
+	p := b.counts[s]
 	if p == nil {
 		p = &slidingCounts{newest: current}
-		w.counts[s] = p
+		b.counts[s] = p
 	}
 	for steps := 0; p.newest < current && steps <= slots; steps++ {
 		p.newest++
