--- a/internal/policy/length/bucket.go
+++ b/internal/policy/length/bucket.go
@@ -4,17 +4,17 @@
 
 const (
 	// Buckets is the number of length buckets.
-	Buckets   = 72
-	perOctave = 4
+	Buckets          = 72
+	bucketsPerOctave = 4
 )
 
-// bounds[k] is the first length, in tokens, of bucket k.
-var bounds = makeBounds()
+// bucketStarts[k] is the smallest length, in tokens, in bucket k.
+var bucketStarts = makeBucketStarts()
 
-func makeBounds() [Buckets + 1]int {
+func makeBucketStarts() [Buckets + 1]int {
 	var b [Buckets + 1]int
 	for k := range b {
-		b[k] = int(math.Ceil(math.Exp2(float64(k) / perOctave)))
+		b[k] = int(math.Ceil(math.Exp2(float64(k) / bucketsPerOctave)))
 		if k > 0 && b[k] <= b[k-1] {
 			b[k] = b[k-1] + 1
 		}
@@ -22,7 +22,7 @@
 	return b
 }
 
-// Bucket returns the bucket of a length of n tokens.
+// Bucket returns the bucket that contains a length of n tokens.
 func Bucket(n int) int {
 	if n < 1 {
 		return 0
@@ -30,7 +30,7 @@
 	lo, hi := 0, Buckets-1
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
-		if bounds[mid] <= n {
+		if bucketStarts[mid] <= n {
 			lo = mid
 		} else {
 			hi = mid - 1
@@ -39,5 +39,5 @@
 	return lo
 }
 
-// Bound returns the first length of bucket k.
-func Bound(k int) int { return bounds[k] }
+// BucketStart returns the smallest length, in tokens, in bucket k.
+func Bound(k int) int { return bucketStarts[k] }
--- a/internal/policy/length/curve.go
+++ b/internal/policy/length/curve.go
@@ -2,35 +2,37 @@
 
 import "math"
 
-// Horizons is the number of moments ahead at which memory is predicted.
+// Horizons is the number of future times for which memory is predicted.
 const Horizons = 6
 
-// ahead lists the horizons in decode steps, a token a step for each stream.
-var ahead = [Horizons]int{8, 16, 32, 64, 128, 256}
+// horizonSteps lists the horizons in decode steps. Each stream generates one token per step.
+var horizonSteps = [Horizons]int{8, 16, 32, 64, 128, 256}
 
-// Curve is a survival curve: S(n), the chance that a stream produces more
-// than n tokens. It is immutable and falls from 1.
+// Curve is a survival curve: S(n) is the probability that a stream generates more than n
+// tokens. It decreases from 1. A Curve is immutable.
 type Curve struct {
-	survive [Buckets + 1]float64
-	alive   [Buckets][Horizons]float64
-	running Share   // of one stream met at a random moment of its run
-	held    float64 // its memory at that moment, without its prompt, in tokens
+	survival [Buckets + 1]float64 // S at the start of each bucket
+	// survivalAtHorizon is the probability that a stream at the start of a bucket still
+	// runs at each horizon.
+	survivalAtHorizon [Buckets][Horizons]float64
+	meanForecast      Share   // forecast of a stream at a random time during its run
+	meanMemory        float64 // mean memory of such a stream, in tokens, without its prompt
 }
 
-// Survival returns S(n), linear inside a bucket.
+// Survival returns S(n), interpolated linearly within a bucket.
 func (c *Curve) Survival(n int) float64 {
-	if n < bounds[0] {
+	if n < bucketStarts[0] {
 		return 1
 	}
 	k := Bucket(n)
-	width := float64(bounds[k+1] - bounds[k])
-	in := math.Min(float64(n-bounds[k])/width, 1)
-	return c.survive[k] + in*(c.survive[k+1]-c.survive[k])
+	width := float64(bucketStarts[k+1] - bucketStarts[k])
+	fraction := math.Min(float64(n-bucketStarts[k])/width, 1)
+	return c.survival[k] + fraction*(c.survival[k+1]-c.survival[k])
 }
 
-// Exceeds returns the chance that a stream which has produced age tokens
-// produces more than n in all.
-func (c *Curve) Exceeds(age, n int) float64 {
+// ExceedProbability returns the probability that a stream that has generated age tokens
+// generates more than n in total.
+func (c *Curve) ExceedProbability(age, n int) float64 {
 	if n <= age {
 		return 1
 	}
@@ -41,87 +43,87 @@
 	return c.Survival(n) / s
 }
 
-// Quantile returns the least length that a stream of the given age passes
-// with a chance of at most p.
+// Quantile returns the first bucket start above the given age that a stream of that age
+// exceeds with a probability of at most p.
 func (c *Curve) Quantile(age int, p float64) int {
 	for k := Bucket(age) + 1; k < Buckets; k++ {
-		if c.Exceeds(age, bounds[k]) <= p {
-			return bounds[k]
+		if c.ExceedProbability(age, bucketStarts[k]) <= p {
+			return bucketStarts[k]
 		}
 	}
-	return bounds[Buckets]
+	return bucketStarts[Buckets]
 }
 
 // Mean returns the expected length of a new stream, in tokens.
 func (c *Curve) Mean() float64 {
-	m := float64(bounds[0])
+	m := float64(bucketStarts[0])
 	for k := range Buckets {
-		width := float64(bounds[k+1] - bounds[k])
-		m += width * (c.survive[k] + c.survive[k+1]) / 2
+		width := float64(bucketStarts[k+1] - bucketStarts[k])
+		m += width * (c.survival[k] + c.survival[k+1]) / 2
 	}
 	return m
 }
 
-func (c *Curve) tabulate() {
+// tabulateHorizons computes survivalAtHorizon.
+func (c *Curve) tabulateHorizons() {
 	for k := range Buckets {
 		for j := range Horizons {
-			c.alive[k][j] = c.Exceeds(bounds[k], bounds[k]+ahead[j])
+			c.survivalAtHorizon[k][j] = c.ExceedProbability(bucketStarts[k], bucketStarts[k]+horizonSteps[j])
 		}
 	}
 }
 
-// tabulateRunning averages over the ages at which a running stream is met: an
-// age in proportion to the chance of reaching it.
-func (c *Curve) tabulateRunning() {
+// tabulateMeanForecast computes meanForecast and meanMemory. It averages over the ages of
+// running streams, weighted by the probability that a stream reaches the age.
+func (c *Curve) tabulateMeanForecast() {
 	sum := 0.0
 	for k := range Buckets {
-		middle := (bounds[k] + bounds[k+1]) / 2
-		w := float64(bounds[k+1]-bounds[k]) * (c.survive[k] + c.survive[k+1]) / 2
+		middle := (bucketStarts[k] + bucketStarts[k+1]) / 2
+		w := float64(bucketStarts[k+1]-bucketStarts[k]) * (c.survival[k] + c.survival[k+1]) / 2
 		s := c.Share(middle, 0)
-		c.running.Add(&s, w)
-		c.held += w * float64(middle)
+		c.meanForecast.Add(&s, w)
+		c.meanMemory += w * float64(middle)
 		sum += w
 	}
-	c.held /= sum
+	c.meanMemory /= sum
 	for j := range Horizons {
-		c.running.Mean[j] /= sum
-		c.running.Var[j] /= sum
+		c.meanForecast.Mean[j] /= sum
+		c.meanForecast.Var[j] /= sum
 	}
 }
 
-// Running predicts n streams met at random moments of their runs that hold
-// the given memory together, in tokens.
+// ForecastRunning returns the forecast of n streams at random times during their runs,
+// which together use the given memory, in tokens.
 func (c *Curve) Running(n int, memory float64) Share {
 	var s Share
 	if n <= 0 || memory <= 0 {
 		return s
 	}
-	scale := memory / (float64(n) * c.held)
+	scale := memory / (float64(n) * c.meanMemory)
 	for j := range Horizons {
-		s.Mean[j] = float64(n) * scale * c.running.Mean[j]
-		s.Var[j] = float64(n) * scale * scale * c.running.Var[j]
+		s.Mean[j] = float64(n) * scale * c.meanForecast.Mean[j]
+		s.Var[j] = float64(n) * scale * scale * c.meanForecast.Var[j]
 	}
 	return s
 }
 
-// Share is what streams are predicted to hold of an engine's memory at each
-// horizon, as the mean and the variance of a sum of independent streams, in
-// tokens and tokens squared.
+// Forecast is the predicted memory use of streams on an engine at each horizon: the mean
+// and the variance of a sum of independent streams, in tokens and tokens squared.
 type Share struct {
 	Mean [Horizons]float64
 	Var  [Horizons]float64
 }
 
-// Share predicts one stream: at horizon t it holds prompt+age+t tokens if it
-// still runs and none if not.
+// Forecast returns the forecast of one stream. At horizon t, the stream uses prompt+age+t
+// tokens if it still runs and none otherwise.
 func (c *Curve) Share(age, prompt int) Share {
 	var s Share
-	alive := &c.alive[Bucket(age)]
+	survival := &c.survivalAtHorizon[Bucket(age)]
 	for j := range Horizons {
-		held := float64(prompt + age + ahead[j])
-		p := alive[j]
-		s.Mean[j] = held * p
-		s.Var[j] = held * held * p * (1 - p)
+		held := float64(prompt + age + horizonSteps[j])
+		pRunning := survival[j]
+		s.Mean[j] = held * pRunning
+		s.Var[j] = held * held * pRunning * (1 - pRunning)
 	}
 	return s
 }
@@ -134,39 +136,38 @@
 	}
 }
 
-// Overflow returns the greatest chance, over the horizons, that the memory
-// held passes size, by the normal approximation of the sum.
-func (s *Share) Overflow(size float64) float64 {
+// OverflowProbability returns the highest probability, over the horizons, that the memory
+// use exceeds size, by the normal approximation of the sum.
+func (s *Share) OverflowProbability(size float64) float64 {
 	worst := 0.0
 	for j := range Horizons {
-		worst = math.Max(worst, tail(size-s.Mean[j], s.Var[j]))
+		worst = math.Max(worst, normalTail(size-s.Mean[j], s.Var[j]))
 	}
 	return worst
 }
 
-// tail returns P(X > room) for a normal X of mean 0 and variance v.
-func tail(room, v float64) float64 {
-	if v <= 0 {
-		if room < 0 {
+// normalTail returns P(X > free) for a normal X with mean 0 and the given variance.
+func normalTail(free, variance float64) float64 {
+	if variance <= 0 {
+		if free < 0 {
 			return 1
 		}
 		return 0
 	}
-	return 0.5 * math.Erfc(room/math.Sqrt(2*v))
+	return 0.5 * math.Erfc(free/math.Sqrt(2*variance))
 }
 
-// Within reports whether the chance of passing size stays under the bound at
-// each horizon, given the bound's quantile z (see Quantile of the normal
-// distribution, Z).
+// Within reports whether the probability of exceeding size is below a bound at each
+// horizon. z is the bound's quantile, as returned by NormalQuantile.
 func (s *Share) Within(size, z float64) bool {
 	for j := range Horizons {
-		room := size - s.Mean[j]
-		if room < 0 || room*room < z*z*s.Var[j] {
+		free := size - s.Mean[j]
+		if free < 0 || free*free < z*z*s.Var[j] {
 			return false
 		}
 	}
 	return true
 }
 
-// Z returns the z with P(X > z) = p for a standard normal X, 0 < p < 0.5.
+// NormalQuantile returns the z with P(X > z) = p for a standard normal X, 0 < p < 0.5.
 func Z(p float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*p) }
--- a/internal/policy/length/doc.go
+++ b/internal/policy/length/doc.go
@@ -1,13 +1,13 @@
-// Package length estimates how long a generation still runs, given what it
-// has produced.
+// Package length estimates the remaining length of a generation, given the number of
+// tokens that it has generated.
 //
-// Lengths fall into buckets that grow by a quarter octave. For each bucket an
-// Estimator counts the streams that reached it (at risk) and those that ended
-// in it; the ratio is the hazard, and the product of survivals is the
-// Kaplan-Meier estimate of the distribution of lengths (Kaplan and Meier,
-// Nonparametric Estimation from Incomplete Observations, 1958). Streams still
-// running or cut short count as far as they came, so that long ones are not
-// missed while they last. Old counts are halved as new ones come.
+// Lengths are divided into buckets whose starts grow by a quarter octave. For each
+// bucket, an Estimator counts the streams that reached it (at risk) and those that ended
+// in it. Their ratio is the hazard, and the product of the survival probabilities is
+// the Kaplan-Meier estimate of the length distribution (Kaplan and Meier,
+// Nonparametric Estimation from Incomplete Observations, 1958). Streams that still run
+// or were cut short count in the buckets that they passed, so that long streams are
+// included before they end. Old counts are halved as new ones are added.
 //
-// A Curve is an immutable picture of an estimator, read without locks.
+// A Curve is an immutable snapshot of an estimator, which is read without locks.
 package length
--- a/internal/policy/length/estimator.go
+++ b/internal/policy/length/estimator.go
@@ -6,45 +6,45 @@
 )
 
 const (
-	// The prior: the hazard of a bucket before anything was seen, and how
-	// many observations it weighs.
+	// priorHazard is the hazard of a bucket without observations, and priorWeight its
+	// weight, in observations.
 	priorHazard = 0.12
 	priorWeight = 1.0
-	// maxRisk is the count at which a bucket's counts are halved.
-	maxRisk = 4000.0
-	// rebuildEvery is how many observations pass between two curves.
-	rebuildEvery = 32
+	// maxAtRisk is the count above which a bucket's counts are halved.
+	maxAtRisk = 4000.0
+	// rebuildInterval is the number of observations between two rebuilds of the curve.
+	rebuildInterval = 32
 )
 
-// Estimator learns the lengths of one service and class. It is safe for use
-// by several goroutines.
+// Estimator estimates the length distribution of one service and class. It is safe for
+// concurrent use.
 type Estimator struct {
-	mu    sync.Mutex
-	risk  [Buckets]float64
-	ended [Buckets]float64
-	seen  int
-	curve atomic.Pointer[Curve]
+	mu           sync.Mutex
+	atRisk       [Buckets]float64
+	ended        [Buckets]float64
+	observations int
+	curve        atomic.Pointer[Curve]
 }
 
-// New returns an estimator that knows only the prior.
+// New returns an estimator without observations, whose curve is the prior.
 func New() *Estimator {
 	e := &Estimator{}
 	e.curve.Store(e.build())
 	return e
 }
 
-// Curve returns the present estimate.
+// Curve returns the current estimate.
 func (e *Estimator) Curve() *Curve { return e.curve.Load() }
 
-// Passed notes that a stream went through bucket k and goes on.
+// Passed records that a stream has passed bucket k and still runs.
 func (e *Estimator) Passed(k int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.observe(k, false)
 }
 
-// Ended notes that a stream ended in bucket k. A stream that was cut short
-// did not end by itself and is not noted: its buckets passed already are.
+// Ended records that a stream ended in bucket k. It is not called for a stream that was cut
+// short, because that stream might have run longer.
 func (e *Estimator) Ended(k int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,28 +52,28 @@
 }
 
 func (e *Estimator) observe(k int, ended bool) {
-	e.risk[k]++
+	e.atRisk[k]++
 	if ended {
 		e.ended[k]++
 	}
-	if e.risk[k] > maxRisk {
-		e.risk[k] /= 2
+	if e.atRisk[k] > maxAtRisk {
+		e.atRisk[k] /= 2
 		e.ended[k] /= 2
 	}
-	e.seen++
-	if e.seen%rebuildEvery == 0 {
+	e.observations++
+	if e.observations%rebuildInterval == 0 {
 		e.curve.Store(e.build())
 	}
 }
 
 func (e *Estimator) build() *Curve {
 	c := &Curve{}
-	c.survive[0] = 1
+	c.survival[0] = 1
 	for k := range Buckets {
-		h := (e.ended[k] + priorHazard*priorWeight) / (e.risk[k] + priorWeight)
-		c.survive[k+1] = c.survive[k] * (1 - h)
+		h := (e.ended[k] + priorHazard*priorWeight) / (e.atRisk[k] + priorWeight)
+		c.survival[k+1] = c.survival[k] * (1 - h)
 	}
-	c.tabulate()
-	c.tabulateRunning()
+	c.tabulateHorizons()
+	c.tabulateMeanForecast()
 	return c
 }
