--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -29,7 +29,7 @@
 	return a
 }
 
-func TestPredictedLoad(t *testing.T) {
+func TestPredicted(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	p := Predicted{}
 	t.Run("prefers the engine with the prefix", func(t *testing.T) {
--- a/internal/policy/poison/book.go
+++ b/internal/policy/poison/book.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// announceTime is how long a change is announced to other VMs: several of their
-	// messages may be lost.
-	announceTime = 3 * time.Second
-	// expireEvery is the least time between two looks for what is too old.
-	expireEvery = time.Second
-	// skew bounds how much later a moment seems to be for each VM that passes it on.
-	skew = time.Second
-	// suspectCrashes is from how many crashes on all VMs have to know a request, so
-	// that whichever completes it clears it.
-	suspectCrashes = 2
-	// maxRequests bounds the requests that evidence is kept against, and maxAnnounced
-	// those in one message.
+	// announcePeriod is how long a change is announced to other VMs. It spans several
+	// messages, because some may be lost.
+	announcePeriod = 3 * time.Second
+	// expireInterval is the minimum time between two removals of expired evidence.
+	expireInterval = time.Second
+	// timestampTolerance bounds by how much a timestamp becomes later with each VM that
+	// relays it.
+	timestampTolerance = time.Second
+	// minSharedCrashes is the number of crashes from which on all VMs must know the
+	// evidence against a request, so that any VM that completes the request clears it.
+	minSharedCrashes = 2
+	// maxRequests bounds the number of requests with stored evidence, and maxAnnounced the
+	// number of requests in one message.
 	maxRequests  = 1024
 	maxAnnounced = 100
-	// completedSlots is the number of requests that are remembered as completed, and
-	// completedTime for how long one counts as sound after it completed.
-	completedSlots = 1024
-	completedTime  = 10 * time.Second
+	// completedSlots is the number of slots for recently completed requests. For
+	// completedPeriod after a request has completed, crashes are not evidence against it.
+	completedSlots  = 1024
+	completedPeriod = 10 * time.Second
 )
 
-// Finding is what is known of one request.
+// Finding holds the evidence against one request and its quarantine.
 type Finding struct {
 	Request     call.Fingerprint
-	Crashes     map[ident.Server]time.Time // when servers crashed that had begun to run it
-	Cleared     time.Time                  // when it last completed; zero: it is not known to
-	Quarantined time.Time                  // when it was quarantined; zero: it was not
+	Crashes     map[ident.Server]time.Time // by server: when it crashed shortly after starting to run the request
+	Cleared     time.Time                  // when the request last completed; zero: not known to have completed
+	Quarantined time.Time                  // when the request was quarantined; zero: it was not
 }
 
-// held reports whether the request is quarantined by what is known of it.
-func (f *Finding) held() bool { return f.Quarantined.After(f.Cleared) }
+// quarantined reports whether the request was quarantined after it last completed.
+func (f *Finding) quarantined() bool { return f.Quarantined.After(f.Cleared) }
 
-// forget drops what is not newer than a moment.
-func (f *Finding) forget(oldest time.Time) {
+// expire drops everything that is not later than oldest.
+func (f *Finding) expire(oldest time.Time) {
 	maps.DeleteFunc(f.Crashes, func(_ ident.Server, at time.Time) bool { return !at.After(oldest) })
 	if !f.Cleared.After(oldest) {
 		f.Cleared = time.Time{}
@@ -55,74 +56,77 @@
 	}
 }
 
-// empty reports whether nothing is known of the request.
+// empty reports whether the finding holds no information.
 func (f *Finding) empty() bool {
 	return len(f.Crashes) == 0 && f.Cleared.IsZero() && f.Quarantined.IsZero()
 }
 
-// record is a finding and its spread.
+// record is a finding and the state of its distribution.
 type record struct {
 	Finding
-	changed time.Time
-	stored  time.Time // when the store was last seen to hold the quarantine, or it was written there
+	changed time.Time // when the finding last changed on this VM
+	stored  time.Time // when the store last held the quarantine, or it was written to the store
 }
 
-// Config is what varies between deployments.
+// Config holds the settings of a Detector.
 type Config struct {
-	Crashes int           // servers that crash under a request until it is quarantined
-	Time    time.Duration // for which it is, and for which evidence is kept
+	Crashes int           // number of crashed servers that quarantines a request
+	Time    time.Duration // how long a quarantine lasts and evidence is kept
 }
 
-// Change is a change of verdicts.
+// Change lists the requests whose quarantine started or ended.
 type Change struct {
 	Quarantined []call.Fingerprint
 	Released    []call.Fingerprint
 }
 
-// Empty reports whether no verdict changed.
+// Empty reports whether no quarantine changed.
 func (c Change) Empty() bool { return len(c.Quarantined)+len(c.Released) == 0 }
 
-// Book holds what one VM knows. It is safe for use by several goroutines.
+// Detector holds the evidence and the quarantines that one VM knows. It is safe for
+// concurrent use.
 type Book struct {
 	cfg      Config
 	onChange func(c Change)
 
-	completed [completedSlots]completion
-	held      atomic.Pointer[map[call.Fingerprint]time.Time] // quarantined requests, and until when
+	completed   [completedSlots]completion
+	quarantined atomic.Pointer[map[call.Fingerprint]time.Time] // quarantined requests, and when the quarantine ends
 
-	mu         sync.Mutex
-	requests   map[call.Fingerprint]*record
-	attributed map[ident.Server]struct{} // servers whose crashes quarantined requests explain
-	hubs       map[ident.VM]hub          // by their answers
-	reporters  map[ident.VM]uint64       // digests of the verdicts of VMs that report to this one
-	all        time.Time                 // until when everything is announced
-	expired    time.Time                 // when what is too old was last forgotten
+	mu               sync.Mutex
+	requests         map[call.Fingerprint]*record
+	attributed       map[ident.Server]struct{} // servers whose crashes are attributed to quarantined requests
+	hubs             map[ident.VM]hubResponse  // last responses
+	reporters        map[ident.VM]uint64       // quarantine digests of the VMs that report to this one
+	announceAllUntil time.Time                 // end of the period in which all findings are announced
+	expiredAt        time.Time                 // when expired evidence was last removed
 }
 
-// New makes a book without evidence. It calls onChange, without locks, after evidence of
-// this VM's own and after a change of verdicts; others have to learn both.
+// New returns a detector without evidence. The detector calls onChange, without holding
+// locks, after each recorded crash and completion on this VM and after a change of
+// quarantines. Both must be reported to other VMs.
 func New(cfg Config, onChange func(c Change)) *Book {
-	b := &Book{
+	d := &Book{
 		cfg: cfg, onChange: onChange,
 		requests:   make(map[call.Fingerprint]*record),
 		attributed: make(map[ident.Server]struct{}),
-		hubs:       make(map[ident.VM]hub),
+		hubs:       make(map[ident.VM]hubResponse),
 		reporters:  make(map[ident.VM]uint64),
 	}
-	b.held.Store(&map[call.Fingerprint]time.Time{})
-	return b
+	d.quarantined.Store(&map[call.Fingerprint]time.Time{})
+	return d
 }
 
-// Until returns the moment until which a request is quarantined, and false if it is not.
-func (b *Book) Until(f call.Fingerprint, now time.Time) (time.Time, bool) {
-	until, ok := (*b.held.Load())[f]
+// QuarantinedUntil returns when a request's quarantine ends, and false if the request is not
+// quarantined.
+func (d *Book) Until(f call.Fingerprint, now time.Time) (time.Time, bool) {
+	until, ok := (*d.quarantined.Load())[f]
 	return until, ok && now.Before(until)
 }
 
-// Len returns how many requests are quarantined.
-func (b *Book) Len(now time.Time) int {
+// QuarantinedCount returns the number of quarantined requests.
+func (d *Book) Len(now time.Time) int {
 	n := 0
-	for _, until := range *b.held.Load() {
+	for _, until := range *d.quarantined.Load() {
 		if now.Before(until) {
 			n++
 		}
@@ -130,87 +134,89 @@
 	return n
 }
 
-// completion is the last request of a slot that completed at this VM. Its members are
-// not written as one: a reader that meets two writers may miss a completion.
+// completion is the last completed request of a slot on this VM. Its fields are not written
+// atomically together: a reader may miss a completion if two are written concurrently.
 type completion struct {
 	request atomic.Uint64
 	at      atomic.Int64 // in Unix nanoseconds
 }
 
-// recentlyCompleted reports whether the request has completed here recently.
-func (b *Book) recentlyCompleted(f call.Fingerprint, now time.Time) bool {
-	c := &b.completed[f%completedSlots]
-	return c.request.Load() == uint64(f) && now.UnixNano()-c.at.Load() < int64(completedTime)
+// recentlyCompleted reports whether the request has completed on this VM within
+// completedPeriod.
+func (d *Book) recentlyCompleted(f call.Fingerprint, now time.Time) bool {
+	c := &d.completed[f%completedSlots]
+	return c.request.Load() == uint64(f) && now.UnixNano()-c.at.Load() < int64(completedPeriod)
 }
 
-// Completed notes that a server ran the request to its end.
-func (b *Book) Completed(f call.Fingerprint, now time.Time) {
-	c := &b.completed[f%completedSlots]
+// Completed records that a server ran the request to completion.
+func (d *Book) Completed(f call.Fingerprint, now time.Time) {
+	c := &d.completed[f%completedSlots]
 	c.request.Store(uint64(f))
 	c.at.Store(now.UnixNano())
-	b.mu.Lock()
-	if r := b.requests[f]; r == nil || now.Sub(r.Cleared) < skew {
-		b.mu.Unlock()
+	d.mu.Lock()
+	if r := d.requests[f]; r == nil || now.Sub(r.Cleared) < timestampTolerance {
+		d.mu.Unlock()
 		return
 	}
-	b.take(&Finding{Request: f, Cleared: now}, now)
-	change := b.evaluate(now)
-	b.mu.Unlock()
-	b.onChange(change)
+	d.apply(&Finding{Request: f, Cleared: now}, now)
+	change := d.evaluate(now)
+	d.mu.Unlock()
+	d.onChange(change)
 }
 
-// Crashed notes that a server crashed which had begun to run the request. It returns how
-// many did that nothing else explains. A request that has completed here recently has
-// met the server's end by chance.
-func (b *Book) Crashed(f call.Fingerprint, server ident.Server, now time.Time) int {
-	if b.recentlyCompleted(f, now) {
+// Crashed records that a server crashed shortly after it had started to run the request. It
+// returns the number of such servers whose crashes are not attributed to other requests.
+// It ignores the crash if the request has recently completed on this VM, because the crash
+// is then a coincidence.
+func (d *Book) Crashed(f call.Fingerprint, server ident.Server, now time.Time) int {
+	if d.recentlyCompleted(f, now) {
 		return 0
 	}
-	b.mu.Lock()
-	b.take(&Finding{Request: f, Crashes: map[ident.Server]time.Time{server: now}}, now)
-	c := b.evaluate(now)
+	d.mu.Lock()
+	d.apply(&Finding{Request: f, Crashes: map[ident.Server]time.Time{server: now}}, now)
+	c := d.evaluate(now)
 	n := 0
-	if r := b.requests[f]; r != nil {
-		n = b.count(r)
+	if r := d.requests[f]; r != nil {
+		n = d.crashCount(r)
 	}
-	b.mu.Unlock()
-	b.onChange(c)
+	d.mu.Unlock()
+	d.onChange(c)
 	return n
 }
 
-// Merge takes what another VM knows, which it may alter, and returns how that changes
-// verdicts.
-func (b *Book) Merge(list []Finding, now time.Time) Change {
+// Merge adds the findings of another VM and returns the resulting change of quarantines. It
+// may modify the list.
+func (d *Book) Merge(list []Finding, now time.Time) Change {
 	if len(list) == 0 {
 		return Change{}
 	}
-	b.mu.Lock()
-	// What is about to expire is not taken: VMs that pass it on would keep it alive.
-	oldest := now.Add(announceTime - b.cfg.Time)
+	d.mu.Lock()
+	// Skip what is about to expire: VMs that relay it to each other would keep it forever.
+	oldest := now.Add(announcePeriod - d.cfg.Time)
 	changed := false
 	for i := range list {
 		f := &list[i]
-		f.forget(oldest)
-		changed = !f.empty() && b.take(f, now) || changed
+		f.expire(oldest)
+		changed = !f.empty() && d.apply(f, now) || changed
 	}
 	var c Change
 	if changed {
-		c = b.evaluate(now)
+		c = d.evaluate(now)
 	}
-	b.mu.Unlock()
+	d.mu.Unlock()
 	if !c.Empty() {
-		b.onChange(c)
+		d.onChange(c)
 	}
 	return c
 }
 
-// take merges one finding, and reports whether anything of it is new.
-func (b *Book) take(f *Finding, now time.Time) bool {
-	r := b.requests[f.Request]
+// apply merges one finding and reports whether it holds new information.
+func (d *Book) apply(f *Finding, now time.Time) bool {
+	r := d.requests[f.Request]
 	if r == nil {
-		b.makeRoom()
+		d.evictOldest()
 		r = &record{Finding: Finding{Request: f.Request, Crashes: make(map[ident.Server]time.Time)}}
-		b.requests[f.Request] = r
+		d.requests[f.Request] = r
 	}
 	if !r.merge(f) {
 		return false
@@ -219,10 +225,10 @@
 	return true
 }
 
-// merge takes what is new of a finding, and reports whether anything is.
+// merge adds the new information of a finding and reports whether there is any.
 func (r *record) merge(f *Finding) bool {
 	changed := false
-	if f.Cleared.Sub(r.Cleared) > skew {
+	if f.Cleared.Sub(r.Cleared) > timestampTolerance {
 		r.Cleared, changed = f.Cleared, true
 	}
 	for s, at := range f.Crashes {
@@ -231,123 +237,125 @@
 		}
 	}
 	maps.DeleteFunc(r.Crashes, func(_ ident.Server, at time.Time) bool { return !at.After(r.Cleared) })
-	if f.Quarantined.After(r.Cleared) && !r.held() {
+	if f.Quarantined.After(r.Cleared) && !r.quarantined() {
 		r.Quarantined, changed = f.Quarantined, true
 	}
 	return changed
 }
 
-// evaluate quarantines requests, those with the most crashes first: these explain the same
-// crashes under others. It returns how the verdicts change.
-func (b *Book) evaluate(now time.Time) Change {
-	b.expire(now)
-	b.attribute()
+// evaluate quarantines requests, those with the most crashes first, because the same crashes
+// are then no longer evidence against other requests. It returns the change of quarantines.
+func (d *Book) evaluate(now time.Time) Change {
+	d.expire(now)
+	d.attributeCrashes()
 	for {
 		var worst *record
-		for _, r := range b.requests {
-			if !r.held() && b.count(r) >= b.cfg.Crashes && (worst == nil || b.before(r, worst)) {
+		for _, r := range d.requests {
+			if !r.quarantined() && d.crashCount(r) >= d.cfg.Crashes && (worst == nil || d.precedes(r, worst)) {
 				worst = r
 			}
 		}
 		if worst == nil {
-			return b.publish(now)
+			return d.updateQuarantined(now)
 		}
 		worst.Quarantined, worst.changed = now, now
-		b.attribute()
+		d.attributeCrashes()
 	}
 }
 
-// attribute collects the servers whose crashes are explained.
-func (b *Book) attribute() {
-	clear(b.attributed)
-	for _, r := range b.requests {
-		if !r.held() {
+// attributeCrashes collects the servers whose crashes are attributed to quarantined
+// requests.
+func (d *Book) attributeCrashes() {
+	clear(d.attributed)
+	for _, r := range d.requests {
+		if !r.quarantined() {
 			continue
 		}
 		for s := range r.Crashes {
-			b.attributed[s] = struct{}{}
+			d.attributed[s] = struct{}{}
 		}
 	}
 }
 
-// before orders requests by their crashes; the fingerprint decides among equals, so that
-// VMs agree.
-func (b *Book) before(r, o *record) bool {
-	return cmp.Or(cmp.Compare(b.count(o), b.count(r)), cmp.Compare(r.Request, o.Request)) < 0
+// precedes orders requests by their crash counts, highest first. Ties are broken by the
+// fingerprint, so that VMs agree.
+func (d *Book) precedes(r, o *record) bool {
+	return cmp.Or(cmp.Compare(d.crashCount(o), d.crashCount(r)), cmp.Compare(r.Request, o.Request)) < 0
 }
 
-// count returns the crashes under a request that no quarantined one explains.
-func (b *Book) count(r *record) int {
-	if r.held() || len(b.attributed) == 0 {
+// crashCount returns the number of crashes under a request that are not attributed to a
+// quarantined request.
+func (d *Book) crashCount(r *record) int {
+	if r.quarantined() || len(d.attributed) == 0 {
 		return len(r.Crashes)
 	}
 	n := 0
 	for s := range r.Crashes {
-		if _, ok := b.attributed[s]; !ok {
+		if _, ok := d.attributed[s]; !ok {
 			n++
 		}
 	}
 	return n
 }
 
-// publish brings the quarantined requests up to date.
-func (b *Book) publish(now time.Time) Change {
+// updateQuarantined updates the set of quarantined requests and returns its changes.
+func (d *Book) updateQuarantined(now time.Time) Change {
 	var c Change
-	old, held := *b.held.Load(), make(map[call.Fingerprint]time.Time)
-	for f, r := range b.requests {
-		if until := r.Quarantined.Add(b.cfg.Time); r.held() && now.Before(until) {
-			held[f] = until
+	old, quarantined := *d.quarantined.Load(), make(map[call.Fingerprint]time.Time)
+	for f, r := range d.requests {
+		if until := r.Quarantined.Add(d.cfg.Time); r.quarantined() && now.Before(until) {
+			quarantined[f] = until
 			if _, ok := old[f]; !ok {
 				c.Quarantined = append(c.Quarantined, f)
 			}
 		}
 	}
 	for f := range old {
-		if _, ok := held[f]; !ok {
+		if _, ok := quarantined[f]; !ok {
 			c.Released = append(c.Released, f)
 		}
 	}
-	if !maps.EqualFunc(held, old, time.Time.Equal) {
-		b.held.Store(&held)
+	if !maps.EqualFunc(quarantined, old, time.Time.Equal) {
+		d.quarantined.Store(&quarantined)
 	}
 	return c
 }
 
-// expire forgets what is too old, at times.
-func (b *Book) expire(now time.Time) {
-	if now.Sub(b.expired) < expireEvery {
+// expire removes expired evidence, at most once per expireInterval.
+func (d *Book) expire(now time.Time) {
+	if now.Sub(d.expiredAt) < expireInterval {
 		return
 	}
-	b.expired = now
-	oldest := now.Add(-b.cfg.Time)
-	for f, r := range b.requests {
-		if r.forget(oldest); r.empty() {
-			delete(b.requests, f)
+	d.expiredAt = now
+	oldest := now.Add(-d.cfg.Time)
+	for f, r := range d.requests {
+		if r.expire(oldest); r.empty() {
+			delete(d.requests, f)
 		}
 	}
 }
 
-// makeRoom forgets the oldest evidence if there is too much.
-func (b *Book) makeRoom() {
-	if len(b.requests) < maxRequests {
+// evictOldest removes the oldest finding that is not a quarantine if there are maxRequests.
+func (d *Book) evictOldest() {
+	if len(d.requests) < maxRequests {
 		return
 	}
 	var oldest *record
-	for _, r := range b.requests {
-		if !r.held() && (oldest == nil || r.changed.Before(oldest.changed)) {
+	for _, r := range d.requests {
+		if !r.quarantined() && (oldest == nil || r.changed.Before(oldest.changed)) {
 			oldest = r
 		}
 	}
 	if oldest != nil {
-		delete(b.requests, oldest.Request)
+		delete(d.requests, oldest.Request)
 	}
 }
 
-// sorted returns the records that fit, the newest first.
-func (b *Book) sorted(fit func(r *record) bool) []Finding {
+// sorted returns up to maxAnnounced of the findings that include selects, newest first.
+func (d *Book) sorted(include func(r *record) bool) []Finding {
 	var list []*record
-	for _, r := range b.requests {
-		if fit(r) {
+	for _, r := range d.requests {
+		if include(r) {
 			list = append(list, r)
 		}
 	}
--- a/internal/policy/poison/doc.go
+++ b/internal/policy/poison/doc.go
@@ -1,9 +1,10 @@
-// Package poison finds requests that crash the backend servers that run them, and
+// Package poison detects requests that crash the backend servers that run them, and
 // quarantines them.
 //
-// A crash is evidence against every request that had only begun to run on the server.
-// Evidence is a set: VMs merge what each of them has seen, in any order and by any way,
-// and come to the same verdicts. A request under which a limit of servers crashed is
-// quarantined, and explains these crashes: they are no evidence against other requests.
-// A request that completes is cleared of all evidence before.
+// A server's crash is evidence against every request that had only just started to run on
+// the server. Evidence is a set: VMs merge each other's evidence, in any order and over
+// any path, and come to the same quarantine decisions. A request is quarantined once a
+// limit of different servers have crashed while running it. These crashes are then
+// attributed to it and are no evidence against other requests. When a request completes,
+// all earlier evidence against it is dropped.
 package poison
--- a/internal/policy/poison/share.go
+++ b/internal/policy/poison/share.go
@@ -9,31 +9,32 @@
 	"umberladder/internal/core/ident"
 )
 
-// answerTime is how long a hub's answer counts.
-const answerTime = 2 * time.Second
+// responseTime is how long a hub's response is valid.
+const responseTime = 2 * time.Second
 
-// hub is what a hub said in its last answer.
-type hub struct {
-	start  uint64
-	digest uint64 // of its verdicts
+// hubResponse is a hub's last response.
+type hubResponse struct {
+	start  uint64 // identifies the start of the hub's process
+	digest uint64 // of its quarantines
 	at     time.Time
 }
 
-// HubAnswered notes a hub's answer: its start, and the digest of its verdicts. One that
-// starts may know nothing: everything is announced again for a while.
-func (b *Book) HubAnswered(vm ident.VM, start, digest uint64, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.hubs[vm].start != start {
-		b.all = now.Add(announceTime)
+// HandleResponse records a hub's response: the start of the hub and the digest of its
+// quarantines. A restarted hub may hold no findings, so all findings are announced again
+// for announcePeriod.
+func (d *Book) HubAnswered(vm ident.VM, start, digest uint64, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.hubs[vm].start != start {
+		d.announceAllUntil = now.Add(announcePeriod)
 	}
-	b.hubs[vm] = hub{start: start, digest: digest, at: now}
+	d.hubs[vm] = hubResponse{start: start, digest: digest, at: now}
 }
 
-// Digest identifies the verdicts; zero: no request is quarantined.
-func (b *Book) Digest(now time.Time) uint64 {
+// Digest returns a hash of the set of quarantined requests, or zero if it is empty.
+func (d *Book) Digest(now time.Time) uint64 {
 	sum := uint64(0)
-	for f, until := range *b.held.Load() {
+	for f, until := range *d.quarantined.Load() {
 		if now.Before(until) {
 			sum ^= xxhash.Sum64String(f.String())
 		}
@@ -41,90 +42,93 @@
 	return sum
 }
 
-// Report returns what this VM reports to hubs: what changed recently, and its verdicts
-// if a hub has others.
-func (b *Book) Report(now time.Time) []Finding {
-	own := b.Digest(now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	differ := false
-	for _, h := range b.hubs {
-		differ = differ || h.digest != own && now.Sub(h.at) < answerTime
+// Report returns the findings that this VM reports to hubs: the recently changed ones, and
+// all quarantines if a hub's differ.
+func (d *Book) Report(now time.Time) []Finding {
+	own := d.Digest(now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	differs := false
+	for _, h := range d.hubs {
+		differs = differs || h.digest != own && now.Sub(h.at) < responseTime
 	}
-	return b.announced(now, differ, func(*record) bool { return true })
+	return d.announcements(now, differs, func(*record) bool { return true })
 }
 
-// mostReporters bounds the VMs whose digests are kept: more than any fleet has.
-const mostReporters = 10_000
+// maxReporters bounds the number of VMs whose digests are kept. It is higher than the number
+// of VMs in any fleet.
+const maxReporters = 10_000
 
-// Reported notes the digest of the verdicts of a VM that reports to this one.
-func (b *Book) Reported(vm ident.VM, digest uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.reporters) >= mostReporters {
-		clear(b.reporters)
+// HandleReport records the quarantine digest of a VM that reports to this one.
+func (d *Book) Reported(vm ident.VM, digest uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.reporters) >= maxReporters {
+		clear(d.reporters)
 	}
-	b.reporters[vm] = digest
+	d.reporters[vm] = digest
 }
 
-// Answer returns what this VM, as a hub, answers to another: its verdicts if the VM has
-// others, and evidence against a request from suspectCrashes on.
-func (b *Book) Answer(to ident.VM, now time.Time) []Finding {
-	own := b.Digest(now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.announced(now, b.reporters[to] != own, func(r *record) bool { return !r.Cleared.IsZero() || len(r.Crashes) >= suspectCrashes })
+// Response returns the findings that this VM, as a hub, sends to another VM: all
+// quarantines if the VM's differ, and the recently changed findings with at least
+// minSharedCrashes crashes or a completion.
+func (d *Book) Answer(to ident.VM, now time.Time) []Finding {
+	own := d.Digest(now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.announcements(now, d.reporters[to] != own, func(r *record) bool { return !r.Cleared.IsZero() || len(r.Crashes) >= minSharedCrashes })
 }
 
-// announced returns what changed recently, and all verdicts if they are wanted.
-func (b *Book) announced(now time.Time, verdicts bool, suspect func(r *record) bool) []Finding {
-	if len(b.requests) == 0 {
+// announcements returns the recently changed findings, without those that are not
+// quarantines and that share rejects. If all is set, it returns all quarantines.
+func (d *Book) announcements(now time.Time, all bool, share func(r *record) bool) []Finding {
+	if len(d.requests) == 0 {
 		return nil
 	}
-	b.expire(now)
-	recent := func(r *record) bool { return now.Sub(r.changed) < announceTime || now.Before(b.all) }
-	return b.sorted(func(r *record) bool {
-		if r.held() {
-			return verdicts || recent(r)
+	d.expire(now)
+	recent := func(r *record) bool { return now.Sub(r.changed) < announcePeriod || now.Before(d.announceAllUntil) }
+	return d.sorted(func(r *record) bool {
+		if r.quarantined() {
+			return all || recent(r)
 		}
-		return suspect(r) && recent(r)
+		return share(r) && recent(r)
 	})
 }
 
-// Entry is a quarantined request as the store keeps it.
+// Quarantine is a quarantined request as the store keeps it.
 type Entry struct {
 	Request call.Fingerprint
 	Until   time.Time
 }
 
-// Stored takes the requests that the store holds as quarantined.
-func (b *Book) Stored(list []Entry, now time.Time) {
+// Stored merges the quarantines that the store holds.
+func (d *Book) Stored(list []Entry, now time.Time) {
 	found := make([]Finding, 0, len(list))
 	for _, e := range list {
 		until := e.Until
-		if latest := now.Add(b.cfg.Time); until.After(latest) {
+		if latest := now.Add(d.cfg.Time); until.After(latest) {
 			until = latest // written by a VM whose clock is ahead
 		}
-		found = append(found, Finding{Request: e.Request, Quarantined: until.Add(-b.cfg.Time)})
+		found = append(found, Finding{Request: e.Request, Quarantined: until.Add(-d.cfg.Time)})
 	}
-	b.Merge(found, now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	d.Merge(found, now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	for _, e := range list {
-		if r := b.requests[e.Request]; r != nil {
+		if r := d.requests[e.Request]; r != nil {
 			r.stored = now
 		}
 	}
 }
 
-// Unstored returns the requests that were quarantined longer than age ago and that the
-// store has not been known to hold for a time.
-func (b *Book) Unstored(age, unseen time.Duration, now time.Time) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Unstored returns the quarantines that are at least as old as age and that the store has
+// not been seen to hold within the time unseen.
+func (d *Book) Unstored(age, unseen time.Duration, now time.Time) []Entry {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var out []Entry
-	for f, until := range *b.held.Load() {
-		r := b.requests[f]
+	for f, until := range *d.quarantined.Load() {
+		r := d.requests[f]
 		if r != nil && now.Before(until) && now.Sub(r.Quarantined) >= age && now.Sub(r.stored) >= unseen {
 			out = append(out, Entry{Request: f, Until: until})
 		}
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -13,9 +13,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// TestQueueAgainstSortedList runs random pushes, removals and takes, and compares the first
+// TestOracle runs random pushes, removals and takes, and compares the first
 // entry and the counts with a reference list.
-func TestQueueAgainstSortedList(t *testing.T) {
+func TestOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int]()
 		var all []*Entry[int]
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -15,9 +15,9 @@
 
 func (f fixedPeers) Count(time.Time) (int, int) { return f.known, f.reporting }
 
-// TestRetriesStayWithinBudget guards against a hub and two VMs that report to it together
+// TestWindow guards against a hub and two VMs that report to it together
 // exceeding the budget in any window, with random first attempts and retries.
-func TestRetriesStayWithinBudget(t *testing.T) {
+func TestWindow(t *testing.T) {
 	const ratio, extra, span = 0.2, 20.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -69,9 +69,9 @@
 	})
 }
 
-// TestIncompleteReports guards against VMs exceeding the budget when they have no reports of
+// TestWindowAlone guards against VMs exceeding the budget when they have no reports of
 // some other VMs.
-func TestIncompleteReports(t *testing.T) {
+func TestWindowAlone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	countRetries := func(p Peers) int {
 		w := NewWindow(0.2, 54, 10*time.Second, p)
