--- a/internal/policy/assign/assign.go
+++ b/internal/policy/assign/assign.go
@@ -107,7 +107,8 @@
 }
 
 // ChoosePlain returns the index of the plain server with the lowest fraction of its slots
-// in use, or -1 if there is none. It prefers servers in the caller's failure domain.
+// in use, relative to its weight, or -1 if there is none. A server in another failure
+// domain costs as much as one more call in flight.
 func ChoosePlain(servers []Server, rng *rand.Rand) int {
 	best, cost := -1, 0.0
 	for i := range servers {
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -59,10 +59,10 @@
 	b.Take(1_000_000, now)
 	assert.Equal(t, b.Level(now), 0.0)
 	b.SetRate(100, now)
-	assert.Equal(t, b.Wait(now), time.Duration(0), "a limit that is set later holds from then on")
+	assert.Equal(t, b.Wait(now), time.Duration(0), "a limit applies only to later usage")
 	b.Take(300, now)
 	assert.Equal(t, b.Wait(now), 3*time.Second)
 	b.SetRate(0, now)
 	b.SetRate(100, now)
-	assert.Equal(t, b.Wait(now), time.Duration(0), "lifting the limit forgives the debt")
+	assert.Equal(t, b.Wait(now), time.Duration(0), "removing the limit clears the debt")
 }
--- a/internal/policy/place/baseline.go
+++ b/internal/policy/place/baseline.go
@@ -49,17 +49,17 @@
 
 // Choose implements Chooser.
 func (TwoChoices) Choose(_ *Ask, engines []Engine, rng *rand.Rand) int {
-	var open []int
+	var available []int
 	for i := range engines {
 		if !engines[i].Skip {
-			open = append(open, i)
+			available = append(available, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return -1
 	}
-	a := open[rng.IntN(len(open))]
-	b := open[rng.IntN(len(open))]
+	a := available[rng.IntN(len(available))]
+	b := available[rng.IntN(len(available))]
 	if engines[b].Own < engines[a].Own {
 		return b
 	}
--- a/internal/policy/poison/book.go
+++ b/internal/policy/poison/book.go
@@ -21,8 +21,8 @@
 	// timestampTolerance bounds by how much a timestamp becomes later with each VM that
 	// relays it.
 	timestampTolerance = time.Second
-	// minSharedCrashes is the number of crashes from which on all VMs must know the
-	// evidence against a request, so that any VM that completes the request clears it.
+	// minSharedCrashes is the number of crashes that makes a hub send the evidence against
+	// a request to all VMs, so that any VM that completes the request clears it.
 	minSharedCrashes = 2
 	// maxRequests bounds the number of requests with stored evidence, and maxAnnounced the
 	// number of requests in one message.
@@ -283,8 +283,8 @@
 	return cmp.Or(cmp.Compare(d.crashCount(o), d.crashCount(r)), cmp.Compare(r.Request, o.Request)) < 0
 }
 
-// crashCount returns the number of crashes under a request that are not attributed to a
-// quarantined request.
+// crashCount returns the number of servers that crashed while running a request, without
+// crashes that are attributed to other, quarantined requests.
 func (d *Book) crashCount(r *record) int {
 	if r.quarantined() || len(d.attributed) == 0 {
 		return len(r.Crashes)
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -131,9 +131,9 @@
 		return
 	}
 	b.purgedAt = now
-	for vm, t := range b.reports {
-		if now.Sub(t.at) > b.span {
-			b.subtract(t)
+	for vm, r := range b.reports {
+		if now.Sub(r.at) > b.span {
+			b.subtract(r)
 			delete(b.reports, vm)
 		}
 	}
@@ -235,7 +235,7 @@
 	others := t.Sent[s]
 	extra := b.extra
 	if t.Heard < t.Known || t.Known == 0 {
-		// The VMs that do not report may use their shares.
+		// Leave the shares of the VMs that do not report to them.
 		extra *= float64(t.Heard+1) / float64(max(t.Known+1, minVMs))
 	}
 	remaining := safetyFactor*(b.ratio*float64(own.First+others.First)+extra) - float64(others.Again)
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -44,8 +44,8 @@
 			if i != 0 {
 				hub.Hear(ident.VM(rune('a'+i)), vms[i].Sent(now), now)
 			}
-			for j, w := range vms[1:] {
-				w.Learn("a", hub.Rest(ident.VM(rune('b'+j)), now))
+			for j, b := range vms[1:] {
+				b.Learn("a", hub.Rest(ident.VM(rune('b'+j)), now))
 			}
 		}
 		for _, from := range attempts {
@@ -74,9 +74,9 @@
 func TestWindowAlone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	countRetries := func(p Peers) int {
-		w := NewWindow(0.2, 54, 10*time.Second, p)
+		b := NewWindow(0.2, 54, 10*time.Second, p)
 		n := 0
-		for w.Spend("s", now) {
+		for b.Spend("s", now) {
 			n++
 		}
 		return n
@@ -95,21 +95,21 @@
 	})
 	t.Run("the response that includes the most VMs is combined with the largest number of known VMs", func(t *testing.T) {
 		for range 20 { // the iteration order of the responses is random
-			w := NewWindow(0.2, 54, 10*time.Second, fixedPeers{})
-			w.Learn("a", Total{At: now, Known: 59, Heard: 9})
-			w.Learn("b", Total{At: now, Known: 29, Heard: 29})
+			b := NewWindow(0.2, 54, 10*time.Second, fixedPeers{})
+			b.Learn("a", Total{At: now, Known: 59, Heard: 9})
+			b.Learn("b", Total{At: now, Known: 29, Heard: 29})
 			n := 0
-			for w.Spend("s", now) {
+			for b.Spend("s", now) {
 				n++
 			}
 			assert.Assert(t, n <= 54*30/60, "%d retries, more than the share of half of the VMs", n)
 		}
 	})
 	t.Run("an isolated VM remembers the number of VMs", func(t *testing.T) {
-		w := NewWindow(0.2, 630, 10*time.Second, fixedPeers{})
-		w.Learn("hub", Total{At: now, Known: 294, Heard: 294})
+		b := NewWindow(0.2, 630, 10*time.Second, fixedPeers{})
+		b.Learn("hub", Total{At: now, Known: 294, Heard: 294})
 		later, n := now.Add(2*responseTime), 0
-		for w.Spend("s", later) {
+		for b.Spend("s", later) {
 			n++
 		}
 		assert.Assert(t, n <= 630/295, "%d", n)
