--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -76,7 +76,7 @@
 	return uuid.Must(uuid.NewV7()).String()
 }
 
-// UUIDTime returns the creation time in a version 7 UUID, in milliseconds. It returns false
+// UUIDTime returns the creation time in a version 7 UUID, to the millisecond. It returns false
 // if key is not a version 7 UUID in canonical form.
 func Minted(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
--- a/internal/core/refuse/reason.go
+++ b/internal/core/refuse/reason.go
@@ -31,7 +31,7 @@
 	TimedOut               // the timeout of the client or the route expired
 	NoRoom                 // every backend server is at capacity
 	CallerLeft             // the caller closed the connection
-	VMStopping             // this VM shuts down before the request could be served
+	VMStopping             // this VM is shutting down and can't serve the request in time
 	Quarantined            // backend servers crashed each time they ran the request
 	numReasons
 )
