--- a/internal/policy/assign/assign_test.go
+++ b/internal/policy/assign/assign_test.go
@@ -30,7 +30,7 @@
 		"a copy stays in its domain":                      {required: 4000, maxFill: Spare, crossDomainCost: FarCopy, servers: []Server{engine(func(s *Server) { s.Far = true }), engine(func(s *Server) { s.Tokens = 4000 })}, want: 1},
 		"a call crosses to an emptier engine":             {required: 4000, maxFill: Full, crossDomainCost: FarCall, servers: []Server{engine(func(s *Server) { s.Far = true }), engine(func(s *Server) { s.Tokens = 4000 })}, want: 0},
 		"a call stays in its domain if fills are similar": {required: 4000, maxFill: Full, crossDomainCost: FarCall, servers: []Server{engine(func(s *Server) { s.Far = true }), engine(func(s *Server) { s.Tokens = 1000 })}, want: 1},
-		"avoids incoming copies":                          {required: 4000, maxFill: Spare, crossDomainCost: FarCopy, servers: []Server{engine(func(s *Server) { s.Copies = 2 }), engine(func(s *Server) { s.Tokens = 9000 })}, want: 1},
+		"copies do not queue":                             {required: 4000, maxFill: Spare, crossDomainCost: FarCopy, servers: []Server{engine(func(s *Server) { s.Copies = 2 }), engine(func(s *Server) { s.Tokens = 9000 })}, want: 1},
 		"avoids a failing engine":                         {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Weight = 0.2 }), engine(func(s *Server) { s.Tokens = 9000 })}, want: 1},
 		"skips an excluded engine":                        {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Skip = true })}, want: -1},
 	} {
