--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -8,103 +8,105 @@
 )
 
 const (
-	// half is the time after which what was seen of a server counts half.
-	half = 2 * time.Second
-	// prior is the weight of the belief that a server is sound, in calls.
-	prior = 4.0
+	// decayTime is the time after which past results count half, if there is no newer one.
+	decayTime = 2 * time.Second
+	// priorWeight is the weight of the prior assumption that a server is healthy, in
+	// successful calls.
+	priorWeight = 4.0
 )
 
-// Book weighs servers by the calls they failed lately. Servers fail while
-// their own health check is good, so only what calls met counts.
+// Tracker weights servers by their recent failures. Servers may fail calls while their
+// own health check passes, so only the results of calls count. It is safe for concurrent
+// use.
 type Book struct {
 	mu      sync.Mutex
 	servers map[ident.Server]*record
-	pauses  map[ident.Server]time.Time // until when a server wants no calls of this VM
+	pauses  map[ident.Server]time.Time // when the pause that a server requested ends
 }
 
 type record struct {
-	at   time.Time
-	good float64
-	bad  float64
+	updatedAt time.Time
+	successes float64
+	failures  float64
 }
 
-// New makes a record of sound servers.
+// New returns a tracker that considers all servers healthy.
 func New() *Book {
 	return &Book{servers: make(map[ident.Server]*record), pauses: make(map[ident.Server]time.Time)}
 }
 
-// Success notes a call that the server answered.
-func (h *Book) Success(id ident.Server, now time.Time) { h.note(id, now, 1, 0) }
+// Success records a call that the server completed.
+func (t *Book) Success(id ident.Server, now time.Time) { t.add(id, now, 1, 0) }
 
-// Failure notes a call that the server failed.
-func (h *Book) Failure(id ident.Server, now time.Time) { h.note(id, now, 0, 1) }
+// Failure records a call that failed at the server.
+func (t *Book) Failure(id ident.Server, now time.Time) { t.add(id, now, 0, 1) }
 
-func (h *Book) note(id ident.Server, now time.Time, good, bad float64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	r := h.servers[id]
+func (t *Book) add(id ident.Server, now time.Time, successes, failures float64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.servers[id]
 	if r == nil {
-		r = &record{at: now}
-		h.servers[id] = r
+		r = &record{updatedAt: now}
+		t.servers[id] = r
 	}
-	r.fade(now)
-	r.good += good
-	r.bad += bad
+	r.decay(now)
+	r.successes += successes
+	r.failures += failures
 }
 
-func (r *record) fade(now time.Time) {
-	age := now.Sub(r.at)
+func (r *record) decay(now time.Time) {
+	age := now.Sub(r.updatedAt)
 	if age <= 0 {
 		return
 	}
-	keep := 1 / (1 + float64(age)/float64(half))
-	r.good *= keep
-	r.bad *= keep
-	r.at = now
+	keep := 1 / (1 + float64(age)/float64(decayTime))
+	r.successes *= keep
+	r.failures *= keep
+	r.updatedAt = now
 }
 
-// Weight returns the share of its usual work that the server should get, in (0, 1].
-func (h *Book) Weight(id ident.Server, now time.Time) float64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	r := h.servers[id]
+// Weight returns the fraction of its normal load that the server should get, in (0, 1].
+func (t *Book) Weight(id ident.Server, now time.Time) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.servers[id]
 	if r == nil {
 		return 1
 	}
-	r.fade(now)
-	w := (prior + r.good) / (prior + r.good + 3*r.bad)
+	r.decay(now)
+	w := (priorWeight + r.successes) / (priorWeight + r.successes + 3*r.failures)
 	return w
 }
 
-// mostPause bounds the pause that a server may ask for.
-const mostPause = 10 * time.Minute
+// maxPause bounds the pause that a server may request.
+const maxPause = 10 * time.Minute
 
-// Pause notes that a server wants no calls of this VM for a time.
-func (h *Book) Pause(id ident.Server, d time.Duration, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.pauses[id] = now.Add(min(d, mostPause))
-	for other, until := range h.pauses {
+// Pause records that a server requested no calls from this VM for a time.
+func (t *Book) Pause(id ident.Server, d time.Duration, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.pauses[id] = now.Add(min(d, maxPause))
+	for other, until := range t.pauses {
 		if !now.Before(until) {
-			delete(h.pauses, other)
+			delete(t.pauses, other)
 		}
 	}
 }
 
-// Paused returns for how long a server still wants no calls of this VM.
-func (h *Book) Paused(id ident.Server, now time.Time) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return max(h.pauses[id].Sub(now), 0)
+// Paused returns the remaining time of a server's pause, or zero.
+func (t *Book) Paused(id ident.Server, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return max(t.pauses[id].Sub(now), 0)
 }
 
-// Keep forgets the servers that known does not report.
-func (h *Book) Keep(known func(ident.Server) bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for id := range h.servers {
+// Retain drops the results of servers for which known returns false.
+func (t *Book) Retain(known func(ident.Server) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id := range t.servers {
 		if !known(id) {
-			delete(h.servers, id)
+			delete(t.servers, id)
 		}
 	}
 }
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -12,18 +12,18 @@
 
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bound := rapid.IntRange(0, 10000).Draw(t, "limit")
+		limit := rapid.IntRange(0, 10000).Draw(t, "limit")
 		n := rapid.IntRange(1, 400).Draw(t, "vms")
 		sum := 0
 		for i := range n {
-			sum += Share(bound, i, n)
+			sum += Share(limit, i, n)
 		}
-		assert.Equal(t, sum, bound)
+		assert.Equal(t, sum, limit)
 	})
 }
 
-// TestBucketNeverBeatsTheRate takes and waits at random: what is taken over a
-// time is at most the rate, the first second's store, and one last take.
+// TestBucketNeverBeatsTheRate takes tokens at random times. The tokens taken in a period may not
+// exceed the rate times the period, the initial second's tokens and one last Take.
 func TestBucketNeverBeatsTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestWaitIsHonest(t *testing.T) {
+func TestWaitUntilDebtIsPaid(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBucket(100, now)
 	b.Take(350, now)
@@ -59,10 +59,10 @@
 	b.Take(1_000_000, now)
 	assert.Equal(t, b.Level(now), 0.0)
 	b.SetRate(100, now)
-	assert.Equal(t, b.Wait(now), time.Duration(0), "a limit that is set later holds from then on")
+	assert.Equal(t, b.Wait(now), time.Duration(0), "a limit applies only to later usage")
 	b.Take(300, now)
 	assert.Equal(t, b.Wait(now), 3*time.Second)
 	b.SetRate(0, now)
 	b.SetRate(100, now)
-	assert.Equal(t, b.Wait(now), time.Duration(0), "lifting the limit forgives the debt")
+	assert.Equal(t, b.Wait(now), time.Duration(0), "removing the limit clears the debt")
 }
