--- a/internal/route/desk/desk.go
+++ b/internal/route/desk/desk.go
@@ -16,262 +16,266 @@
 	"umberladder/internal/state/hubs"
 )
 
-// errSilent says that the home does not answer.
-var errSilent = errors.New("desk: the home does not answer")
+// errNoResponse reports that the coordinator did not respond.
+var errNoResponse = errors.New("placer: the coordinator does not respond")
 
 const (
-	// firstWait is how long a home may take to answer an ask: a millisecond each
-	// way, and more on a VM with a fifth of a core. The ask is repeated twice in
-	// it, as a datagram may be lost.
-	firstWait = 60 * time.Millisecond
-	repeats   = 3
-	// renewEvery is how often an ask that waits is repeated.
-	renewEvery = 150 * time.Millisecond
-	// silentTime is how long a home that did not answer is not asked.
-	silentTime = time.Second
-	// strays is how often a granted server that this VM knows not to take calls is given back.
-	strays = 3
-	// candidates is how many VMs of the order are asked before a VM decides alone.
-	candidates = 2
+	// firstTimeout is how long a coordinator may take to respond to a new request:
+	// 1 ms of network delay each way, and more on a VM with a fifth of a core. The
+	// request is sent three times within it, because datagrams may be lost.
+	firstTimeout = 60 * time.Millisecond
+	maxTries     = 3
+	// renewInterval is how often a queued request is repeated.
+	renewInterval = 150 * time.Millisecond
+	// avoidTime is how long a coordinator that did not respond gets no requests.
+	avoidTime = time.Second
+	// maxUnusable is how many granted servers that this VM knows to accept no
+	// calls are declined before the VM places the run itself.
+	maxUnusable = 3
+	// maxCoordinators is how many VMs of the order are asked before a VM places the
+	// run itself.
+	maxCoordinators = 2
 )
 
-// Post carries asks to other VMs.
+// Transport sends requests to other VMs.
 type Post interface {
-	Ask(to netip.AddrPort, a homes.Ask)
+	Ask(to netip.AddrPort, r homes.Ask)
 }
 
-// Desk places the runs of one VM. It is safe for use by several goroutines.
+// Placer places the runs of one VM. It is safe for concurrent use.
 type Desk struct {
-	vm      ident.VM
-	chooser *pick.Chooser
-	home    *homes.Home
-	order   func(ident.Service, time.Time) []hubs.Rank
-	post    Post
-	count   func(outcome string)
-	log     *zap.Logger
+	vm          ident.VM
+	chooser     *pick.Chooser
+	coordinator *homes.Home
+	order       func(ident.Service, time.Time) []hubs.Rank
+	transport   Post
+	count       func(outcome string)
+	log         *zap.Logger
 
-	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan homes.Answer
-	silent  map[ident.VM]time.Time // until when a VM is not asked
-	homes   map[ident.Service]ident.VM
+	mu           sync.Mutex
+	lastID       uint64
+	pending      map[uint64]chan homes.Answer
+	avoidUntil   map[ident.VM]time.Time // until when a VM gets no requests
+	coordinators map[ident.Service]ident.VM
 }
 
-// New makes a desk. The order is that of the VMs that decide for a service;
-// home is this VM's own. Numbers of asks begin after boot. Each placement is
-// counted by its outcome.
-func New(vm ident.VM, boot uint64, c *pick.Chooser, home *homes.Home, order func(ident.Service, time.Time) []hubs.Rank, post Post, count func(outcome string), log *zap.Logger) *Desk {
+// New returns a Placer. order returns the VMs that may coordinate a service, in
+// order; coordinator is this VM's own. Request IDs start after boot. count is
+// called with the outcome of each placement.
+func New(vm ident.VM, boot uint64, c *pick.Chooser, coordinator *homes.Home, order func(ident.Service, time.Time) []hubs.Rank, transport Post, count func(outcome string), log *zap.Logger) *Desk {
 	return &Desk{
-		vm: vm, chooser: c, home: home, order: order, post: post, count: count, log: log,
-		number: boot, waiting: make(map[uint64]chan homes.Answer), silent: make(map[ident.VM]time.Time),
-		homes: make(map[ident.Service]ident.VM),
+		vm: vm, chooser: c, coordinator: coordinator, order: order, transport: transport, count: count, log: log,
+		lastID: boot, pending: make(map[uint64]chan homes.Answer), avoidUntil: make(map[ident.VM]time.Time),
+		coordinators: make(map[ident.Service]ident.VM),
 	}
 }
 
-// Outcomes of placements.
+// Outcomes of placements, as in the metrics.
 const (
-	byHome   = "by-home"
-	byItself = "alone"
-	noRoom   = "no-room"
-	noOne    = "no-server"
-	left     = "client-left"
+	outcomeCoordinator = "by-home"
+	outcomeLocal       = "alone"
+	outcomeNoCapacity  = "no-room"
+	outcomeNoServer    = "no-server"
+	outcomeClientLeft  = "client-left"
 )
 
-// Place returns where a run goes. Its error is pick.ErrNoServer, a
-// *pick.NoRoomError or the context's.
-func (d *Desk) Place(ctx context.Context, w pick.Want) (pick.Spot, error) {
-	spot, outcome, err := d.place(ctx, w)
-	var full *pick.NoRoomError
+// Place returns the placement of a run. Its error is pick.ErrNoServer, a
+// *pick.NoCapacityError or the context's error.
+func (p *Desk) Place(ctx context.Context, r pick.Want) (pick.Spot, error) {
+	placement, outcome, err := p.place(ctx, r)
+	var noCapacity *pick.NoRoomError
 	switch {
-	case errors.As(err, &full):
-		outcome = noRoom
+	case errors.As(err, &noCapacity):
+		outcome = outcomeNoCapacity
 	case errors.Is(err, pick.ErrNoServer):
-		outcome = noOne
+		outcome = outcomeNoServer
 	case err != nil:
-		outcome = left
+		outcome = outcomeClientLeft
 	}
-	d.count(outcome)
-	return spot, err
+	p.count(outcome)
+	return placement, err
 }
 
-// place returns where a run goes and who decided it.
-func (d *Desk) place(ctx context.Context, w pick.Want) (pick.Spot, string, error) {
+// place returns the placement of a run and the outcome to count.
+func (p *Desk) place(ctx context.Context, r pick.Want) (pick.Spot, string, error) {
 	start := time.Now()
-	w.Skip = append(slices.Clone(w.Skip), d.chooser.Paused(w.Service, start)...)
-	want := w
-	want.Skip = append(slices.Clone(w.Skip), d.chooser.Distrusted(w.Service, start)...)
-	for range strays {
-		a, err := d.ask(ctx, want)
+	r.Skip = append(slices.Clone(r.Skip), p.chooser.Paused(r.Service, start)...)
+	req := r
+	req.Skip = append(slices.Clone(r.Skip), p.chooser.Distrusted(r.Service, start)...)
+	for range maxUnusable {
+		resp, err := p.requestPlacement(ctx, req)
 		if err != nil {
 			break
 		}
-		switch a.State {
+		switch resp.State {
 		case homes.Full:
-			return pick.Spot{}, byHome, &pick.NoRoomError{Retry: a.Retry, Ahead: a.Ahead}
+			return pick.Spot{}, outcomeCoordinator, &pick.NoRoomError{Retry: resp.Retry, Ahead: resp.Ahead}
 		case homes.NoServer:
-			// The home may know less than this VM.
-			spot, err := d.alone(ctx, w, start)
-			return spot, byItself, err
+			// The coordinator may know fewer servers than this VM.
+			placement, err := p.placeLocally(ctx, r, start)
+			return placement, outcomeLocal, err
 		}
-		view := d.chooser.View()
-		s, b := view.Server(a.Server), view.Server(a.Backup)
-		if b != nil && b.Leaving {
-			b = nil
+		view := p.chooser.View()
+		server, backup := view.Server(resp.Server), view.Server(resp.Backup)
+		if backup != nil && backup.Leaving {
+			backup = nil
 		}
-		if s != nil && !s.Leaving && !d.chooser.IsPaused(s.ID, time.Now()) {
-			return pick.Spot{Server: s, Backup: b}, byHome, nil
+		if server != nil && !server.Leaving && !p.chooser.IsPaused(server.ID, time.Now()) {
+			return pick.Spot{Server: server, Backup: backup}, outcomeCoordinator, nil
 		}
-		want.Skip = append(want.Skip, a.Server)
+		req.Skip = append(req.Skip, resp.Server)
 	}
 	if err := ctx.Err(); err != nil {
-		return pick.Spot{}, byHome, err
+		return pick.Spot{}, outcomeCoordinator, err
 	}
-	spot, err := d.alone(ctx, w, start)
-	return spot, byItself, err
+	placement, err := p.placeLocally(ctx, r, start)
+	return placement, outcomeLocal, err
 }
 
-// alone decides by what this VM knows. Nobody orders those who wait, so nobody
-// waits until it begins late.
-func (d *Desk) alone(ctx context.Context, w pick.Want, start time.Time) (pick.Spot, error) {
-	wait := time.NewTimer(max(0, min(w.Due, w.Wait)-time.Since(start)))
-	defer wait.Stop()
+// placeLocally places the run by what this VM knows. Runs that wait here are not
+// ordered by priority, so none waits beyond the time in which it can start in
+// time.
+func (p *Desk) placeLocally(ctx context.Context, r pick.Want, start time.Time) (pick.Spot, error) {
+	timer := time.NewTimer(max(0, min(r.Due, r.Wait)-time.Since(start)))
+	defer timer.Stop()
 	for {
-		changed := d.chooser.Changed()
-		spot, err := d.chooser.Choose(&w, nil, time.Now())
-		var full *pick.NoRoomError
-		if !errors.As(err, &full) {
-			return spot, err
+		changed := p.chooser.Changed()
+		placement, err := p.chooser.Choose(&r, nil, time.Now())
+		var noCapacity *pick.NoRoomError
+		if !errors.As(err, &noCapacity) {
+			return placement, err
 		}
 		select {
 		case <-ctx.Done():
 			return pick.Spot{}, ctx.Err()
 		case <-changed:
-		case <-wait.C:
-			return pick.Spot{}, &pick.NoRoomError{Retry: homes.LeastRetry}
+		case <-timer.C:
+			return pick.Spot{}, &pick.NoRoomError{Retry: homes.MinRetryAfter}
 		}
 	}
 }
 
-// ask asks the home, or the VM that takes its place.
-func (d *Desk) ask(ctx context.Context, w pick.Want) (homes.Answer, error) {
-	asked := 0
-	order := d.order(w.Service, time.Now())
-	d.noteHome(w.Service, order)
-	for _, p := range order {
-		if d.isSilent(p.VM) {
+// requestPlacement asks the coordinator, or the next VM in order if it does not
+// respond.
+func (p *Desk) requestPlacement(ctx context.Context, r pick.Want) (homes.Answer, error) {
+	tried := 0
+	order := p.order(r.Service, time.Now())
+	p.logCoordinatorChange(r.Service, order)
+	for _, cand := range order {
+		if p.isAvoided(cand.VM) {
 			continue
 		}
-		a, err := d.askOne(ctx, p, w)
+		resp, err := p.requestFrom(ctx, cand, r)
 		if err == nil || ctx.Err() != nil {
-			return a, err
+			return resp, err
 		}
-		d.setSilent(p.VM)
-		if asked++; asked == candidates {
+		p.avoid(cand.VM)
+		if tried++; tried == maxCoordinators {
 			break
 		}
 	}
-	return homes.Answer{}, errSilent
+	return homes.Answer{}, errNoResponse
 }
 
-// noteHome logs that another VM decides for a service than did.
-func (d *Desk) noteHome(s ident.Service, order []hubs.Rank) {
+// logCoordinatorChange logs that the coordinator of a service has changed.
+func (p *Desk) logCoordinatorChange(s ident.Service, order []hubs.Rank) {
 	if len(order) == 0 {
 		return
 	}
-	d.mu.Lock()
-	old := d.homes[s]
-	d.homes[s] = order[0].VM
-	d.mu.Unlock()
+	p.mu.Lock()
+	old := p.coordinators[s]
+	p.coordinators[s] = order[0].VM
+	p.mu.Unlock()
 	if old != order[0].VM {
-		d.log.Info("home changed", zap.String("service", string(s)), zap.String("from", string(old)),
+		p.log.Info("home changed", zap.String("service", string(s)), zap.String("from", string(old)),
 			zap.String("to", string(order[0].VM)), zap.Bool("this-vm", !order[0].Addr.IsValid()))
 	}
 }
 
-func (d *Desk) isSilent(vm ident.VM) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Now().Before(d.silent[vm])
+func (p *Desk) isAvoided(vm ident.VM) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Now().Before(p.avoidUntil[vm])
 }
 
-func (d *Desk) setSilent(vm ident.VM) {
-	d.mu.Lock()
-	d.silent[vm] = time.Now().Add(silentTime)
-	d.mu.Unlock()
-	d.log.Info("home does not answer", zap.String("home", string(vm)))
+func (p *Desk) avoid(vm ident.VM) {
+	p.mu.Lock()
+	p.avoidUntil[vm] = time.Now().Add(avoidTime)
+	p.mu.Unlock()
+	p.log.Info("home does not answer", zap.String("home", string(vm)))
 }
 
-func (d *Desk) open() (uint64, chan homes.Answer) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.number++
-	ch := make(chan homes.Answer, 2*repeats)
-	d.waiting[d.number] = ch
-	return d.number, ch
+func (p *Desk) newRequest() (uint64, chan homes.Answer) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	ch := make(chan homes.Answer, 2*maxTries)
+	p.pending[p.lastID] = ch
+	return p.lastID, ch
 }
 
-func (d *Desk) close(number uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.waiting, number)
+func (p *Desk) forget(id uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pending, id)
 }
 
-// Answered takes an answer to an ask.
-func (d *Desk) Answered(a homes.Answer) {
-	d.mu.Lock()
-	ch := d.waiting[a.Number]
-	d.mu.Unlock()
+// HandleResponse handles a response to a request.
+func (p *Desk) Answered(resp homes.Answer) {
+	p.mu.Lock()
+	ch := p.pending[resp.Number]
+	p.mu.Unlock()
 	select {
-	case ch <- a:
+	case ch <- resp:
 	default:
-		// Nobody waits for it, or the same was answered several times.
+		// The request has ended, or the response was repeated.
 	}
 }
 
-// askOne asks one VM until it has decided.
-func (d *Desk) askOne(ctx context.Context, p hubs.Rank, w pick.Want) (homes.Answer, error) {
-	number, ch := d.open()
-	defer d.close(number)
+// requestFrom sends a request to one VM, and repeats it until the VM decides.
+func (p *Desk) requestFrom(ctx context.Context, cand hubs.Rank, r pick.Want) (homes.Answer, error) {
+	id, ch := p.newRequest()
+	defer p.forget(id)
 	start := time.Now()
-	heard, every := start, firstWait/repeats
+	lastHeard, interval := start, firstTimeout/maxTries
 	for {
-		w := w
-		w.Wait = max(0, w.Wait-time.Since(start))
-		w.Due = max(0, w.Due-time.Since(start))
-		d.send(p, homes.Ask{VM: d.vm, Number: number, Want: w})
-		again := time.NewTimer(every)
+		r := r
+		r.Wait = max(0, r.Wait-time.Since(start))
+		r.Due = max(0, r.Due-time.Since(start))
+		p.send(cand, homes.Ask{VM: p.vm, Number: id, Want: r})
+		timer := time.NewTimer(interval)
 		select {
-		case a := <-ch:
-			again.Stop()
-			if a.State != homes.Waiting {
-				return a, nil
+		case resp := <-ch:
+			timer.Stop()
+			if resp.State != homes.Waiting {
+				return resp, nil
 			}
-			heard, every = time.Now(), renewEvery
-			if a, ok := d.await(ctx, ch, renewEvery); ok {
-				return a, nil
+			lastHeard, interval = time.Now(), renewInterval
+			if resp, ok := p.awaitDecision(ctx, ch, renewInterval); ok {
+				return resp, nil
 			}
-		case <-again.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			again.Stop()
+			timer.Stop()
 		}
 		if err := ctx.Err(); err != nil {
 			return homes.Answer{}, err
 		}
-		if time.Since(heard) >= repeats*every {
-			return homes.Answer{}, errSilent
+		if time.Since(lastHeard) >= maxTries*interval {
+			return homes.Answer{}, errNoResponse
 		}
 	}
 }
 
-// await waits for the decision on an ask that waits.
-func (d *Desk) await(ctx context.Context, ch chan homes.Answer, limit time.Duration) (homes.Answer, bool) {
-	t := time.NewTimer(limit)
+// awaitDecision waits for the decision on a queued request.
+func (p *Desk) awaitDecision(ctx context.Context, ch chan homes.Answer, timeout time.Duration) (homes.Answer, bool) {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	for {
 		select {
-		case a := <-ch:
-			if a.State != homes.Waiting {
-				return a, true
+		case resp := <-ch:
+			if resp.State != homes.Waiting {
+				return resp, true
 			}
 		case <-t.C:
 			return homes.Answer{}, false
@@ -281,10 +285,10 @@
 	}
 }
 
-func (d *Desk) send(p hubs.Rank, a homes.Ask) {
-	if p.Addr.IsValid() {
-		d.post.Ask(p.Addr, a)
+func (p *Desk) send(cand hubs.Rank, r homes.Ask) {
+	if cand.Addr.IsValid() {
+		p.transport.Ask(cand.Addr, r)
 		return
 	}
-	d.home.Take(a, d.Answered, time.Now())
+	p.coordinator.Take(r, p.Answered, time.Now())
 }
--- a/internal/route/desk/doc.go
+++ b/internal/route/desk/doc.go
@@ -1,4 +1,4 @@
-// Package desk places the runs of one VM: it asks the service's home, the VM
-// that takes its place if the home is silent, and decides alone if that is
-// silent too.
+// Package placer places the runs of one VM. It asks the service's coordinator,
+// then the VM that is next in order if the coordinator does not respond, and
+// places the run itself if neither responds.
 package desk
--- a/internal/route/desk/size_test.go
+++ b/internal/route/desk/size_test.go
@@ -31,7 +31,7 @@
 func (c *placementCounts) servedShare() float64 { return c.served / c.requested }
 
 // TestLargestPrompts guards against rejecting calls mainly because their prompts are large.
-// Long runs keep the engines full while short calls request room; a tenth of the short calls
+// Long runs keep the engines full while short calls request capacity; a tenth of the short calls
 // have prompts of 5,600 tokens, the others of 2,200. The served share of the largest tenth
 // must be at least half of that of all short calls.
 func TestLargestPrompts(t *testing.T) {
@@ -40,7 +40,7 @@
 		patience = 6 * time.Second
 		engines  = 8
 	)
-	trial(t, 4, engines, func(t *testing.T, f *fleet) {
+	testFleet(t, 4, engines, func(t *testing.T, f *fleet) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		var short, largest, long placementCounts
 		var calls errgroup.Group
@@ -48,23 +48,23 @@
 			v := f.vms[n%len(f.vms)]
 			if n%2 == 0 {
 				calls.Go(func() error {
-					w := want()
-					w.Due = room.Due(1800*time.Millisecond, 0, w.Read)
-					w.Wait = room.Wait(w.Due, 39*time.Second, 0)
-					_, err := f.take(v, w, 1200*time.Millisecond)
+					r := newCall()
+					r.Due = room.Due(1800*time.Millisecond, 0, r.Read)
+					r.Wait = room.Wait(r.Due, 39*time.Second, 0)
+					_, err := f.placeAndHold(v, r, 1200*time.Millisecond)
 					long.record(err == nil)
 					return nil
 				})
 			} else {
 				large := n%20 == 1
 				calls.Go(func() error {
-					w := pick.Want{Service: service, Need: 2300, Read: 2200, Memory: memory, From: "a"}
+					r := pick.Want{Service: service, Need: 2300, Read: 2200, Memory: memory, From: "a"}
 					if large {
-						w.Need, w.Read = 5700, 5600
+						r.Need, r.Read = 5700, 5600
 					}
-					w.Due = room.Due(target, 0, w.Read)
-					w.Wait = room.Wait(w.Due, patience, 0)
-					_, err := f.take(v, w, time.Duration(w.Read)*time.Second/14_000)
+					r.Due = room.Due(target, 0, r.Read)
+					r.Wait = room.Wait(r.Due, patience, 0)
+					_, err := f.placeAndHold(v, r, time.Duration(r.Read)*time.Second/14_000)
 					short.record(err == nil)
 					if large {
 						largest.record(err == nil)
--- a/internal/route/homes/doc.go
+++ b/internal/route/homes/doc.go
@@ -1,13 +1,17 @@
-// Package homes decides at which engine a run goes, at one VM for all.
+// Package coord implements the coordinator of a service: the VM that decides,
+// for all VMs, on which engine each run is placed.
 //
-// A service's home is the first VM of an order that all VMs agree on. The
-// others ask it for room and tell it what their runs take, so that it alone
-// fills the engines: VMs that decide by themselves all choose the engine that
-// they see room at. Who finds no room waits at the home, by urgency, and is refused
-// at once if the wait would be too long.
+// The coordinator is the first VM of an order that all VMs agree on; logs and
+// metrics call it the service's home. The other VMs send it placement requests
+// and report the load of their runs, so that only one VM allocates the
+// engines' capacity: VMs that decide independently all choose the same engine
+// with free capacity. A run for which no engine has capacity is queued at the
+// coordinator by priority, and rejected at once if the estimated wait is too
+// long.
 //
-// A home keeps nothing that must last. The next VM in the order is told the
-// same, and takes over as soon as askers get no answer; a VM that gets none
-// from either decides by itself. Two VMs that both decide only fill engines
-// over, which the engines themselves refuse.
+// The coordinator holds no state that must survive it. The next VM in the order
+// receives the same load reports and takes over as soon as requests to the
+// first are not answered; a VM that gets no response from either places its
+// runs itself. Two VMs that place runs concurrently can only overcommit
+// engines, and an overcommitted engine rejects the run.
 package homes
--- a/internal/route/homes/home.go
+++ b/internal/route/homes/home.go
@@ -14,427 +14,435 @@
 )
 
 const (
-	// grantTime is how long a grant counts beside what VMs tell: the asker has
-	// taken it and told of it by then, though a message is lost.
-	grantTime = 60 * time.Millisecond
-	// askTime is how long an ask waits without being asked again: its VM is
-	// dead, or its client has left.
-	askTime = 500 * time.Millisecond
-	// keepTime is how long an answer is given again to an ask that is repeated.
-	keepTime = time.Second
-	// lookEvery is how often those who wait are looked at beside changes.
-	lookEvery = 10 * time.Millisecond
-	// rateSpan is the time over which the rate of grants is taken.
-	rateSpan = time.Second
-	// leastBusy is how long some must have waited for the rate to be known.
-	leastBusy = 100 * time.Millisecond
-	// mostLate is how many calls that can't begin in time wait for room that the
-	// others leave. The others are refused at once.
-	mostLate = 16
-	// markTime is how long a refused request is remembered, so that it does not
-	// take the room of one that can still begin in time when it comes back.
-	markTime = 15 * time.Second
-	// LeastRetry and mostRetry bound the time after which a refused run comes
-	// back. Who is refused found all lanes full, which lasts.
-	LeastRetry = 4 * time.Second
-	mostRetry  = 12 * time.Second
+	// grantTTL is how long a grant is added to the reported loads. By then the
+	// VM that got it has reported the run in its own load, even if one message
+	// was lost.
+	grantTTL = 60 * time.Millisecond
+	// requestTTL is how long a queued request is kept without being repeated.
+	// After that its VM is down or its client has disconnected.
+	requestTTL = 500 * time.Millisecond
+	// responseTTL is how long a response is kept for repetitions of its request.
+	responseTTL = time.Second
+	// serveInterval is how often the queues are served, in addition to when
+	// capacity may have changed.
+	serveInterval = 10 * time.Millisecond
+	// rateWindow is the time constant of the moving average of granted tokens.
+	rateWindow = time.Second
+	// minBusyTime is how long the queues must have been non-empty before the grant
+	// rate is used for estimates.
+	minBusyTime = 100 * time.Millisecond
+	// maxLate is the maximum number of queued calls that cannot start in time. They
+	// get the capacity that other calls leave; calls beyond this number are
+	// rejected at once.
+	maxLate = 16
+	// refusedTTL is how long a rejected call is remembered. If the client repeats
+	// it within this time, it does not take capacity from calls that can still
+	// start in time.
+	refusedTTL = 15 * time.Second
+	// MinRetryAfter and maxRetryAfter bound the retry delay given to a rejected
+	// run. A rejection means that all priority levels were full, which does not
+	// change quickly.
+	MinRetryAfter = 4 * time.Second
+	maxRetryAfter = 12 * time.Second
 )
 
-// Ask is one want of a VM.
+// Request is a VM's request to place one run.
 type Ask struct {
 	VM     ident.VM
-	Number uint64 // of the ask, within all that the VM asks
+	Number uint64 // unique among the VM's requests
 	Want   pick.Want
 }
 
-// State is what becomes of an ask.
+// State is the state of a request.
 type State uint8
 
-// The states.
+// The states of a request.
 const (
-	Waiting State = iota // there is no room yet
+	Waiting State = iota // queued until an engine has capacity
 	Granted
-	Full     // there will be no room in time
-	NoServer // no server takes work
+	Full     // rejected: no engine will have capacity in time
+	NoServer // rejected: no server accepts work
 )
 
-// Answer answers an ask.
+// Response is the coordinator's response to a Request.
 type Answer struct {
 	Number uint64
 	State  State
-	Server ident.Server  // if granted
-	Backup ident.Server  // empty: none
-	Ahead  int           // runs that wait before this one
-	Retry  time.Duration // when there is likely to be room, if full
+	Server ident.Server  // set if granted
+	Backup ident.Server  // keeps a copy of the KV cache; empty: none
+	Ahead  int           // runs queued before this one
+	Retry  time.Duration // delay after which capacity is likely, if rejected for lack of it
 }
 
-// Home decides for all VMs that ask it. It is safe for use by several
-// goroutines.
+// Coordinator places the runs of all VMs that send it requests. It is safe for
+// concurrent use.
 type Home struct {
 	chooser *pick.Chooser
 
-	mu     sync.Mutex
-	asks   map[askKey]*ask
-	lines  map[ident.Service]*line
-	grants []grant
-	marks  map[uint64]time.Time // requests that were refused, and when
+	mu       sync.Mutex
+	requests map[requestKey]*request
+	queues   map[ident.Service]*serviceQueue
+	grants   []grant
+	refused  map[uint64]time.Time // time of the last rejection, by retry key
 }
 
-type askKey struct {
-	vm     ident.VM
-	number uint64
+type requestKey struct {
+	vm ident.VM
+	id uint64
 }
 
-// ask is an ask that waits or was answered.
-type ask struct {
+// request is a queued or answered Request.
+type request struct {
 	Ask
-	reply  func(Answer)
-	heard  time.Time
-	due    time.Time // after it the run begins late
-	end    time.Time // of the wait
-	answer Answer
-	lane   int
-	entry  *queue.Entry[*ask]
+	respond  func(Answer)
+	lastSeen time.Time
+	startBy  time.Time // latest start that is in time
+	deadline time.Time // end of the wait
+	response Answer
+	level    int
+	entry    *queue.Entry[*request]
 }
 
-// Lanes of those who wait, in the order in which they are served.
+// Priority levels of queued requests, in the order in which they are served.
 const (
-	movesLane = iota // runs that have to leave their engines
-	callsLane        // calls that can still begin in time
-	lateLane         // calls that can't
-	lanes
+	migrationLevel = iota // runs that have to leave their engines
+	onTimeLevel           // calls that can still start in time
+	lateLevel             // calls that cannot start in time
+	numLevels
 )
 
-// line holds the asks that wait for room at a service's engines.
-type line struct {
-	queues [lanes]*queue.Queue[*ask]
-	short  bool           // moves wait for room, not for a link
-	urgent int            // tokens that wait of moves and the most urgent calls
-	need   [lanes]int     // tokens that wait
-	rate   [lanes]float64 // tokens granted in a second, lately, while others wait
-	busy   time.Time      // since when there are always some who wait
-	at     time.Time      // when the rates were last brought up to date
+// serviceQueue holds the requests queued for capacity on a service's engines.
+type serviceQueue struct {
+	queues            [numLevels]*queue.Queue[*request]
+	migrationsBlocked bool               // a migration waits for capacity rather than for a link
+	urgentTokens      int                // tokens of queued migrations and of queued calls of rank 0
+	queuedTokens      [numLevels]int     // tokens of queued requests
+	grantRate         [numLevels]float64 // recently granted tokens per second while the queues were non-empty
+	busySince         time.Time          // since when the queues have been non-empty
+	updatedAt         time.Time          // when the rates were last updated
 }
 
-// grant is room given to a VM that may not have told of it yet.
+// grant is capacity given to a VM that may not have reported it yet.
 type grant struct {
 	server ident.Server
 	load   seats.Load
 	until  time.Time
 }
 
-// NewHome makes a home at which nobody waits.
+// New returns a Coordinator without queued requests.
 func NewHome(c *pick.Chooser) *Home {
-	return &Home{chooser: c, asks: make(map[askKey]*ask), lines: make(map[ident.Service]*line), marks: make(map[uint64]time.Time)}
+	return &Home{chooser: c, requests: make(map[requestKey]*request), queues: make(map[ident.Service]*serviceQueue), refused: make(map[uint64]time.Time)}
 }
 
-// Run serves those who wait until ctx ends.
-func (h *Home) Run(ctx context.Context) {
-	t := time.NewTicker(lookEvery)
+// Run serves the queued requests until ctx ends.
+func (c *Home) Run(ctx context.Context) {
+	t := time.NewTicker(serveInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-h.chooser.Changed():
+		case <-c.chooser.Changed():
 		case <-t.C:
 		}
-		h.serve(time.Now())
+		c.serve(time.Now())
 	}
 }
 
-// Take takes an ask, or one that is repeated. It calls reply with each answer;
-// a reply must not call the home.
-func (h *Home) Take(a Ask, reply func(Answer), now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	key := askKey{vm: a.VM, number: a.Number}
-	old := h.asks[key]
+// Submit handles a new or repeated request. It calls reply with each response;
+// reply must not call the Coordinator.
+func (c *Home) Take(r Ask, reply func(Answer), now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := requestKey{vm: r.VM, id: r.Number}
+	old := c.requests[key]
 	if old != nil {
-		old.heard, old.reply = now, reply
-		reply(old.answer)
+		old.lastSeen, old.respond = now, reply
+		reply(old.response)
 		return
 	}
-	n := &ask{
-		Ask: a, reply: reply, heard: now, due: now.Add(a.Want.Due), end: now.Add(a.Want.Wait),
-		answer: Answer{Number: a.Number},
+	req := &request{
+		Ask: r, respond: reply, lastSeen: now, startBy: now.Add(r.Want.Due), deadline: now.Add(r.Want.Wait),
+		response: Answer{Number: r.Number},
 	}
-	if at, ok := h.marks[a.Want.Mark]; ok && now.Sub(at) < markTime {
-		n.due = now
+	if at, ok := c.refused[r.Want.Mark]; ok && now.Sub(at) < refusedTTL {
+		req.startBy = now
 	}
-	h.asks[key] = n
-	h.chooser.Failed(a.Want.Failed, now)
-	l := h.line(a.Want.Service)
-	l.fade(now)
-	if !l.before(n) {
-		if done, _ := h.try(l, n, now); done {
+	c.requests[key] = req
+	c.chooser.Failed(r.Want.Failed, now)
+	sq := c.queueFor(r.Want.Service)
+	sq.decayRates(now)
+	if !sq.mustQueue(req) {
+		if done, _ := c.tryPlace(sq, req, now); done {
 			return
 		}
 	}
-	n.answer.Ahead = l.waiting()
-	if !l.enter(n, now) {
-		h.refuse(l, n)
+	req.response.Ahead = sq.queueLen()
+	if !sq.enqueue(req, now) {
+		c.refuse(sq, req)
 		return
 	}
-	reply(n.answer)
+	reply(req.response)
 }
 
-// Waiting returns how many asks wait at this home, of all services.
-func (h *Home) Waiting() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// QueueLen returns the number of queued requests of all services.
+func (c *Home) Waiting() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, l := range h.lines {
-		n += l.waiting()
+	for _, sq := range c.queues {
+		n += sq.queueLen()
 	}
 	return n
 }
 
-func (h *Home) line(s ident.Service) *line {
-	l := h.lines[s]
-	if l == nil {
-		l = &line{}
-		for i := range l.queues {
-			l.queues[i] = queue.New[*ask]()
+func (c *Home) queueFor(s ident.Service) *serviceQueue {
+	sq := c.queues[s]
+	if sq == nil {
+		sq = &serviceQueue{}
+		for i := range sq.queues {
+			sq.queues[i] = queue.New[*request]()
 		}
-		h.lines[s] = l
+		c.queues[s] = sq
 	}
-	return l
+	return sq
 }
 
-// serve gives room to those who wait, in their order, until there is none.
-func (h *Home) serve(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, l := range h.lines {
-		l.fade(now)
-		l.short = !h.serveMoves(l, now)
-		room := !l.short
-		for lane := callsLane; lane < lanes; lane++ {
-			room = h.serveLane(l, lane, room, now)
+// serve grants capacity to queued requests, in order, until there is none left.
+func (c *Home) serve(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, sq := range c.queues {
+		sq.decayRates(now)
+		sq.migrationsBlocked = !c.serveMigrations(sq, now)
+		hasCapacity := !sq.migrationsBlocked
+		for level := onTimeLevel; level < numLevels; level++ {
+			hasCapacity = c.serveLevel(sq, level, hasCapacity, now)
 		}
 	}
-	for key, a := range h.asks {
-		if a.entry == nil && now.Sub(a.heard) > keepTime {
-			delete(h.asks, key)
+	for key, r := range c.requests {
+		if r.entry == nil && now.Sub(r.lastSeen) > responseTTL {
+			delete(c.requests, key)
 		}
 	}
-	for mark, at := range h.marks {
-		if now.Sub(at) > markTime {
-			delete(h.marks, mark)
+	for key, at := range c.refused {
+		if now.Sub(at) > refusedTTL {
+			delete(c.refused, key)
 		}
 	}
 }
 
-// serveMoves gives room to the runs that leave their engines, one of each
-// engine at a time: caches that share a link all arrive late. It reports
-// whether none lacks room.
-func (h *Home) serveMoves(l *line, now time.Time) bool {
-	room := true
-	for _, e := range l.queues[movesLane].Sorted() {
-		a := e.Value
+// serveMigrations grants capacity to migrating runs, one per source engine at a
+// time: KV caches that share a link would all arrive late. It reports whether
+// no migration lacks capacity.
+func (c *Home) serveMigrations(sq *serviceQueue, now time.Time) bool {
+	hasCapacity := true
+	for _, e := range sq.queues[migrationLevel].Sorted() {
+		r := e.Value
 		switch {
-		case now.Sub(a.heard) > askTime:
-			l.drop(a)
-		case now.After(a.end):
-			l.drop(a)
-			h.refuse(l, a)
-		case room:
-			granted, short := h.try(l, a, now)
+		case now.Sub(r.lastSeen) > requestTTL:
+			sq.remove(r)
+		case now.After(r.deadline):
+			sq.remove(r)
+			c.refuse(sq, r)
+		case hasCapacity:
+			granted, noCapacity := c.tryPlace(sq, r, now)
 			if granted {
-				l.drop(a)
+				sq.remove(r)
 			}
-			room = !short
+			hasCapacity = !noCapacity
 		}
 	}
-	return room
+	return hasCapacity
 }
 
-// serveLane ends waits that are over and gives room to the others, if there is
-// any. It reports whether there may be more room.
-func (h *Home) serveLane(l *line, lane int, room bool, now time.Time) bool {
+// serveLevel removes expired requests of a level and grants capacity to the
+// others. It reports whether there may be capacity left.
+func (c *Home) serveLevel(sq *serviceQueue, level int, hasCapacity bool, now time.Time) bool {
 	for {
-		e := l.queues[lane].Peek()
+		e := sq.queues[level].Peek()
 		if e == nil {
-			return room
+			return hasCapacity
 		}
-		a := e.Value
+		r := e.Value
 		switch {
-		case now.Sub(a.heard) > askTime:
-			l.drop(a)
-		case lane == callsLane && now.After(a.due):
-			l.drop(a)
-			if !l.enter(a, now) {
-				h.refuse(l, a)
+		case now.Sub(r.lastSeen) > requestTTL:
+			sq.remove(r)
+		case level == onTimeLevel && now.After(r.startBy):
+			sq.remove(r)
+			if !sq.enqueue(r, now) {
+				c.refuse(sq, r)
 			}
-		case now.After(a.end):
-			l.drop(a)
-			h.refuse(l, a)
-		case room:
-			if granted, _ := h.try(l, a, now); !granted {
+		case now.After(r.deadline):
+			sq.remove(r)
+			c.refuse(sq, r)
+		case hasCapacity:
+			if granted, _ := c.tryPlace(sq, r, now); !granted {
 				return false
 			}
-			l.drop(a)
+			sq.remove(r)
 		default:
 			return false
 		}
 	}
 }
 
-// try gives the ask room if there is any, or tells it that there is no server.
-// It reports whether the ask was answered, and if not, whether it is for want
-// of room.
-func (h *Home) try(l *line, a *ask, now time.Time) (done, short bool) {
-	spot, err := h.chooser.Choose(&a.Want, h.pending(now), now)
+// tryPlace grants the request capacity, or answers it with NoServer. It reports
+// whether the request was answered, and if not, whether the reason is a lack of
+// capacity rather than a busy link.
+func (c *Home) tryPlace(sq *serviceQueue, r *request, now time.Time) (done, noCapacity bool) {
+	placement, err := c.chooser.Choose(&r.Want, c.pendingGrants(now), now)
 	switch {
 	case errors.Is(err, pick.ErrNoServer):
-		a.answer.State = NoServer
+		r.response.State = NoServer
 	case err != nil:
 		var full *pick.NoRoomError
 		return false, !errors.As(err, &full) || !full.Link
 	default:
-		a.answer.State, a.answer.Server = Granted, spot.Server.ID
-		h.grants = append(h.grants, grant{server: spot.Server.ID, load: a.Want.Load(), until: now.Add(grantTime)})
-		if a.Want.Source != "" {
-			h.grants = append(h.grants, grant{server: a.Want.Source, load: seats.Load{Sends: 1}, until: now.Add(grantTime)})
+		r.response.State, r.response.Server = Granted, placement.Server.ID
+		c.grants = append(c.grants, grant{server: placement.Server.ID, load: r.Want.Load(), until: now.Add(grantTTL)})
+		if r.Want.Source != "" {
+			c.grants = append(c.grants, grant{server: r.Want.Source, load: seats.Load{Sends: 1}, until: now.Add(grantTTL)})
 		}
-		if spot.Backup != nil {
-			a.answer.Backup = spot.Backup.ID
-			h.grants = append(h.grants, grant{server: spot.Backup.ID, load: a.Want.BackupLoad(), until: now.Add(grantTime)})
+		if placement.Backup != nil {
+			r.response.Backup = placement.Backup.ID
+			c.grants = append(c.grants, grant{server: placement.Backup.ID, load: r.Want.BackupLoad(), until: now.Add(grantTTL)})
 		}
-		l.rate[a.laneAt(now)] += float64(a.Want.Need) / rateSpan.Seconds()
+		sq.grantRate[r.levelAt(now)] += float64(r.Want.Need) / rateWindow.Seconds()
 	}
-	a.reply(a.answer)
+	r.respond(r.response)
 	return true, false
 }
 
-// refuse tells the ask that there will be no room in time.
-func (h *Home) refuse(l *line, a *ask) {
-	if a.Want.Mark != 0 {
-		h.marks[a.Want.Mark] = a.heard
+// refuse answers the request with NoCapacity.
+func (c *Home) refuse(sq *serviceQueue, r *request) {
+	if r.Want.Mark != 0 {
+		c.refused[r.Want.Mark] = r.lastSeen
 	}
-	a.answer.State = Full
-	a.answer.Retry = min(max(l.outlook(a, callsLane), LeastRetry), mostRetry)
-	a.reply(a.answer)
+	r.response.State = Full
+	r.response.Retry = min(max(sq.estimateWait(r, onTimeLevel), MinRetryAfter), maxRetryAfter)
+	r.respond(r.response)
 }
 
-// pending returns the grants that VMs may not have told of yet.
-func (h *Home) pending(now time.Time) map[ident.Server]seats.Load {
+// pendingGrants returns the granted loads that VMs may not have reported yet.
+func (c *Home) pendingGrants(now time.Time) map[ident.Server]seats.Load {
 	n := 0
-	for n < len(h.grants) && now.After(h.grants[n].until) {
+	for n < len(c.grants) && now.After(c.grants[n].until) {
 		n++
 	}
-	h.grants = h.grants[n:]
-	out := make(map[ident.Server]seats.Load, len(h.grants))
-	for _, g := range h.grants {
+	c.grants = c.grants[n:]
+	out := make(map[ident.Server]seats.Load, len(c.grants))
+	for _, g := range c.grants {
 		out[g.server] = out[g.server].Plus(g.load)
 	}
 	return out
 }
 
-// fade brings the rates of grants up to date. While nobody waits, they say
-// nothing of what the engines could take.
-func (l *line) fade(now time.Time) {
-	if l.waiting() == 0 {
-		l.rate = [lanes]float64{}
-		l.busy, l.at = now, now
+// decayRates updates the grant rates. It resets them while the queues are empty,
+// because they then say nothing about the engines' throughput.
+func (sq *serviceQueue) decayRates(now time.Time) {
+	if sq.queueLen() == 0 {
+		sq.grantRate = [numLevels]float64{}
+		sq.busySince, sq.updatedAt = now, now
 		return
 	}
-	d := now.Sub(l.at)
-	if d <= 0 {
+	elapsed := now.Sub(sq.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	for i := range l.rate {
-		l.rate[i] *= math.Exp(-d.Seconds() / rateSpan.Seconds())
+	for i := range sq.grantRate {
+		sq.grantRate[i] *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
 	}
-	l.at = now
+	sq.updatedAt = now
 }
 
-func (l *line) waiting() int {
+func (sq *serviceQueue) queueLen() int {
 	n := 0
-	for _, q := range l.queues {
+	for _, q := range sq.queues {
 		n += q.Len()
 	}
 	return n
 }
 
-// laneAt returns the lane of an ask at a moment.
-func (a *ask) laneAt(now time.Time) int {
+// levelAt returns the priority level of the request at a given time.
+func (r *request) levelAt(now time.Time) int {
 	switch {
-	case a.Want.Use != pick.Call:
-		return movesLane
-	case !now.Before(a.due):
-		return lateLane
+	case r.Want.Use != pick.Call:
+		return migrationLevel
+	case !now.Before(r.startBy):
+		return lateLevel
 	default:
-		return callsLane
+		return onTimeLevel
 	}
 }
 
-// before reports whether others have to be served before a new ask.
-func (l *line) before(a *ask) bool {
-	if a.Want.Use != pick.Call {
-		return l.short
+// mustQueue reports whether other requests have to be served before a new one.
+func (sq *serviceQueue) mustQueue(r *request) bool {
+	if r.Want.Use != pick.Call {
+		return sq.migrationsBlocked
 	}
-	return l.short || l.queues[callsLane].Len() > 0
+	return sq.migrationsBlocked || sq.queues[onTimeLevel].Len() > 0
 }
 
-// urgent reports whether a goes before the calls that are not urgent.
-func (a *ask) urgent() bool { return a.Want.Use != pick.Call || a.Want.Rank == 0 }
+// isUrgent reports whether the request is a migration or has rank 0, and so precedes
+// the other calls.
+func (r *request) isUrgent() bool { return r.Want.Use != pick.Call || r.Want.Rank == 0 }
 
-// never is an outlook beyond all waits.
-const never = time.Hour
+// maxEstimate caps wait estimates; it is longer than any wait.
+const maxEstimate = time.Hour
 
-// outlook returns how long it takes to serve a and all that go before it in a
-// lane, at the rate of the last second; zero if that is not known.
-func (l *line) outlook(a *ask, lane int) time.Duration {
-	need, rate := a.Want.Need, 0.0
-	for i := range lane + 1 {
-		need += l.need[i]
-		rate += l.rate[i]
+// estimateWait returns how long it takes to serve the request and all that
+// precede it at a level, at the recent grant rate; zero if that is not known.
+func (sq *serviceQueue) estimateWait(r *request, level int) time.Duration {
+	tokens, rate := r.Want.Need, 0.0
+	for i := range level + 1 {
+		tokens += sq.queuedTokens[i]
+		rate += sq.grantRate[i]
 	}
-	if a.urgent() {
-		need = a.Want.Need + l.urgent
+	if r.isUrgent() {
+		tokens = r.Want.Need + sq.urgentTokens
 	}
-	busy := l.at.Sub(l.busy)
-	if busy < leastBusy {
+	busy := sq.updatedAt.Sub(sq.busySince)
+	if busy < minBusyTime {
 		return 0
 	}
-	known := 1 - math.Exp(-busy.Seconds()/rateSpan.Seconds())
-	seconds := float64(need) * known / rate
-	if seconds > never.Seconds() {
-		return never
+	known := 1 - math.Exp(-busy.Seconds()/rateWindow.Seconds())
+	seconds := float64(tokens) * known / rate
+	if seconds > maxEstimate.Seconds() {
+		return maxEstimate
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// enter lets the ask wait, or reports that it would wait in vain.
-func (l *line) enter(a *ask, now time.Time) bool {
-	lane := a.laneAt(now)
-	if lane == callsLane && l.outlook(a, lane) > a.due.Sub(now) {
-		lane = lateLane
+// enqueue queues the request, or reports false if it would not be served in
+// time.
+func (sq *serviceQueue) enqueue(r *request, now time.Time) bool {
+	level := r.levelAt(now)
+	if level == onTimeLevel && sq.estimateWait(r, level) > r.startBy.Sub(now) {
+		level = lateLevel
 	}
-	left := a.end.Sub(now)
-	if left <= 0 || lane == lateLane && l.queues[lane].Len() >= mostLate {
+	remaining := r.deadline.Sub(now)
+	if remaining <= 0 || level == lateLevel && sq.queues[level].Len() >= maxLate {
 		return false
 	}
-	bound := left
-	if lane == callsLane {
-		bound = a.due.Sub(now)
+	bound := remaining
+	if level == onTimeLevel {
+		bound = r.startBy.Sub(now)
 	}
-	a.lane = lane
-	a.entry = l.queues[lane].Push(a, a.Want.Rank, now, bound)
-	l.count(a, a.Want.Need)
+	r.level = level
+	r.entry = sq.queues[level].Push(r, r.Want.Rank, now, bound)
+	sq.addTokens(r, r.Want.Need)
 	return true
 }
 
-func (l *line) drop(a *ask) {
-	l.queues[a.lane].Remove(a.entry)
-	a.entry = nil
-	l.count(a, -a.Want.Need)
+func (sq *serviceQueue) remove(r *request) {
+	sq.queues[r.level].Remove(r.entry)
+	r.entry = nil
+	sq.addTokens(r, -r.Want.Need)
 }
 
-func (l *line) count(a *ask, need int) {
-	l.need[a.lane] += need
-	if a.urgent() {
-		l.urgent += need
+func (sq *serviceQueue) addTokens(r *request, tokens int) {
+	sq.queuedTokens[r.level] += tokens
+	if r.isUrgent() {
+		sq.urgentTokens += tokens
 	}
 }
--- a/internal/route/homes/home_bench_test.go
+++ b/internal/route/homes/home_bench_test.go
@@ -13,7 +13,7 @@
 	"umberladder/internal/state/backs"
 )
 
-// BenchmarkTake asks a home for room at one of some engines, as 62 VMs use them.
+// BenchmarkTake places runs on different numbers of engines that 62 VMs use.
 func BenchmarkTake(b *testing.B) {
 	for _, engines := range []int{12, 44, 357} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -30,13 +30,13 @@
 				}
 				book.Hear(ident.VM(fmt.Sprint(vm)), 1, 1, 0, load, time.Now().Add(time.Hour))
 			}
-			h := NewHome(pick.NewChooser(table, book, health.New(), rates.New(nil, nil)))
+			c := NewHome(pick.NewChooser(table, book, health.New(), rates.New(nil, nil)))
 			w := pick.Want{Service: "s", Need: 3300, Read: 3000, Memory: 1 << 20, From: "a", Due: time.Second, Wait: time.Second}
 			for n := range uint64(b.N) {
-				h.Take(Ask{VM: "vm", Number: n, Want: w}, func(Answer) {}, time.Now())
+				c.Take(Ask{VM: "vm", Number: n, Want: w}, func(Answer) {}, time.Now())
 				if n%100 == 0 {
-					h.serve(time.Now().Add(2 * time.Second)) // forgets what was answered
-					h.grants = nil
+					c.serve(time.Now().Add(2 * time.Second)) // drops the answered requests
+					c.grants = nil
 				}
 			}
 		})
