--- a/internal/route/desk/desk.go
+++ b/internal/route/desk/desk.go
@@ -101,7 +101,7 @@
 	start := time.Now()
 	r.Skip = append(slices.Clone(r.Skip), p.chooser.Paused(r.Service, start)...)
 	req := r
-	req.Skip = append(slices.Clone(r.Skip), p.chooser.Distrusted(r.Service, start)...)
+	req.Skip = append(slices.Clone(r.Skip), p.chooser.Unhealthy(r.Service, start)...)
 	for range maxUnusable {
 		resp, err := p.requestPlacement(ctx, req)
 		if err != nil {
--- a/internal/route/homes/home.go
+++ b/internal/route/homes/home.go
@@ -296,7 +296,7 @@
 		r.response.State = NoServer
 	case err != nil:
 		var full *pick.NoRoomError
-		return false, !errors.As(err, &full) || !full.Link
+		return false, !errors.As(err, &full) || !full.LinkBusy
 	default:
 		r.response.State, r.response.Server = Granted, placement.Server.ID
 		c.grants = append(c.grants, grant{server: placement.Server.ID, load: r.Want.Load(), until: now.Add(grantTTL)})
--- a/internal/route/pick/doc.go
+++ b/internal/route/pick/doc.go
@@ -1,6 +1,7 @@
-// Package pick chooses the engine for one run by what one VM knows of all
-// engines: their entries, what is under way at each, and which failed lately.
+// Package pick chooses the engine of one run by what this VM knows of all
+// engines: their entries in the server table, the work in flight at each, and
+// which failed recently.
 //
-// The choice itself is that of policy/assign. Whoever decides for others, the
-// home of a service, and a VM that has to decide alone choose in the same way.
+// The choice itself is made by policy/assign. The coordinator of a service and a
+// VM that places its runs itself choose in the same way.
 package pick
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -13,41 +13,42 @@
 	"umberladder/internal/state/backs"
 )
 
-// Chooser chooses engines by what this VM knows of all of them.
+// Chooser chooses engines by what this VM knows of all of them. It is safe for
+// concurrent use.
 type Chooser struct {
 	servers *backs.Table
-	seats   *seats.Book
+	tracker *seats.Book
 	health  *health.Book
 	rates   *rates.Book
 
-	mu      sync.Mutex
-	shunned map[ident.Server]time.Time // until when
-	lostAt  time.Time                  // when a server was last found gone without notice
+	mu         sync.Mutex
+	avoidUntil map[ident.Server]time.Time // by server, until when it gets no runs
+	lastLossAt time.Time                  // when a server was last found lost without notice
 }
 
-// NewChooser makes a chooser.
-func NewChooser(servers *backs.Table, book *seats.Book, h *health.Book, r *rates.Book) *Chooser {
-	return &Chooser{servers: servers, seats: book, health: h, rates: r, shunned: make(map[ident.Server]time.Time)}
+// NewChooser returns a Chooser.
+func NewChooser(servers *backs.Table, tracker *seats.Book, h *health.Book, r *rates.Book) *Chooser {
+	return &Chooser{servers: servers, tracker: tracker, health: h, rates: r, avoidUntil: make(map[ident.Server]time.Time)}
 }
 
 // View returns the servers known now.
 func (c *Chooser) View() *backs.View { return c.servers.View() }
 
-// Changed returns a channel that is closed once there may be more room.
-func (c *Chooser) Changed() <-chan struct{} { return c.seats.Changed() }
+// Changed returns a channel that is closed once capacity may have become free.
+func (c *Chooser) Changed() <-chan struct{} { return c.tracker.Changed() }
 
-// Distrusted returns the service's servers that failed calls of this VM lately.
-func (c *Chooser) Distrusted(service ident.Service, now time.Time) []ident.Server {
+// Unhealthy returns the service's servers that recently failed calls of this VM.
+func (c *Chooser) Unhealthy(service ident.Service, now time.Time) []ident.Server {
 	var out []ident.Server
 	for _, s := range c.servers.View().Service(service) {
-		if c.health.Weight(s.ID, now) < distrust {
+		if c.health.Weight(s.ID, now) < unhealthyWeight {
 			out = append(out, s.ID)
 		}
 	}
 	return out
 }
 
-// Paused returns the service's servers that want no calls of this VM now.
+// Paused returns the service's servers that asked this VM to send no calls now.
 func (c *Chooser) Paused(service ident.Service, now time.Time) []ident.Server {
 	var out []ident.Server
 	for _, s := range c.servers.View().Service(service) {
@@ -58,118 +59,120 @@
 	return out
 }
 
-// IsPaused reports whether a server wants no calls of this VM now.
+// IsPaused reports whether a server asked this VM to send no calls now.
 func (c *Chooser) IsPaused(id ident.Server, now time.Time) bool { return c.health.Paused(id, now) > 0 }
 
-// distrust is the weight under which a VM asks for another server: two failures
-// in a row without a success.
-const distrust = 0.45
+// unhealthyWeight is the health weight below which a VM requests another server:
+// two failures in a row without a success.
+const unhealthyWeight = 0.45
 
-// shunTime is how long a server that could not be connected to gets no runs.
-// Where all engines are full, one that is dead always has room. It is short, as one
-// that goes down and up by turns loses it of each turn.
-const shunTime = 400 * time.Millisecond
+// avoidTime is how long a server that refused a connection gets no runs. When
+// all engines are full, a terminated one always appears to have capacity. The
+// time is short because a server that is up and down by turns loses it after
+// each failure.
+const avoidTime = 400 * time.Millisecond
 
-// Failed notes servers that a VM could not connect to.
+// MarkUnreachable records servers that a VM could not connect to.
 func (c *Chooser) Failed(list []ident.Server, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range list {
-		c.shunned[id] = now.Add(shunTime)
-		c.lostAt = now
+		c.avoidUntil[id] = now.Add(avoidTime)
+		c.lastLossAt = now
 	}
-	for id, until := range c.shunned {
+	for id, until := range c.avoidUntil {
 		if now.After(until) {
-			delete(c.shunned, id)
+			delete(c.avoidUntil, id)
 		}
 	}
 }
 
-// riskTime is how long after a server was found gone without notice more copies
-// are kept for the next loss.
-const riskTime = 20 * time.Second
+// lossWindow is how long after a server was lost without notice more KV cache
+// copies are kept for the next loss.
+const lossWindow = 20 * time.Second
 
-// risky reports whether servers are lost without notice these days.
-func (c *Chooser) risky(now time.Time) bool {
+// hadRecentLoss reports whether a server was recently lost without notice.
+func (c *Chooser) hadRecentLoss(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.lostAt) < riskTime
+	return now.Sub(c.lastLossAt) < lossWindow
 }
 
-// shun reports whether a server is to get no runs now.
-func (c *Chooser) shun(id ident.Server, now time.Time) bool {
+// isAvoided reports whether a server gets no runs now.
+func (c *Chooser) isAvoided(id ident.Server, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Before(c.shunned[id])
+	return now.Before(c.avoidUntil[id])
 }
 
-// Choose returns the spot of a run, beside loads that no VM tells of yet. It
-// returns ErrNoServer or a *NoRoomError if there is none.
-func (c *Chooser) Choose(w *Want, pending map[ident.Server]seats.Load, now time.Time) (Spot, error) {
-	loads := c.seats.All(now)
+// Choose returns the placement of a run. pending are loads that no VM has
+// reported yet. It returns ErrNoServer or a *NoCapacityError if there is none.
+func (c *Chooser) Choose(r *Want, pending map[ident.Server]seats.Load, now time.Time) (Spot, error) {
+	loads := c.tracker.All(now)
 	for id, l := range pending {
 		loads[id] = loads[id].Plus(l)
 	}
-	// Caches that share a link all arrive late, after their engine has ended.
-	if w.Source != "" && loads[w.Source].Sends > 0 {
-		return Spot{}, &NoRoomError{Link: true}
+	// KV caches that share a link would all arrive late, after their engine has
+	// terminated.
+	if r.Source != "" && loads[r.Source].Sends > 0 {
+		return Spot{}, &NoRoomError{LinkBusy: true}
 	}
-	copies := c.fill(w, loads) < assign.CopyFill(c.risky(now))
-	if w.Use == Keep && !copies {
+	keepCopies := c.fillRatio(r, loads) < assign.CopyFill(c.hadRecentLoss(now))
+	if r.Use == Keep && !keepCopies {
 		return Spot{}, &NoRoomError{}
 	}
-	s, known := c.pick(w, w.Use, loads, w.From, w.Skip, now)
+	s, known := c.choose(r, r.Use, loads, r.From, r.Skip, now)
 	if !known {
 		return Spot{}, ErrNoServer
 	}
 	if s == nil {
 		return Spot{}, &NoRoomError{}
 	}
-	if w.Use != Keep {
+	if r.Use != Keep {
 		c.rates.Grant(s.ID, now)
 	}
-	spot := Spot{Server: s}
-	if w.Backup && copies {
-		skip := append(slices.Clone(w.Skip), s.ID)
-		spot.Backup, _ = c.pick(w, Keep, loads, s.Domain, skip, now)
+	placement := Spot{Server: s}
+	if r.Backup && keepCopies {
+		skip := append(slices.Clone(r.Skip), s.ID)
+		placement.Backup, _ = c.choose(r, Keep, loads, s.Domain, skip, now)
 	}
-	return spot, nil
+	return placement, nil
 }
 
-// pick returns an engine with room for a use of the run; known reports whether
-// there is an engine at all.
-func (c *Chooser) pick(w *Want, u Use, loads map[ident.Server]seats.Load, from ident.Domain, skip []ident.Server, now time.Time) (s *backs.Server, known bool) {
-	list := c.servers.View().Service(w.Service)
+// choose returns an engine with capacity for a purpose of the run; known reports
+// whether there is any engine that is not excluded.
+func (c *Chooser) choose(r *Want, purpose Use, loads map[ident.Server]seats.Load, from ident.Domain, skip []ident.Server, now time.Time) (s *backs.Server, known bool) {
+	list := c.servers.View().Service(r.Service)
 	servers := make([]assign.Server, len(list))
 	for i, s := range list {
 		l := loads[s.ID]
 		servers[i] = assign.Server{
 			Slots:   s.Slots,
-			Reads:   w.Read > 0,
-			Memory:  w.Memory,
+			Reads:   r.Read > 0,
+			Memory:  r.Memory,
 			Seats:   l.Seats,
 			Tokens:  l.Tokens,
 			Backlog: l.Backlog,
-			Copies:  u.behind(l),
+			Copies:  purpose.transfersAhead(l),
 			Far:     s.Domain != from,
 			Weight:  c.health.Weight(s.ID, now),
 			Skip:    slices.Contains(skip, s.ID),
 		}
 		known = known || !servers[i].Skip
-		servers[i].Skip = servers[i].Skip || c.shun(s.ID, now) || u != Keep && !c.rates.CanGrant(s.ID, now)
+		servers[i].Skip = servers[i].Skip || c.isAvoided(s.ID, now) || purpose != Keep && !c.rates.CanGrant(s.ID, now)
 	}
-	if i := assign.Choose(w.Need, u.share(), u.far(), servers, assign.Random()); i >= 0 {
+	if i := assign.Choose(r.Need, purpose.maxFill(), purpose.crossDomainWeight(), servers, assign.Random()); i >= 0 {
 		return list[i], true
 	}
 	return nil, known
 }
 
-// fill returns how full the service's engines are in all.
-func (c *Chooser) fill(w *Want, loads map[ident.Server]seats.Load) float64 {
-	list := c.servers.View().Service(w.Service)
+// fillRatio returns how full the service's engines are in total.
+func (c *Chooser) fillRatio(r *Want, loads map[ident.Server]seats.Load) float64 {
+	list := c.servers.View().Service(r.Service)
 	tokens := 0
 	for _, s := range list {
 		tokens += loads[s.ID].Tokens
 	}
-	return float64(tokens) / (float64(w.Memory) * float64(max(len(list), 1)))
+	return float64(tokens) / (float64(r.Memory) * float64(max(len(list), 1)))
 }
--- a/internal/route/seats/book.go
+++ b/internal/route/seats/book.go
@@ -8,24 +8,25 @@
 	"umberladder/internal/core/ident"
 )
 
-// PeerTTL is how long another VM's figures count without news of it. VMs tell
-// each other at least every half second, so three losses in a row are borne.
+// PeerTTL is how long another VM's loads count without a newer report. VMs
+// report at least every half second, so three lost reports in a row are
+// tolerated.
 const PeerTTL = 2 * time.Second
 
-// forgetPeer is how long the number of another VM's last message is kept: a
-// message can't be under way for longer.
-const forgetPeer = time.Minute
+// peerRetention is how long the sequence number of another VM's last report is
+// kept. No message is in transit for longer.
+const peerRetention = time.Minute
 
-// Load is work under way at one server.
+// Load is the work in flight at one server.
 type Load struct {
 	Seats   int // calls
-	Tokens  int // memory they are expected to take at their end
-	Backlog int // prompt tokens that are not known to be read yet
-	Copies  int // caches under way to it
-	Sends   int // caches under way from it, beside those that grow with their runs
+	Tokens  int // expected memory of the calls at their end
+	Backlog int // prompt tokens not known to be prefilled yet
+	Copies  int // KV caches in transit to the server
+	Sends   int // KV caches in transit from the server, except copies that grow with their runs
 }
 
-// Plus returns the loads together.
+// Plus returns the sum of the loads.
 func (l Load) Plus(o Load) Load {
 	return Load{Seats: l.Seats + o.Seats, Tokens: l.Tokens + o.Tokens, Backlog: l.Backlog + o.Backlog, Copies: l.Copies + o.Copies, Sends: l.Sends + o.Sends}
 }
@@ -34,176 +35,178 @@
 	return Load{Seats: l.Seats - o.Seats, Tokens: l.Tokens - o.Tokens, Backlog: l.Backlog - o.Backlog, Copies: l.Copies - o.Copies, Sends: l.Sends - o.Sends}
 }
 
-// Book holds the loads. It is safe for use by several goroutines.
+// Tracker tracks the loads of all VMs. It is safe for concurrent use.
 type Book struct {
-	mu      sync.Mutex
-	own     map[ident.Server]Load
-	peers   map[ident.VM]peer
-	others  map[ident.Server]Load // sum of the peers' loads
-	changed chan struct{}         // closed at the next change that may make room
-	dirty   chan struct{}         // has an element once own loads changed
+	mu        sync.Mutex
+	local     map[ident.Server]Load
+	peers     map[ident.VM]peer
+	peerTotal map[ident.Server]Load // sum of the peers' loads
+	changed   chan struct{}         // closed at the next change that may free capacity
+	dirty     chan struct{}         // has an element once local loads changed
 }
 
 type peer struct {
-	at   time.Time
-	boot uint64
-	seq  uint64
-	load map[ident.Server]Load
+	receivedAt time.Time
+	boot       uint64
+	seq        uint64
+	load       map[ident.Server]Load
 }
 
-// New makes an empty book.
+// New returns an empty Tracker.
 func New() *Book {
 	return &Book{
-		own:     make(map[ident.Server]Load),
-		peers:   make(map[ident.VM]peer),
-		others:  make(map[ident.Server]Load),
-		changed: make(chan struct{}),
-		dirty:   make(chan struct{}, 1),
+		local:     make(map[ident.Server]Load),
+		peers:     make(map[ident.VM]peer),
+		peerTotal: make(map[ident.Server]Load),
+		changed:   make(chan struct{}),
+		dirty:     make(chan struct{}, 1),
 	}
 }
 
-// Seat is one call's part of a server's load.
+// Reservation is one call's part of a server's load.
 type Seat struct {
-	book   *Book
-	server ident.Server
-	load   Load
-	ended  bool
-}
-
-// Take counts a call at a server.
-func (b *Book) Take(server ident.Server, l Load) *Seat {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.own[server] = b.own[server].Plus(l)
-	b.mark(l)
-	return &Seat{book: b, server: server, load: l}
-}
-
-// Resize changes what the call takes.
-func (s *Seat) Resize(l Load) {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	if s.ended || l == s.load {
+	tracker  *Book
+	server   ident.Server
+	load     Load
+	released bool
+}
+
+// Reserve adds a call to the load of a server.
+func (t *Book) Take(server ident.Server, l Load) *Seat {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.local[server] = t.local[server].Plus(l)
+	t.markDirty(l)
+	return &Seat{tracker: t, server: server, load: l}
+}
+
+// Resize changes the load of the call.
+func (r *Seat) Resize(l Load) {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if r.released || l == r.load {
 		return
 	}
-	s.book.own[s.server] = s.book.own[s.server].minus(s.load).Plus(l)
-	s.load = l
-	s.book.mark(l)
+	r.tracker.local[r.server] = r.tracker.local[r.server].minus(r.load).Plus(l)
+	r.load = l
+	r.tracker.markDirty(l)
 }
 
-// Load returns what the call takes.
-func (s *Seat) Load() Load {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	return s.load
+// Load returns the load of the call.
+func (r *Seat) Load() Load {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	return r.load
 }
 
-// Release ends the call's part. Further calls do nothing.
-func (s *Seat) Release() {
-	if s == nil {
+// Release removes the call's load. Further calls do nothing.
+func (r *Seat) Release() {
+	if r == nil {
 		return
 	}
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	if s.ended {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if r.released {
 		return
 	}
-	s.ended = true
-	left := s.book.own[s.server].minus(s.load)
-	if left == (Load{}) {
-		delete(s.book.own, s.server)
+	r.released = true
+	rest := r.tracker.local[r.server].minus(r.load)
+	if rest == (Load{}) {
+		delete(r.tracker.local, r.server)
 	} else {
-		s.book.own[s.server] = left
+		r.tracker.local[r.server] = rest
 	}
-	s.book.mark(s.load)
-	s.book.wake()
+	r.tracker.markDirty(r.load)
+	r.tracker.signalChanged()
 }
 
-// mark notes that own loads changed. Calls of plain servers are over before
-// others could act on them; they are told with the next regular message.
-func (b *Book) mark(l Load) {
+// markDirty records that local loads changed. Calls to plain servers end before
+// other VMs could use the information; they are reported with the next regular
+// message.
+func (t *Book) markDirty(l Load) {
 	if l.Tokens == 0 && l.Sends == 0 {
 		return
 	}
 	select {
-	case b.dirty <- struct{}{}:
+	case t.dirty <- struct{}{}:
 	default:
 	}
 }
 
-func (b *Book) wake() {
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (t *Book) signalChanged() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// Dirty has an element once own loads changed since the last receive.
-func (b *Book) Dirty() <-chan struct{} { return b.dirty }
+// Dirty returns a channel that has an element once local loads changed since the
+// last receive.
+func (t *Book) Dirty() <-chan struct{} { return t.dirty }
 
-// Changed returns a channel that is closed once there may be more room.
-func (b *Book) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+// Changed returns a channel that is closed once capacity may have become free.
+func (t *Book) Changed() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changed
 }
 
-// Own returns this VM's loads.
-func (b *Book) Own() map[ident.Server]Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return maps.Clone(b.own)
+// Local returns this VM's loads.
+func (t *Book) Own() map[ident.Server]Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return maps.Clone(t.local)
 }
 
-// Hear takes another VM's loads, unless later ones were heard already. Those of
-// further parts of the same message are added.
-func (b *Book) Hear(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[vm]
-	more := boot == p.boot && seq == p.seq && part > 0
-	if boot < p.boot || boot == p.boot && seq <= p.seq && !more {
+// UpdatePeer replaces another VM's loads, unless later ones were received before.
+// The loads of further parts of the same message are added.
+func (t *Book) Hear(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.peers[vm]
+	continued := boot == p.boot && seq == p.seq && part > 0
+	if boot < p.boot || boot == p.boot && seq <= p.seq && !continued {
 		return
 	}
 	for s, l := range load {
-		b.others[s] = b.others[s].Plus(l)
+		t.peerTotal[s] = t.peerTotal[s].Plus(l)
 	}
-	if more {
+	if continued {
 		maps.Copy(load, p.load)
 	} else {
-		b.forget(p)
+		t.subtract(p)
 	}
-	b.peers[vm] = peer{at: now, boot: boot, seq: seq, load: load}
-	b.wake()
+	t.peers[vm] = peer{receivedAt: now, boot: boot, seq: seq, load: load}
+	t.signalChanged()
 }
 
-// forget takes what a peer told out of the sum.
-func (b *Book) forget(p peer) {
+// subtract removes a peer's loads from the total.
+func (t *Book) subtract(p peer) {
 	for s, l := range p.load {
-		left := b.others[s].minus(l)
-		if left == (Load{}) {
-			delete(b.others, s)
+		rest := t.peerTotal[s].minus(l)
+		if rest == (Load{}) {
+			delete(t.peerTotal, s)
 			continue
 		}
-		b.others[s] = left
+		t.peerTotal[s] = rest
 	}
 }
 
-// All returns the loads of all VMs heard lately.
-func (b *Book) All(now time.Time) map[ident.Server]Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for vm, p := range b.peers {
-		if now.Sub(p.at) <= PeerTTL {
+// All returns the loads of all VMs that reported recently.
+func (t *Book) All(now time.Time) map[ident.Server]Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for vm, p := range t.peers {
+		if now.Sub(p.receivedAt) <= PeerTTL {
 			continue
 		}
-		b.forget(p)
+		t.subtract(p)
 		p.load = nil
-		b.peers[vm] = p
-		if now.Sub(p.at) > forgetPeer {
-			delete(b.peers, vm)
+		t.peers[vm] = p
+		if now.Sub(p.receivedAt) > peerRetention {
+			delete(t.peers, vm)
 		}
 	}
-	all := maps.Clone(b.own)
-	for s, l := range b.others {
+	all := maps.Clone(t.local)
+	for s, l := range t.peerTotal {
 		all[s] = all[s].Plus(l)
 	}
 	return all
--- a/internal/route/seats/book_test.go
+++ b/internal/route/seats/book_test.go
@@ -9,36 +9,36 @@
 	"umberladder/internal/core/ident"
 )
 
-func TestBook(t *testing.T) {
+func TestTracker(t *testing.T) {
 	now := time.Now()
-	b := New()
-	s := b.Take("e", Load{Seats: 1, Tokens: 100, Backlog: 50})
-	b.Hear("vm", 1, 2, 0, map[ident.Server]Load{"e": {Seats: 2, Tokens: 10}}, now)
-	assert.Equal(t, b.All(now)["e"], Load{Seats: 3, Tokens: 110, Backlog: 50})
-	t.Run("late and old messages change nothing", func(t *testing.T) {
-		b.Hear("vm", 1, 1, 0, nil, now)
-		b.Hear("vm", 0, 9, 0, nil, now)
-		assert.Equal(t, b.All(now)["e"].Seats, 3)
+	tracker := New()
+	res := tracker.Take("e", Load{Seats: 1, Tokens: 100, Backlog: 50})
+	tracker.Hear("vm", 1, 2, 0, map[ident.Server]Load{"e": {Seats: 2, Tokens: 10}}, now)
+	assert.Equal(t, tracker.All(now)["e"], Load{Seats: 3, Tokens: 110, Backlog: 50})
+	t.Run("late and outdated reports change nothing", func(t *testing.T) {
+		tracker.Hear("vm", 1, 1, 0, nil, now)
+		tracker.Hear("vm", 0, 9, 0, nil, now)
+		assert.Equal(t, tracker.All(now)["e"].Seats, 3)
 	})
-	t.Run("a restarted VM begins anew", func(t *testing.T) {
-		b.Hear("vm", 2, 1, 0, map[ident.Server]Load{"e": {Seats: 1}}, now)
-		assert.Equal(t, b.All(now)["e"].Seats, 2)
+	t.Run("a restarted VM replaces its earlier loads", func(t *testing.T) {
+		tracker.Hear("vm", 2, 1, 0, map[ident.Server]Load{"e": {Seats: 1}}, now)
+		assert.Equal(t, tracker.All(now)["e"].Seats, 2)
 	})
-	t.Run("a silent VM counts no more", func(t *testing.T) {
-		assert.Equal(t, b.All(now.Add(PeerTTL + 1))["e"].Seats, 1)
+	t.Run("a VM that stopped reporting is not counted", func(t *testing.T) {
+		assert.Equal(t, tracker.All(now.Add(PeerTTL + 1))["e"].Seats, 1)
 	})
-	t.Run("what is given back is gone, once", func(t *testing.T) {
-		changed := b.Changed()
-		s.Resize(Load{Seats: 1, Tokens: 70})
-		assert.Equal(t, b.Own()["e"], Load{Seats: 1, Tokens: 70})
-		s.Release()
-		s.Release()
-		s.Resize(Load{Seats: 5})
-		assert.Equal(t, len(b.Own()), 0)
+	t.Run("a released reservation is removed once", func(t *testing.T) {
+		changed := tracker.Changed()
+		res.Resize(Load{Seats: 1, Tokens: 70})
+		assert.Equal(t, tracker.Own()["e"], Load{Seats: 1, Tokens: 70})
+		res.Release()
+		res.Release()
+		res.Resize(Load{Seats: 5})
+		assert.Equal(t, len(tracker.Own()), 0)
 		select {
 		case <-changed:
 		default:
-			t.Fatal("those who wait for room are not told")
+			t.Fatal("the Changed channel is not closed")
 		}
 	})
 }
--- a/internal/route/seats/doc.go
+++ b/internal/route/seats/doc.go
@@ -1,3 +1,3 @@
-// Package seats counts what VMs have under way at each backend server: this
-// VM's own work exactly, other VMs' as they last told it.
+// Package alloc tracks the load of each backend server: this VM's own calls
+// exactly, and those of other VMs as last reported.
 package seats
