--- a/internal/route/loads/loads.go
+++ b/internal/route/loads/loads.go
@@ -167,7 +167,7 @@
 	defer cancel()
 	report, err := l.reader.Load(ctx, addr)
 	if err != nil {
-		t.pool.Silence(t.name, time.Now())
+		t.pool.ReportFailure(t.name, time.Now())
 		return
 	}
 	t.pool.Report(t.name, report, time.Now())
--- a/internal/route/pool/doc.go
+++ b/internal/route/pool/doc.go
@@ -1,5 +1,5 @@
-// Package pool places generations on the engines of one model. It joins what
-// is known of the engines (late reports, this VM's own streams, what other
-// VMs may have placed since) with the policies that choose an engine, order
-// the waiting and refuse what would wait too long.
+// Package pool places generations on the engines of one model. It combines what
+// is known of the engines (delayed load reports, this VM's own streams, streams
+// that other VMs may have placed since) with the policies that choose an engine,
+// order the queue and reject generations that would wait too long.
 package pool
--- a/internal/route/pool/drain.go
+++ b/internal/route/pool/drain.go
@@ -7,60 +7,60 @@
 )
 
 const (
-	// drainWarm is how long a queue must have stood before its rate is
-	// believed.
-	drainWarm = 2 * time.Second
-	// drainWindow is the age at which old figures are halved.
-	drainWindow = 10 * time.Second
+	// minMeasureTime is how long a queue must have been non-empty before its
+	// throughput is used for predictions.
+	minMeasureTime = 2 * time.Second
+	// halvingAge is the measuring time after which the time and the count are
+	// halved, so that recent placements count more.
+	halvingAge = 10 * time.Second
 )
 
-// drain measures how fast a queue empties while it is not empty.
-type drain struct {
-	since time.Time // zero: the queue is empty
-	out   float64   // waiters seated since
-	// told is, for each rank, when the last refused caller was told to come
-	// back.
-	told [config.MaxRank + 1]time.Time
+// throughput measures how fast a queue empties while it is not empty.
+type throughput struct {
+	since  time.Time // zero: the queue is empty
+	placed float64   // waiters placed since then
+	// lastRetryAt is the latest retry time given to a rejected caller, by rank.
+	lastRetryAt [config.MaxRank + 1]time.Time
 }
 
-func (d *drain) start(now time.Time) {
-	if d.since.IsZero() {
-		*d = drain{since: now}
+func (t *throughput) start(now time.Time) {
+	if t.since.IsZero() {
+		*t = throughput{since: now}
 	}
 }
 
-func (d *drain) stop() { *d = drain{} }
+func (t *throughput) reset() { *t = throughput{} }
 
-func (d *drain) note(now time.Time) {
-	d.out++
-	if age := now.Sub(d.since); age > drainWindow {
-		d.since = now.Add(-age / 2)
-		d.out /= 2
+func (t *throughput) record(now time.Time) {
+	t.placed++
+	if age := now.Sub(t.since); age > halvingAge {
+		t.since = now.Add(-age / 2)
+		t.placed /= 2
 	}
 }
 
-// appoint returns when a refused caller of a rank should come back who could do
-// so after wait: one caller at a time that the queue takes for one waiter, so
-// that those refused together do not come back together.
-func (d *drain) appoint(rank int, wait time.Duration, now time.Time) time.Duration {
+// scheduleRetry returns the retry delay of a rejected caller of a rank who could
+// be served after wait. Retry times are spaced by the time in which the queue
+// places one waiter, so that callers rejected together do not return together.
+func (t *throughput) scheduleRetry(rank int, wait time.Duration, now time.Time) time.Duration {
 	at := now.Add(wait)
-	if each, ok := d.predict(0, now); ok && d.told[rank].Add(each).After(at) {
-		at = d.told[rank].Add(each)
+	if perWaiter, ok := t.predictWait(0, now); ok && t.lastRetryAt[rank].Add(perWaiter).After(at) {
+		at = t.lastRetryAt[rank].Add(perWaiter)
 	}
-	d.told[rank] = at
+	t.lastRetryAt[rank] = at
 	return at.Sub(now)
 }
 
-// predict returns how long a waiter behind ahead others would wait, or false
+// predictWait returns how long a waiter behind ahead others would wait, or false
 // if that is not known yet.
-func (d *drain) predict(ahead int, now time.Time) (time.Duration, bool) {
-	if d.since.IsZero() {
+func (t *throughput) predictWait(ahead int, now time.Time) (time.Duration, bool) {
+	if t.since.IsZero() {
 		return 0, false
 	}
-	age := now.Sub(d.since)
-	if age < drainWarm {
+	age := now.Sub(t.since)
+	if age < minMeasureTime {
 		return 0, false
 	}
-	rate := (d.out + 1) / age.Seconds()
+	rate := (t.placed + 1) / age.Seconds()
 	return time.Duration(float64(ahead+1) / rate * float64(time.Second)), true
 }
--- a/internal/route/pool/pace.go
+++ b/internal/route/pool/pace.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// paceTime is the time constant of a pace.
-const paceTime = 3 * time.Second
+// rateTimeConstant is the time constant of a rateMeter.
+const rateTimeConstant = 3 * time.Second
 
-// pace measures how often something happens, with older events counting less
-// (an exponentially weighted average). The zero value is ready for use.
-type pace struct {
-	level float64 // events, each decayed since it happened
-	at    time.Time
+// rateMeter measures the rate of events as an exponentially weighted average.
+// The zero value is ready for use.
+type rateMeter struct {
+	count     float64 // events, each decayed since it occurred
+	updatedAt time.Time
 }
 
-func (p *pace) note(now time.Time) {
-	p.decay(now)
-	p.level++
+func (m *rateMeter) record(now time.Time) {
+	m.decay(now)
+	m.count++
 }
 
-// rate returns events a second.
-func (p *pace) rate(now time.Time) float64 {
-	p.decay(now)
-	return p.level / paceTime.Seconds()
+// rate returns events per second.
+func (m *rateMeter) rate(now time.Time) float64 {
+	m.decay(now)
+	return m.count / rateTimeConstant.Seconds()
 }
 
-func (p *pace) decay(now time.Time) {
-	if now.After(p.at) {
-		p.level *= math.Exp(-now.Sub(p.at).Seconds() / paceTime.Seconds())
-		p.at = now
+func (m *rateMeter) decay(now time.Time) {
+	if now.After(m.updatedAt) {
+		m.count *= math.Exp(-now.Sub(m.updatedAt).Seconds() / rateTimeConstant.Seconds())
+		m.updatedAt = now
 	}
 }
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -18,20 +18,20 @@
 	"umberladder/internal/state/config"
 )
 
-// Ask is one generation that wants a place.
+// Request is a generation to be placed.
 type Ask struct {
 	Service *config.Service
 	Class   *config.Class
-	Rule    refuse.Rule               // names the class's bound
+	Rule    refuse.Rule               // the class's wait limit, as named in refusals
 	Reserve float64                   // memory share kept free for higher classes
-	Prompt  int                       // tokens
-	Prefix  uint64                    // hash of the prompt's head
+	Prompt  int                       // in tokens
+	Prefix  uint64                    // hash of the start of the prompt
 	Exclude map[ident.Server]struct{} // engines that failed this request
-	Learn   ident.Workspace           // whose lengths these are
+	Learn   ident.Workspace           // whose generation lengths are learned and used
 }
 
-// NewAsk describes a generation of a service and class; its prompt is not
-// filled in.
+// NewRequest returns the request for a generation of a service and class, without
+// its prompt.
 func NewAsk(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) Ask {
 	return Ask{
 		Service: s,
@@ -46,7 +46,7 @@
 	}
 }
 
-// reserve is the share of memory that classes before c keep free.
+// reserve returns the share of memory that the classes above c keep free.
 func reserve(c *config.Class, sys *config.System) float64 {
 	sum := 0.0
 	for _, o := range sys.Classes {
@@ -57,55 +57,56 @@
 	return min(sum, maxReserve)
 }
 
-// maxReserve is the most that classes together may keep free.
+// maxReserve is the largest share of memory that classes together keep free.
 const maxReserve = 0.9
 
-// Pool is the engines of one model. It is safe for use by several goroutines.
+// Pool places generations on the engines of one model. It is safe for concurrent
+// use.
 type Pool struct {
-	model ident.Model
-	book  *invar.Book
-	vms   func() int // live VMs, this one included
+	model      ident.Model
+	invariants *invar.Book
+	liveVMs    func() int // number of live VMs, including this one
 
-	mu      sync.Mutex
-	chooser place.Chooser
-	rng     *rand.Rand
-	nodes   []*node
-	queue   *queue.Queue[*waiter]
-	drain   drain
-	placing pace
-	lengths map[lengthKey]*length.Estimator
-	views   []place.Engine
+	mu            sync.Mutex
+	chooser       place.Chooser
+	rng           *rand.Rand
+	nodes         []*node
+	queue         *queue.Queue[*waiter]
+	throughput    throughput
+	placementRate rateMeter
+	estimators    map[estimatorKey]*length.Estimator
+	views         []place.Engine
 }
 
-type lengthKey struct {
+type estimatorKey struct {
 	workspace ident.Workspace
 	service   ident.Service
 	class     ident.Class
 }
 
 type waiter struct {
-	ask  *Ask
-	seat chan *Seat
+	req    *Ask
+	placed chan *Seat
 }
 
-// New makes the pool of a model that chooses by chooser.
-func New(model ident.Model, chooser place.Chooser, vms func() int, book *invar.Book, rng *rand.Rand) *Pool {
+// New returns the pool of a model whose placements chooser decides.
+func New(model ident.Model, chooser place.Chooser, vms func() int, invariants *invar.Book, rng *rand.Rand) *Pool {
 	return &Pool{
-		model:   model,
-		book:    book,
-		vms:     vms,
-		chooser: chooser,
-		rng:     rng,
-		queue:   queue.New[*waiter](),
-		lengths: map[lengthKey]*length.Estimator{},
+		model:      model,
+		invariants: invariants,
+		liveVMs:    vms,
+		chooser:    chooser,
+		rng:        rng,
+		queue:      queue.New[*waiter](),
+		estimators: map[estimatorKey]*length.Estimator{},
 	}
 }
 
 // Model returns the pool's model.
 func (p *Pool) Model() ident.Model { return p.model }
 
-// Update sets the engines that settings name. What is known of those that
-// stay is kept; streams on those that go are relayed to their end.
+// Update sets the engines that the settings list. The state of engines that stay
+// is kept; streams on removed engines continue to their end.
 func (p *Pool) Update(servers []config.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +123,7 @@
 	p.nodes = nodes
 }
 
-// Servers returns the engines that settings name.
+// Servers returns the engines that the settings list.
 func (p *Pool) Servers() []config.Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,7 +143,8 @@
 	return nil
 }
 
-// Report takes a load report of an engine and lets in what now fits.
+// HandleReport handles a load report of an engine and places queued generations
+// that now fit.
 func (p *Pool) Report(name ident.Server, l engine.Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,15 +152,15 @@
 	if n == nil {
 		return
 	}
-	n.learn(l, p.typical(), now)
+	n.update(l, p.typicalCurve(), now)
 	if n.breaker.Open() && n.breaker.Trial(now) {
 		n.breaker.Success(now)
 	}
 	p.dispatch(now)
 }
 
-// Silence notes that an engine did not answer.
-func (p *Pool) Silence(name ident.Server, now time.Time) {
+// ReportFailure records that an engine did not respond.
+func (p *Pool) ReportFailure(name ident.Server, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := p.find(name); n != nil {
@@ -166,89 +168,89 @@
 	}
 }
 
-// typical returns the curve used for streams whose service is not known.
-func (p *Pool) typical() *length.Curve {
-	return p.estimator(lengthKey{}).Curve()
+// typicalCurve returns the length curve for streams whose service is not known.
+func (p *Pool) typicalCurve() *length.Curve {
+	return p.estimator(estimatorKey{}).Curve()
 }
 
-func (p *Pool) estimator(k lengthKey) *length.Estimator {
-	e := p.lengths[k]
+func (p *Pool) estimator(k estimatorKey) *length.Estimator {
+	e := p.estimators[k]
 	if e == nil {
 		e = length.New()
-		p.lengths[k] = e
+		p.estimators[k] = e
 	}
 	return e
 }
 
-// Acquire returns a place for the generation, waiting for at most the class's
-// bound, or the refusal that explains why there is none. It refuses at once
-// where the wait is predicted to pass the bound.
-func (p *Pool) Acquire(ctx context.Context, ask *Ask) (*Seat, *refuse.Refusal) {
+// Acquire returns a reservation for the generation, or the refusal that explains
+// why there is none. It waits for at most the class's limit, and refuses at once
+// if the predicted wait exceeds it.
+func (p *Pool) Acquire(ctx context.Context, req *Ask) (*Seat, *refuse.Refusal) {
 	now := time.Now()
-	w, e, seat, refusal := p.enter(ask, now)
-	if seat != nil || refusal != nil {
-		return seat, refusal
+	w, e, res, refusal := p.admit(req, now)
+	if res != nil || refusal != nil {
+		return res, refusal
 	}
-	timer := time.NewTimer(ask.Class.MaxWait)
+	timer := time.NewTimer(req.Class.MaxWait)
 	defer timer.Stop()
 	select {
-	case seat := <-w.seat:
-		return seat, nil
+	case res := <-w.placed:
+		return res, nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return p.leave(w, e, ask, now)
+	return p.withdraw(w, e, req, now)
 }
 
-// enter seats the generation, refuses it, or queues it.
-func (p *Pool) enter(ask *Ask, now time.Time) (*waiter, *queue.Entry[*waiter], *Seat, *refuse.Refusal) {
+// admit places the generation, refuses it, or queues it.
+func (p *Pool) admit(req *Ask, now time.Time) (*waiter, *queue.Entry[*waiter], *Seat, *refuse.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.anyUsable(now, ask.Exclude) {
+	if !p.anyUsable(now, req.Exclude) {
 		return nil, nil, nil, refuse.New(refuse.NoServer,
 			"of the %d engines of model %s, %d failed this request and no other takes new work now",
-			len(p.nodes), p.model, len(ask.Exclude)).After(time.Second)
+			len(p.nodes), p.model, len(req.Exclude)).After(time.Second)
 	}
-	ahead := p.queue.Ahead(ask.Class.Rank, now, ask.Class.MaxWait)
+	ahead := p.queue.Ahead(req.Class.Rank, now, req.Class.MaxWait)
 	if ahead == 0 {
-		if seat := p.place(ask, now); seat != nil {
-			return nil, nil, seat, nil
+		if res := p.tryPlace(req, now); res != nil {
+			return nil, nil, res, nil
 		}
 	}
-	if wait, ok := p.drain.predict(ahead, now); ok && wait > ask.Class.MaxWait {
-		rule := ask.Rule
+	if wait, ok := p.throughput.predictWait(ahead, now); ok && wait > req.Class.MaxWait {
+		rule := req.Rule
 		rule.Observed = wait.Seconds()
 		return nil, nil, nil, refuse.New(refuse.PredictedWait,
 			"%d requests wait before this one for model %s", ahead, p.model).
-			Under(rule).After(p.drain.appoint(ask.Class.Rank, wait-ask.Class.MaxWait+time.Second, now))
+			Under(rule).After(p.throughput.scheduleRetry(req.Class.Rank, wait-req.Class.MaxWait+time.Second, now))
 	}
-	w := &waiter{ask: ask, seat: make(chan *Seat, 1)}
+	w := &waiter{req: req, placed: make(chan *Seat, 1)}
 	if p.queue.Len() == 0 {
-		p.drain.start(now)
+		p.throughput.start(now)
 	}
-	return w, p.queue.Push(w, ask.Class.Rank, now, ask.Class.MaxWait), nil, nil
+	return w, p.queue.Push(w, req.Class.Rank, now, req.Class.MaxWait), nil, nil
 }
 
-// leave takes a waiter out, unless it was seated at the last moment.
-func (p *Pool) leave(w *waiter, e *queue.Entry[*waiter], ask *Ask, since time.Time) (*Seat, *refuse.Refusal) {
+// withdraw removes a waiter from the queue, unless it was placed meanwhile.
+func (p *Pool) withdraw(w *waiter, e *queue.Entry[*waiter], req *Ask, since time.Time) (*Seat, *refuse.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.queue.Remove(e) {
-		return <-w.seat, nil
+		return <-w.placed, nil
 	}
 	now := time.Now()
-	rule := ask.Rule
+	rule := req.Rule
 	rule.Observed = now.Sub(since).Seconds()
 	after := time.Second
-	if wait, ok := p.drain.predict(p.queue.Len(), now); ok {
-		after = p.drain.appoint(ask.Class.Rank, after+wait, now)
+	if wait, ok := p.throughput.predictWait(p.queue.Len(), now); ok {
+		after = p.throughput.scheduleRetry(req.Class.Rank, after+wait, now)
 	}
 	return nil, refuse.New(refuse.WaitedOut, "no engine of model %s had room in time", p.model).
 		Under(rule).After(after)
 }
 
-// anyUsable reports whether some engine takes new work and has not failed this
-// request: if none does, waiting is of no use.
+// anyUsable reports whether some engine accepts new work and has not failed this
+// request. If none does, waiting is pointless.
 func (p *Pool) anyUsable(now time.Time, failed map[ident.Server]struct{}) bool {
 	return slices.ContainsFunc(p.nodes, func(n *node) bool {
 		_, bad := failed[n.server.Name]
@@ -256,70 +258,71 @@
 	})
 }
 
-// place seats ask on the engine that the chooser picks, or returns nil.
-func (p *Pool) place(ask *Ask, now time.Time) *Seat {
-	est := p.estimator(lengthKey{ask.Learn, ask.Service.Name, ask.Class.Name})
-	share := est.Curve().Share(0, ask.Prompt)
+// tryPlace places the request on the engine that the chooser selects, or returns
+// nil.
+func (p *Pool) tryPlace(req *Ask, now time.Time) *Seat {
+	est := p.estimator(estimatorKey{req.Learn, req.Service.Name, req.Class.Name})
+	share := est.Curve().Share(0, req.Prompt)
 	p.views = p.views[:0]
-	unseen := p.placing.rate(now) * float64(p.vms()-1) / float64(len(p.nodes))
-	fresh := p.typical().Share(0, ask.Prompt)
+	unreportedRate := p.placementRate.rate(now) * float64(p.liveVMs()-1) / float64(len(p.nodes))
+	newShare := p.typicalCurve().Share(0, req.Prompt)
 	for _, n := range p.nodes {
-		v := n.view(now, unseen, &fresh, ask.Prefix)
-		if _, failed := ask.Exclude[n.server.Name]; failed {
+		v := n.policyView(now, unreportedRate, &newShare, req.Prefix)
+		if _, failed := req.Exclude[n.server.Name]; failed {
 			v.Skip = true
 		}
 		p.views = append(p.views, v)
 	}
-	want := place.Ask{Share: share, Z: length.Z(ask.Service.OverflowChance), Room: 1 - ask.Reserve, Prompt: ask.Prompt}
-	i := p.chooser.Choose(&want, p.views, p.rng)
+	placeReq := place.Ask{Share: share, Z: length.Z(req.Service.OverflowChance), Room: 1 - req.Reserve, Prompt: req.Prompt}
+	i := p.chooser.Choose(&placeReq, p.views, p.rng)
 	if i < 0 {
 		return nil
 	}
-	return p.sit(p.nodes[i], ask, est, share, now)
+	return p.reserve(p.nodes[i], req, est, share, now)
 }
 
-func (p *Pool) sit(n *node, ask *Ask, est *length.Estimator, share length.Share, now time.Time) *Seat {
-	p.book.Assert(invar.LeavingServer, n.leftAt.IsZero() || now.Sub(n.leftAt) < LeaveGrace,
-		"%s has been leaving since %s", n.server.Name, n.leftAt)
-	n.own++
-	n.memory += ask.Prompt
-	n.share.Add(&share, 1)
-	n.since = append(n.since, change{at: now, streams: 1, memory: ask.Prompt})
-	p.placing.note(now)
+func (p *Pool) reserve(n *node, req *Ask, est *length.Estimator, share length.Share, now time.Time) *Seat {
+	p.invariants.Assert(invar.LeavingServer, n.drainingSince.IsZero() || now.Sub(n.drainingSince) < DrainGrace,
+		"%s has been draining since %s", n.server.Name, n.drainingSince)
+	n.localStreams++
+	n.localMemory += req.Prompt
+	n.localShare.Add(&share, 1)
+	n.changes = append(n.changes, change{at: now, streams: 1, memory: req.Prompt})
+	p.placementRate.record(now)
 	return &Seat{
-		Server:  n.server,
-		pool:    p,
-		node:    n,
-		est:     est,
-		common:  p.estimator(lengthKey{}),
-		prompt:  ask.Prompt,
-		counted: ask.Prompt,
-		share:   share,
-		next:    length.Bound(1),
+		Server:          n.server,
+		pool:            p,
+		node:            n,
+		estimator:       est,
+		commonEstimator: p.estimator(estimatorKey{}),
+		prompt:          req.Prompt,
+		countedMemory:   req.Prompt,
+		share:           share,
+		nextBound:       length.Bound(1),
 	}
 }
 
-// dispatch seats waiters in order until the first that does not fit.
+// dispatch places waiters in order until the first that does not fit.
 func (p *Pool) dispatch(now time.Time) {
 	for {
 		e := p.queue.Peek()
 		if e == nil {
-			p.drain.stop()
+			p.throughput.reset()
 			return
 		}
-		seat := p.place(e.Value.ask, now)
-		if seat == nil {
+		res := p.tryPlace(e.Value.req, now)
+		if res == nil {
 			return
 		}
 		p.queue.Remove(e)
-		p.book.Assert(invar.UrgentFirst, e.Rank == 0 || p.queue.Urgent() == 0,
-			"%d urgent generations wait while another is seated", p.queue.Urgent())
-		p.drain.note(now)
-		e.Value.seat <- seat
+		p.invariants.Assert(invar.UrgentFirst, e.Rank == 0 || p.queue.Urgent() == 0,
+			"%d urgent generations are queued while another is placed", p.queue.Urgent())
+		p.throughput.record(now)
+		e.Value.placed <- res
 	}
 }
 
-// Depth returns how many generations wait.
+// QueueLen returns the number of queued generations.
 func (p *Pool) Depth() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -22,19 +22,19 @@
 )
 
 func newPool(engines int) (*Pool, *invar.Book) {
-	book := &invar.Book{}
-	p := New("m", place.Predicted{}, func() int { return 1 }, book, rand.New(rand.NewPCG(1, 1)))
+	invariants := &invar.Book{}
+	p := New("m", place.Predicted{}, func() int { return 1 }, invariants, rand.New(rand.NewPCG(1, 1)))
 	var servers []config.Server
 	for i := range engines {
-		servers = append(servers, config.Server{Name: name(i)})
+		servers = append(servers, config.Server{Name: engineName(i)})
 	}
 	p.Update(servers)
-	return p, book
+	return p, invariants
 }
 
-func name(i int) ident.Server { return ident.Server(fmt.Sprintf("e%d", i)) }
+func engineName(i int) ident.Server { return ident.Server(fmt.Sprintf("e%d", i)) }
 
-func ask(class string, rank int, wait time.Duration) *Ask {
+func newRequest(class string, rank int, wait time.Duration) *Ask {
 	return &Ask{
 		Service: &config.Service{Name: "s", OverflowChance: 0.3},
 		Class:   &config.Class{Name: ident.Class(class), Rank: rank, MaxWait: wait},
@@ -42,104 +42,105 @@
 	}
 }
 
-// TestLeaving lets engines come and leave, some reports get lost, and load be
-// placed at random: three seconds after an engine began to leave nothing new is
-// placed on it, whether or not this VM heard that it leaves.
+// TestLeaving starts and drains engines at random while load reports are delayed
+// or missing. Three seconds after an engine began to drain, nothing new is placed
+// on it, whether or not this VM received a report that says so.
 func TestLeaving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			const engines = 3
-			p, book := newPool(engines)
-			var left [engines]time.Time // when each truly began to leave
+			p, invariants := newPool(engines)
+			var drainingSince [engines]time.Time // when each engine began to drain
 			for range 40 {
 				time.Sleep(time.Duration(rapid.IntRange(10, 900).Draw(rt, "ms")) * time.Millisecond)
 				i := rapid.IntRange(0, engines-1).Draw(rt, "engine")
 				switch rapid.IntRange(0, 4).Draw(rt, "what") {
 				case 0:
-					if left[i].IsZero() {
-						left[i] = time.Now()
+					if drainingSince[i].IsZero() {
+						drainingSince[i] = time.Now()
 					}
 				case 1, 2:
 					lag := time.Duration(rapid.IntRange(0, 300).Draw(rt, "lag")) * time.Millisecond
-					then := time.Now().Add(-lag)
-					leaving := !left[i].IsZero() && !then.Before(left[i])
-					p.Report(name(i), engine.Load{MemorySize: 1 << 20, Leaving: leaving, At: then}, time.Now())
+					reportedAt := time.Now().Add(-lag)
+					leaving := !drainingSince[i].IsZero() && !reportedAt.Before(drainingSince[i])
+					p.Report(engineName(i), engine.Load{MemorySize: 1 << 20, Leaving: leaving, At: reportedAt}, time.Now())
 				default:
-					s, refusal := p.Acquire(context.Background(), ask("standard", 1, 100*time.Millisecond))
+					res, refusal := p.Acquire(context.Background(), newRequest("standard", 1, 100*time.Millisecond))
 					if refusal != nil {
 						continue
 					}
 					for j := range engines {
-						if s.At().Name == name(j) && !left[j].IsZero() {
-							assert.Assert(t, time.Since(left[j]) <= LeaveGrace, "%s left %s ago", name(j), time.Since(left[j]))
+						if res.At().Name == engineName(j) && !drainingSince[j].IsZero() {
+							assert.Assert(t, time.Since(drainingSince[j]) <= DrainGrace, "%s began to drain %s ago", engineName(j), time.Since(drainingSince[j]))
 						}
 					}
 				}
 			}
-			check.Invariants(t, book)
+			check.Invariants(t, invariants)
 		})
 	})
 }
 
 // TestUrgentIsNotStarved fills the engine with long generations, queues many
-// more, and sends an urgent one: it takes the next place.
+// more, and then queues an urgent one, which must be placed next.
 func TestUrgentIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPool(1)
-		p.Report(name(0), engine.Load{MemorySize: 2000, At: time.Now().Add(time.Hour)}, time.Now())
-		var seats []*Seat
+		p.Report(engineName(0), engine.Load{MemorySize: 2000, At: time.Now().Add(time.Hour)}, time.Now())
+		var reservations []*Seat
 		for {
-			s, refusal := p.Acquire(context.Background(), ask("batch", 2, time.Millisecond))
+			res, refusal := p.Acquire(context.Background(), newRequest("batch", 2, time.Millisecond))
 			if refusal != nil {
 				check.Refusal(t, refusal, refuse.WaitedOut, refuse.RanNo)
 				break
 			}
-			seats = append(seats, s)
+			reservations = append(reservations, res)
 		}
 		defer time.Sleep(5 * time.Minute) // until every waiter has ended
-		seated := make(chan string, 40)
-		wait := func(class string, rank int, bound time.Duration) {
+		placed := make(chan string, 40)
+		enqueue := func(class string, rank int, bound time.Duration) {
 			time.AfterFunc(0, func() {
-				if _, refusal := p.Acquire(context.Background(), ask(class, rank, bound)); refusal == nil {
-					seated <- class
+				if _, refusal := p.Acquire(context.Background(), newRequest(class, rank, bound)); refusal == nil {
+					placed <- class
 				}
 			})
 			time.Sleep(time.Second)
 		}
 		for range 20 {
-			wait("batch", 2, time.Minute)
+			enqueue("batch", 2, time.Minute)
 		}
-		wait("urgent", 0, 2*time.Minute) // due after all of them
-		for len(seated) == 0 {
-			seats[0].Release(Whole, time.Now())
-			seats = seats[1:]
+		enqueue("urgent", 0, 2*time.Minute) // its deadline is after those of all others
+		for len(placed) == 0 {
+			reservations[0].Release(Whole, time.Now())
+			reservations = reservations[1:]
 			synctest.Wait()
 		}
 		var got []string
-		for len(seated) > 0 {
-			got = append(got, <-seated)
+		for len(placed) > 0 {
+			got = append(got, <-placed)
 		}
-		assert.Assert(t, slices.Contains(got, "urgent"), "seated: %v", got)
+		assert.Assert(t, slices.Contains(got, "urgent"), "placed: %v", got)
 	})
 }
 
-// TestRefusedAtOnce holds a predicted wait against the class's bound.
+// TestRefusedAtOnce checks that a generation is refused at once if its predicted
+// wait exceeds the class's limit.
 func TestRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPool(1)
-		p.Report(name(0), engine.Load{MemorySize: 1, At: time.Now().Add(time.Hour)}, time.Now())
+		p.Report(engineName(0), engine.Load{MemorySize: 1, At: time.Now().Add(time.Hour)}, time.Now())
 		for range 30 {
-			time.AfterFunc(0, func() { _, _ = p.Acquire(context.Background(), ask("batch", 2, 20*time.Second)) })
+			time.AfterFunc(0, func() { _, _ = p.Acquire(context.Background(), newRequest("batch", 2, 20*time.Second)) })
 		}
-		time.Sleep(drainWarm + time.Second)
+		time.Sleep(minMeasureTime + time.Second)
 		start := time.Now()
-		_, refusal := p.Acquire(context.Background(), ask("batch", 2, 20*time.Second))
+		_, refusal := p.Acquire(context.Background(), newRequest("batch", 2, 20*time.Second))
 		check.Refusal(t, refusal, refuse.PredictedWait, refuse.RanNo)
 		assert.Equal(t, time.Since(start), time.Duration(0))
 		assert.Assert(t, refusal.RetryAfter > 0 && refusal.Rule.Observed > 20)
-		_, next := p.Acquire(context.Background(), ask("batch", 2, 20*time.Second))
-		each, _ := p.drain.predict(0, time.Now())
-		assert.Equal(t, next.RetryAfter, refusal.RetryAfter+each, "callers are not told to come back all at once")
+		_, next := p.Acquire(context.Background(), newRequest("batch", 2, 20*time.Second))
+		perWaiter, _ := p.throughput.predictWait(0, time.Now())
+		assert.Equal(t, next.RetryAfter, refusal.RetryAfter+perWaiter, "callers refused together must get different retry times")
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/route/pool/seat.go
+++ b/internal/route/pool/seat.go
@@ -7,93 +7,93 @@
 	"umberladder/internal/state/config"
 )
 
-// Seat is a generation's place on an engine. One goroutine uses it, and
-// releases it once.
+// Reservation is a generation's place on an engine. It is used by one goroutine
+// and released once.
 type Seat struct {
 	Server config.Server
 
-	pool     *Pool
-	node     *node
-	est      *length.Estimator
-	common   *length.Estimator
-	prompt   int
-	produced int
-	counted  int // memory counted on the node, in tokens
-	next     int // first length of the next bucket
-	bucket   int
-	share    length.Share
-	released bool
+	pool            *Pool
+	node            *node
+	estimator       *length.Estimator
+	commonEstimator *length.Estimator
+	prompt          int
+	produced        int
+	countedMemory   int // memory counted in the node, in tokens
+	nextBound       int // lower bound of the next length bucket
+	bucket          int
+	share           length.Share
+	released        bool
 }
 
-// At returns the engine.
-func (s *Seat) At() config.Server { return s.Server }
+// Engine returns the engine.
+func (r *Seat) At() config.Server { return r.Server }
 
-// Progress notes that the generation has produced n tokens in all. It is
-// cheap until n passes into another bucket of lengths.
-func (s *Seat) Progress(n int) {
-	s.produced = n
-	if n < s.next {
+// Progress records that the generation has produced n tokens in total. It is
+// cheap unless n reaches the next length bucket.
+func (r *Seat) Progress(n int) {
+	r.produced = n
+	if n < r.nextBound {
 		return
 	}
-	for n >= length.Bound(s.bucket+1) && s.bucket < length.Buckets-1 {
-		s.est.Passed(s.bucket)
-		s.common.Passed(s.bucket)
-		s.bucket++
+	for n >= length.Bound(r.bucket+1) && r.bucket < length.Buckets-1 {
+		r.estimator.Passed(r.bucket)
+		r.commonEstimator.Passed(r.bucket)
+		r.bucket++
 	}
-	s.next = length.Bound(s.bucket + 1)
-	s.refresh()
+	r.nextBound = length.Bound(r.bucket + 1)
+	r.refreshShare()
 }
 
-// refresh renews what the stream is predicted to hold.
-func (s *Seat) refresh() {
-	share := s.est.Curve().Share(s.produced, s.prompt)
-	held := s.prompt + s.produced
-	s.pool.mu.Lock()
-	defer s.pool.mu.Unlock()
-	s.node.share.Add(&s.share, -1)
-	s.node.share.Add(&share, 1)
-	s.node.memory += held - s.counted
-	s.counted = held
-	s.share = share
+// refreshShare updates the predicted memory of the stream.
+func (r *Seat) refreshShare() {
+	share := r.estimator.Curve().Share(r.produced, r.prompt)
+	memory := r.prompt + r.produced
+	r.pool.mu.Lock()
+	defer r.pool.mu.Unlock()
+	r.node.localShare.Add(&r.share, -1)
+	r.node.localShare.Add(&share, 1)
+	r.node.localMemory += memory - r.countedMemory
+	r.countedMemory = memory
+	r.share = share
 }
 
-// Ending says how a generation left its engine.
+// Outcome is how a generation ended on its engine.
 type Ending uint8
 
-// The endings.
+// The outcomes.
 const (
-	Whole   Ending = iota // it ended by itself
-	CutOff                // it was cancelled or the caller left
+	Whole   Ending = iota // it ran to its end
+	CutOff                // it was cancelled or the caller disconnected
 	Lost                  // the engine was lost or failed
 	Refused               // the engine refused to start it
 )
 
-// Release gives the place back.
-func (s *Seat) Release(end Ending, now time.Time) {
-	if s.released {
+// Release returns the reserved capacity and records the outcome.
+func (r *Seat) Release(end Ending, now time.Time) {
+	if r.released {
 		return
 	}
-	s.released = true
+	r.released = true
 	if end == Whole {
-		s.est.Ended(s.bucket)
-		s.common.Ended(s.bucket)
+		r.estimator.Ended(r.bucket)
+		r.commonEstimator.Ended(r.bucket)
 	}
-	p := s.pool
+	p := r.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s.node.own--
-	s.node.since = append(s.node.since, change{at: now, streams: -1, memory: -s.counted})
-	s.node.memory -= s.counted
-	s.node.share.Add(&s.share, -1)
-	if s.node.own == 0 {
-		s.node.share = length.Share{}
-		s.node.memory = 0
+	r.node.localStreams--
+	r.node.changes = append(r.node.changes, change{at: now, streams: -1, memory: -r.countedMemory})
+	r.node.localMemory -= r.countedMemory
+	r.node.localShare.Add(&r.share, -1)
+	if r.node.localStreams == 0 {
+		r.node.localShare = length.Share{}
+		r.node.localMemory = 0
 	}
 	switch end {
 	case Lost:
-		s.node.breaker.Failure(now, p.rng.Float64())
+		r.node.breaker.Failure(now, p.rng.Float64())
 	case Whole:
-		s.node.breaker.Success(now)
+		r.node.breaker.Success(now)
 	}
 	p.dispatch(now)
 }
