--- a/internal/route/cell/doc.go
+++ b/internal/route/cell/doc.go
@@ -1,10 +1,13 @@
-// Package cell lets one VM decide for all where a model's generations go.
+// Package sched lets one VM place the generations of a model for all VMs.
 //
-// A model's home, by rendezvous hashing over the live VMs, places, queues and
-// refuses for every VM: it alone knows every stream's age, so it can fill the
-// engines' memory without filling it over. The other VMs ask it by ticket and
-// tell it how their streams come along. If the home does not answer, a VM
-// decides by itself with what it knows, as the home of its own streams; the
-// engines' reports then show each side what the other does. A home holds
-// nothing that must last: a new one sees the streams that run in the reports.
+// A model's coordinator, selected by rendezvous hashing over the live VMs,
+// places, queues and refuses generations for every VM. Only it knows the age of
+// every stream, so it can fill the engines' memory without overcommitting it.
+// The other VMs send it requests, each with a ticket, and report the progress
+// of their streams. If the coordinator does not respond, a VM places its own
+// generations by what it knows; the engines' load reports then show each side
+// the other's streams. A coordinator holds no state that must survive it: a new
+// one sees the running streams in the load reports.
+//
+// Metrics call the coordinator the model's home.
 package cell
--- a/internal/route/cell/home.go
+++ b/internal/route/cell/home.go
@@ -14,38 +14,39 @@
 	"umberladder/internal/state/member"
 )
 
-// State is what a home answers to an ask.
+// State is the state of a request at the coordinator.
 type State uint32
 
-// The states of an ask.
+// The states of a request.
 const (
-	Pending State = iota // queued: ask again with the same ticket
-	Seated
+	Pending State = iota // queued; repeat the request with the same ticket
+	Placed
 	Refused
-	NotHome // ask another, or decide alone
+	NotCoordinator // ask the current coordinator, or place locally
 )
 
 const (
-	homeKey = "cell/"
-	// hold is how long an ask waits at the home before it is asked again.
-	hold = 700 * time.Millisecond
-	// forgotten is when a ticket that is neither asked for nor told of is
-	// given up: its VM is dead, or cut off and deciding alone.
-	forgotten  = 5 * time.Second
-	sweepEvery = time.Second
+	hashPrefix = "cell/"
+	// holdTime is how long the coordinator holds a request before it responds with
+	// Pending.
+	holdTime = 700 * time.Millisecond
+	// ticketTTL is how long a ticket is kept without a request or an update. After
+	// that its VM is down, or isolated and placing locally.
+	ticketTTL     = 5 * time.Second
+	sweepInterval = time.Second
 )
 
-// HomeOf returns the VM that decides for a model.
+// CoordinatorOf returns the VM that places the generations of a model.
 func HomeOf(m ident.Model, live []member.Member) (member.Member, bool) {
-	return member.Home(homeKey+string(m), live)
+	return member.Home(hashPrefix+string(m), live)
 }
 
-// Fleet tells the membership.
+// Fleet provides the membership.
 type Fleet interface {
 	View() *fleet.View
 }
 
-// Settings is where the snapshot in force is read.
+// Settings provides the snapshot in force.
 type Settings interface {
 	Load() *config.Snapshot
 }
@@ -55,50 +56,51 @@
 	Go(f func() error)
 }
 
-// Home decides for the models whose home this VM is. It is safe for use by
-// several goroutines.
+// Coordinator places the generations of the models that this VM coordinates. It
+// is safe for concurrent use.
 type Home struct {
-	vm       ident.VM
-	fleet    Fleet
-	settings Settings
-	pools    func(ident.Model) *pool.Pool
-	asks     func(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) pool.Ask
-	group    Group
+	vm         ident.VM
+	fleet      Fleet
+	settings   Settings
+	pools      func(ident.Model) *pool.Pool
+	newRequest func(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) pool.Ask
+	group      Group
 
 	mu      sync.Mutex
 	tickets map[string]*ticket
 }
 
-// ticket is one ask of another VM, and then its generation's seat.
+// ticket is a request of another VM, and then the reservation of its generation.
 type ticket struct {
 	cancel context.CancelFunc
-	done   chan struct{} // closed when seat or refusal is set
+	done   chan struct{} // closed when reservation or refusal is set
 
-	mu      sync.Mutex
-	last    time.Time // when the VM was last heard of it
-	seat    *pool.Seat
-	refusal *refuse.Refusal
-	dropped bool // nobody wants it any more: a seat that still comes is given back
+	mu          sync.Mutex
+	lastSeen    time.Time // when the VM last sent a request or an update
+	reservation *pool.Seat
+	refusal     *refuse.Refusal
+	released    bool // no longer wanted: a reservation that is still made is released
 }
 
-// NewHome makes a home. asks describes a generation of a service and class.
+// NewCoordinator returns a Coordinator. newRequest returns the request for a
+// generation of a service and class.
 func NewHome(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool,
-	asks func(*config.Workspace, *config.Service, *config.Class, *config.System) pool.Ask, g Group,
+	newRequest func(*config.Workspace, *config.Service, *config.Class, *config.System) pool.Ask, g Group,
 ) *Home {
-	return &Home{vm: vm, fleet: f, settings: s, pools: pools, asks: asks, group: g, tickets: map[string]*ticket{}}
+	return &Home{vm: vm, fleet: f, settings: s, pools: pools, newRequest: newRequest, group: g, tickets: map[string]*ticket{}}
 }
 
-// Seat answers an ask, after at most hold.
-func (h *Home) Seat(ctx context.Context, a *proto.SeatAsk) *proto.SeatReply {
-	home, ok := HomeOf(ident.Model(a.GetModel()), h.fleet.View().Live)
-	if !ok || home.Name != h.vm {
-		return &proto.SeatReply{State: uint32(NotHome)}
+// Seat responds to a request after at most holdTime.
+func (c *Home) Seat(ctx context.Context, a *proto.SeatAsk) *proto.SeatReply {
+	coordinator, ok := HomeOf(ident.Model(a.GetModel()), c.fleet.View().Live)
+	if !ok || coordinator.Name != c.vm {
+		return &proto.SeatReply{State: uint32(NotCoordinator)}
 	}
-	t := h.find(a)
+	t := c.ticketFor(a)
 	if t == nil {
-		return &proto.SeatReply{State: uint32(NotHome)}
+		return &proto.SeatReply{State: uint32(NotCoordinator)}
 	}
-	timer := time.NewTimer(hold)
+	timer := time.NewTimer(holdTime)
 	defer timer.Stop()
 	select {
 	case <-t.done:
@@ -109,62 +111,62 @@
 	return &proto.SeatReply{State: uint32(Pending)}
 }
 
-// find returns the ticket of an ask, and begins a new one.
-func (h *Home) find(a *proto.SeatAsk) *ticket {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if t := h.tickets[a.GetTicket()]; t != nil {
-		t.heard()
+// ticketFor returns the ticket of a request, or creates it.
+func (c *Home) ticketFor(a *proto.SeatAsk) *ticket {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if t := c.tickets[a.GetTicket()]; t != nil {
+		t.touch()
 		return t
 	}
-	p := h.pools(ident.Model(a.GetModel()))
-	ask, ok := h.ask(a)
+	p := c.pools(ident.Model(a.GetModel()))
+	req, ok := c.requestOf(a)
 	if p == nil || !ok {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &ticket{cancel: cancel, done: make(chan struct{}), last: time.Now()}
-	h.tickets[a.GetTicket()] = t
-	h.group.Go(func() error {
-		seat, refusal := p.Acquire(ctx, &ask)
-		t.settle(seat, refusal)
+	t := &ticket{cancel: cancel, done: make(chan struct{}), lastSeen: time.Now()}
+	c.tickets[a.GetTicket()] = t
+	c.group.Go(func() error {
+		res, refusal := p.Acquire(ctx, &req)
+		t.resolve(res, refusal)
 		return nil
 	})
 	return t
 }
 
-// ask rebuilds what the asking VM's request is, from this VM's settings.
-func (h *Home) ask(a *proto.SeatAsk) (pool.Ask, bool) {
-	snap := h.settings.Load()
-	w := snap.Workspace(ident.Workspace(a.GetWorkspace()))
-	if w == nil || snap.System == nil {
+// requestOf rebuilds the other VM's request from this VM's settings.
+func (c *Home) requestOf(a *proto.SeatAsk) (pool.Ask, bool) {
+	snap := c.settings.Load()
+	workspace := snap.Workspace(ident.Workspace(a.GetWorkspace()))
+	if workspace == nil || snap.System == nil {
 		return pool.Ask{}, false
 	}
-	s, c := w.Service(ident.Service(a.GetService())), snap.System.Class(ident.Class(a.GetClass()))
-	if s == nil || c == nil {
+	service, class := workspace.Service(ident.Service(a.GetService())), snap.System.Class(ident.Class(a.GetClass()))
+	if service == nil || class == nil {
 		return pool.Ask{}, false
 	}
-	ask := h.asks(w, s, c, snap.System)
-	ask.Prompt, ask.Prefix = int(a.GetPrompt()), a.GetPrefix()
-	ask.Exclude = map[ident.Server]struct{}{}
+	req := c.newRequest(workspace, service, class, snap.System)
+	req.Prompt, req.Prefix = int(a.GetPrompt()), a.GetPrefix()
+	req.Exclude = map[ident.Server]struct{}{}
 	for _, name := range a.GetExclude() {
-		ask.Exclude[ident.Server(name)] = struct{}{}
+		req.Exclude[ident.Server(name)] = struct{}{}
 	}
-	return ask, true
+	return req, true
 }
 
-func (t *ticket) heard() {
+func (t *ticket) touch() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last = time.Now()
+	t.lastSeen = time.Now()
 }
 
-func (t *ticket) settle(s *pool.Seat, r *refuse.Refusal) {
+func (t *ticket) resolve(res *pool.Seat, refusal *refuse.Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.seat, t.refusal = s, r
-	if t.dropped && s != nil {
-		s.Release(pool.CutOff, time.Now())
+	t.reservation, t.refusal = res, refusal
+	if t.released && res != nil {
+		res.Release(pool.CutOff, time.Now())
 	}
 	close(t.done)
 }
@@ -175,84 +177,84 @@
 	if t.refusal != nil {
 		return &proto.SeatReply{State: uint32(Refused), Refusal: refuse.Encode(t.refusal)}
 	}
-	return &proto.SeatReply{State: uint32(Seated), Server: string(t.seat.At().Name)}
+	return &proto.SeatReply{State: uint32(Placed), Server: string(t.reservation.At().Name)}
 }
 
-// News takes how seated generations come along.
-func (h *Home) News(n *proto.SeatNews) {
+// News handles updates on placed generations.
+func (c *Home) News(n *proto.SeatNews) {
 	for _, s := range n.GetSeats() {
-		h.mu.Lock()
-		t := h.tickets[s.GetTicket()]
+		c.mu.Lock()
+		t := c.tickets[s.GetTicket()]
 		if t != nil && s.GetEnded() {
-			delete(h.tickets, s.GetTicket())
+			delete(c.tickets, s.GetTicket())
 		}
-		h.mu.Unlock()
+		c.mu.Unlock()
 		if t != nil {
-			t.news(s)
+			t.update(s)
 		}
 	}
 }
 
-func (t *ticket) news(s *proto.SeatState) {
+func (t *ticket) update(s *proto.SeatState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last = time.Now()
-	if t.seat != nil {
-		t.seat.Progress(int(s.GetProduced()))
+	t.lastSeen = time.Now()
+	if t.reservation != nil {
+		t.reservation.Progress(int(s.GetProduced()))
 	}
 	if s.GetEnded() {
-		t.drop(pool.Ending(min(s.GetEnding(), uint32(pool.Refused))), time.Now())
+		t.release(pool.Ending(min(s.GetEnding(), uint32(pool.Refused))), time.Now())
 	}
 }
 
-// drop gives the ticket back. The caller holds mu.
-func (t *ticket) drop(end pool.Ending, now time.Time) {
-	t.dropped = true
+// release releases the ticket's reservation. The caller holds mu.
+func (t *ticket) release(end pool.Ending, now time.Time) {
+	t.released = true
 	t.cancel()
-	if t.seat != nil {
-		t.seat.Release(end, now)
+	if t.reservation != nil {
+		t.reservation.Release(end, now)
 	}
 }
 
-// Run gives up forgotten tickets until ctx ends.
-func (h *Home) Run(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
+// Run removes expired tickets until ctx ends.
+func (c *Home) Run(ctx context.Context) error {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			h.sweep(time.Now().Add(forgotten))
+			c.sweep(time.Now().Add(ticketTTL))
 			return nil
 		case now := <-tick.C:
-			h.sweep(now)
+			c.sweep(now)
 		}
 	}
 }
 
-func (h *Home) sweep(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for id, t := range h.tickets {
-		if t.forget(now) {
-			delete(h.tickets, id)
+func (c *Home) sweep(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, t := range c.tickets {
+		if t.expire(now) {
+			delete(c.tickets, id)
 		}
 	}
 }
 
-// forget gives the ticket up if its VM has not been heard of it for long.
-func (t *ticket) forget(now time.Time) bool {
+// expire releases the ticket if its VM has not sent anything for ticketTTL.
+func (t *ticket) expire(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.last) < forgotten {
+	if now.Sub(t.lastSeen) < ticketTTL {
 		return false
 	}
-	t.drop(pool.CutOff, now)
+	t.release(pool.CutOff, now)
 	return true
 }
 
-// Tickets returns how many asks of other VMs are open or seated here.
-func (h *Home) Tickets() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.tickets)
+// Tickets returns the number of queued and placed requests of other VMs.
+func (c *Home) Tickets() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.tickets)
 }
--- a/internal/route/cell/placer.go
+++ b/internal/route/cell/placer.go
@@ -15,101 +15,102 @@
 )
 
 const (
-	askTime   = hold + 800*time.Millisecond
-	downTime  = 2 * time.Second // how long a home that did not answer is not asked
-	newsEvery = 50 * time.Millisecond
-	// tellEvery is how many rounds of news pass between two tellings of how
-	// far running streams are; endings are told in the next round.
-	tellEvery = 10
-	newsTime  = time.Second
-	// homesAsked is how many homes in turn are asked: one may be leaving.
-	homesAsked = 2
+	askTimeout     = holdTime + 800*time.Millisecond
+	avoidTime      = 2 * time.Second // how long a coordinator that did not respond gets no requests
+	updateInterval = 50 * time.Millisecond
+	// progressEvery is the number of update rounds per report of the progress of
+	// running streams. Ends are reported in the next round.
+	progressEvery = 10
+	updateTimeout = time.Second
+	// maxCoordinators is how many coordinators are tried in turn: the first may be
+	// shutting down.
+	maxCoordinators = 2
 )
 
-// Asker asks other VMs.
-type Asker interface {
+// Peers sends requests and updates to other VMs.
+type Peers interface {
 	Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error)
 	News(ctx context.Context, to member.Member, news *proto.SeatNews) error
 }
 
-// Desk asks the homes for this VM's generations. It is safe for use by several
-// goroutines.
+// Client requests reservations for this VM's generations from the coordinators. It
+// is safe for concurrent use.
 type Desk struct {
 	vm       ident.VM
 	fleet    Fleet
 	settings Settings
 	pools    func(ident.Model) *pool.Pool
-	asker    Asker
+	peers    Peers
 
-	mu    sync.Mutex
-	seats map[ident.VM]map[string]*seat // by home and ticket
-	down  map[ident.VM]time.Time
+	mu           sync.Mutex
+	reservations map[ident.VM]map[string]*reservation // by coordinator and ticket
+	avoidUntil   map[ident.VM]time.Time
 }
 
-// NewDesk makes the desk of a VM.
-func NewDesk(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool, a Asker) *Desk {
+// NewClient returns the Client of a VM.
+func NewDesk(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool, peers Peers) *Desk {
 	return &Desk{
-		vm:       vm,
-		fleet:    f,
-		settings: s,
-		pools:    pools,
-		asker:    a,
-		seats:    map[ident.VM]map[string]*seat{},
-		down:     map[ident.VM]time.Time{},
+		vm:           vm,
+		fleet:        f,
+		settings:     s,
+		pools:        pools,
+		peers:        peers,
+		reservations: map[ident.VM]map[string]*reservation{},
+		avoidUntil:   map[ident.VM]time.Time{},
 	}
 }
 
-// Placer returns what finds places for a model; false if the settings know no
-// such model.
-func (d *Desk) Placer(m ident.Model) (gener.Placer, bool) {
-	p := d.pools(m)
+// Placer returns the placer of a model; false if the settings have no such model.
+func (c *Desk) Placer(m ident.Model) (gener.Placer, bool) {
+	p := c.pools(m)
 	if p == nil {
 		return nil, false
 	}
-	return &placer{desk: d, model: m, pool: p}, true
+	return &modelPlacer{client: c, model: m, pool: p}, true
 }
 
-// placer finds places for one model.
-type placer struct {
-	desk  *Desk
-	model ident.Model
-	pool  *pool.Pool
+// modelPlacer places the generations of one model.
+type modelPlacer struct {
+	client *Desk
+	model  ident.Model
+	pool   *pool.Pool
 }
 
-// Model implements gener.Placer.
-func (p *placer) Model() ident.Model { return p.model }
+// Model implements infer.Placer.
+func (p *modelPlacer) Model() ident.Model { return p.model }
 
-// Acquire implements gener.Placer.
-func (p *placer) Acquire(ctx context.Context, ask *pool.Ask) (gener.Seat, *refuse.Refusal) {
-	for range homesAsked {
-		home, ok := HomeOf(p.model, p.desk.fleet.View().Live)
-		if !ok || home.Name == p.desk.vm || !p.desk.asks(home.Name) {
+// Acquire implements infer.Placer.
+func (p *modelPlacer) Acquire(ctx context.Context, req *pool.Ask) (gener.Seat, *refuse.Refusal) {
+	for range maxCoordinators {
+		coordinator, ok := HomeOf(p.model, p.client.fleet.View().Live)
+		if !ok || coordinator.Name == p.client.vm || !p.client.isAvailable(coordinator.Name) {
 			break
 		}
-		if s, refusal, answered := p.remote(ctx, home, ask); answered {
-			return s, refusal
+		if res, refusal, answered := p.acquireRemote(ctx, coordinator, req); answered {
+			return res, refusal
 		}
 	}
-	return p.local(ctx, ask)
+	return p.acquireLocal(ctx, req)
 }
 
-func (p *placer) local(ctx context.Context, ask *pool.Ask) (gener.Seat, *refuse.Refusal) {
-	s, refusal := p.pool.Acquire(ctx, ask)
+func (p *modelPlacer) acquireLocal(ctx context.Context, req *pool.Ask) (gener.Seat, *refuse.Refusal) {
+	res, refusal := p.pool.Acquire(ctx, req)
 	if refusal != nil {
 		return nil, refusal
 	}
-	return s, nil
+	return res, nil
 }
 
-// remote asks the home until it decides; answered is false if it does not.
-func (p *placer) remote(ctx context.Context, home member.Member, ask *pool.Ask) (gener.Seat, *refuse.Refusal, bool) {
-	wire := p.wire(ask)
+// acquireRemote repeats the request until the coordinator decides; answered is
+// false if it does not respond.
+func (p *modelPlacer) acquireRemote(ctx context.Context, coordinator member.Member, req *pool.Ask) (gener.Seat, *refuse.Refusal, bool) {
+	ask := p.newAsk(req)
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, askTime)
-		reply, err := p.desk.asker.Seat(one, home, wire)
+		askCtx, cancel := context.WithTimeout(ctx, askTimeout)
+		reply, err := p.client.peers.Seat(askCtx, coordinator, ask)
 		cancel()
 		if err != nil {
-			p.desk.unanswered(home.Name, wire.GetTicket())
+			p.client.markUnresponsive(coordinator.Name, ask.GetTicket())
 			return nil, nil, false //nolint:nilerr // a home that does not answer is done without
 		}
 		switch State(reply.GetState()) {
@@ -117,40 +118,40 @@
 			continue
 		case Refused:
 			return nil, refuse.FromWire(reply.GetRefusal()), true
-		case Seated:
-			s := p.desk.sit(home.Name, wire.GetTicket(), p.server(reply.GetServer()))
-			if s == nil {
+		case Placed:
+			res := p.client.track(coordinator.Name, ask.GetTicket(), p.serverNamed(reply.GetServer()))
+			if res == nil {
 				return nil, nil, false
 			}
-			return s, nil, true
+			return res, nil, true
 		default:
 			return nil, nil, false
 		}
 	}
-	p.desk.unanswered(home.Name, wire.GetTicket())
+	p.client.markUnresponsive(coordinator.Name, ask.GetTicket())
 	return nil, refuse.New(refuse.CallerStalled, "the request was cut off"), true
 }
 
-func (p *placer) wire(ask *pool.Ask) *proto.SeatAsk {
+func (p *modelPlacer) newAsk(req *pool.Ask) *proto.SeatAsk {
 	w := &proto.SeatAsk{
 		Ticket:    string(ident.NewRequest()),
-		Vm:        string(p.desk.vm),
+		Vm:        string(p.client.vm),
 		Model:     string(p.model),
-		Workspace: string(ask.Learn),
-		Service:   string(ask.Service.Name),
-		Class:     string(ask.Class.Name),
-		Prompt:    uint32(ask.Prompt),
-		Prefix:    ask.Prefix,
+		Workspace: string(req.Learn),
+		Service:   string(req.Service.Name),
+		Class:     string(req.Class.Name),
+		Prompt:    uint32(req.Prompt),
+		Prefix:    req.Prefix,
 	}
-	for name := range ask.Exclude {
+	for name := range req.Exclude {
 		w.Exclude = append(w.Exclude, string(name))
 	}
 	return w
 }
 
-// server finds an engine by the name that the home gave, in this VM's own
-// settings.
-func (p *placer) server(name string) *config.Server {
+// serverNamed returns the engine with the name given by the coordinator, from
+// this VM's own settings.
+func (p *modelPlacer) serverNamed(name string) *config.Server {
 	for _, s := range p.pool.Servers() {
 		if string(s.Name) == name {
 			return &s
@@ -159,41 +160,42 @@
 	return nil
 }
 
-// asks reports whether a home should be asked now.
-func (d *Desk) asks(home ident.VM) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Now().After(d.down[home])
+// isAvailable reports whether a coordinator may be sent requests now.
+func (c *Desk) isAvailable(coordinator ident.VM) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Now().After(c.avoidUntil[coordinator])
 }
 
-// unanswered notes a home that did not answer, and tells it, if it lives, that
-// the ticket is not wanted any more.
-func (d *Desk) unanswered(home ident.VM, ticket string) {
-	s := d.sit(home, ticket, &config.Server{})
-	s.Release(pool.CutOff, time.Now())
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.down[home] = time.Now().Add(downTime)
+// markUnresponsive records that a coordinator did not respond, and has the ticket
+// released in case the coordinator is still up.
+func (c *Desk) markUnresponsive(coordinator ident.VM, ticket string) {
+	res := c.track(coordinator, ticket, &config.Server{})
+	res.Release(pool.CutOff, time.Now())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.avoidUntil[coordinator] = time.Now().Add(avoidTime)
 }
 
-// sit begins to tell the home of a seat; nil if there is no such engine.
-func (d *Desk) sit(home ident.VM, ticket string, server *config.Server) *seat {
+// track starts reporting a reservation to the coordinator; it returns nil if
+// there is no such engine.
+func (c *Desk) track(coordinator ident.VM, ticket string, server *config.Server) *reservation {
 	if server == nil {
 		return nil
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.seats[home] == nil {
-		d.seats[home] = map[string]*seat{}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.reservations[coordinator] == nil {
+		c.reservations[coordinator] = map[string]*reservation{}
 	}
-	s := &seat{server: *server}
-	d.seats[home][ticket] = s
-	return s
+	r := &reservation{server: *server}
+	c.reservations[coordinator][ticket] = r
+	return r
 }
 
-// Run tells the homes of this VM's seats until ctx ends.
-func (d *Desk) Run(ctx context.Context) error {
-	tick := time.NewTicker(newsEvery)
+// Run reports this VM's reservations to their coordinators until ctx ends.
+func (c *Desk) Run(ctx context.Context) error {
+	tick := time.NewTicker(updateInterval)
 	defer tick.Stop()
 	for round := 0; ; round++ {
 		select {
@@ -201,51 +203,51 @@
 			return nil
 		case <-tick.C:
 		}
-		for home, news := range d.news(round%tellEvery == 0) {
-			d.tell(ctx, home, news)
+		for coordinator, updates := range c.updates(round%progressEvery == 0) {
+			c.sendUpdates(ctx, coordinator, updates)
 		}
 	}
 }
 
-// news gathers what each home should hear: every ending, and with all also how
-// far the others are.
-func (d *Desk) news(all bool) map[ident.VM]*proto.SeatNews {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// updates collects the updates for each coordinator: every end, and if all is
+// set also the progress of the other reservations.
+func (c *Desk) updates(all bool) map[ident.VM]*proto.SeatNews {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	out := map[ident.VM]*proto.SeatNews{}
-	for home, seats := range d.seats {
+	for coordinator, reservations := range c.reservations {
 		n := &proto.SeatNews{}
-		for id, s := range seats {
-			w := s.state(id)
-			if w.GetEnded() {
-				delete(seats, id)
+		for id, r := range reservations {
+			state := r.state(id)
+			if state.GetEnded() {
+				delete(reservations, id)
 			}
-			if w.GetEnded() || all {
-				n.Seats = append(n.Seats, w)
+			if state.GetEnded() || all {
+				n.Seats = append(n.Seats, state)
 			}
 		}
 		if len(n.GetSeats()) > 0 {
-			out[home] = n
+			out[coordinator] = n
 		}
 	}
 	return out
 }
 
-// tell sends the news. An ending that does not arrive is made up for by the
-// home's own sweep.
-func (d *Desk) tell(ctx context.Context, home ident.VM, n *proto.SeatNews) {
-	for _, m := range d.fleet.View().Live {
-		if m.Name != home {
+// sendUpdates sends the updates. If an end is lost, the ticket expires at the
+// coordinator.
+func (c *Desk) sendUpdates(ctx context.Context, coordinator ident.VM, n *proto.SeatNews) {
+	for _, m := range c.fleet.View().Live {
+		if m.Name != coordinator {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, newsTime)
-		_ = d.asker.News(ctx, m, n)
+		ctx, cancel := context.WithTimeout(ctx, updateTimeout)
+		_ = c.peers.News(ctx, m, n)
 		cancel()
 	}
 }
 
-// seat is a place that a home gave.
-type seat struct {
+// reservation is a reservation granted by a coordinator.
+type reservation struct {
 	server config.Server
 
 	mu       sync.Mutex
@@ -254,27 +256,27 @@
 	ending   pool.Ending
 }
 
-// At implements gener.Seat.
-func (s *seat) At() config.Server { return s.server }
+// Engine implements infer.Reservation.
+func (r *reservation) At() config.Server { return r.server }
 
-// Progress implements gener.Seat.
-func (s *seat) Progress(n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.produced = n
+// Progress implements infer.Reservation.
+func (r *reservation) Progress(n int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.produced = n
 }
 
-// Release implements gener.Seat.
-func (s *seat) Release(end pool.Ending, _ time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.ended {
-		s.ended, s.ending = true, end
+// Release implements infer.Reservation.
+func (r *reservation) Release(end pool.Ending, _ time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.ended {
+		r.ended, r.ending = true, end
 	}
 }
 
-func (s *seat) state(id string) *proto.SeatState {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return &proto.SeatState{Ticket: id, Produced: uint32(s.produced), Ended: s.ended, Ending: uint32(s.ending)}
+func (r *reservation) state(id string) *proto.SeatState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return &proto.SeatState{Ticket: id, Produced: uint32(r.produced), Ended: r.ended, Ending: uint32(r.ending)}
 }
