--- a/internal/route/loads/loads.go
+++ b/internal/route/loads/loads.go
@@ -1,5 +1,5 @@
-// Package loads keeps the pools of all models in step with the settings and
-// their engines' load reports fresh.
+// Package loads keeps a pool for each model, updates the pools when the settings
+// change, and polls the load reports of their engines.
 package loads
 
 import (
@@ -18,28 +18,28 @@
 	"umberladder/internal/state/config"
 )
 
-// readTime bounds the reading of one report.
-const readTime = time.Second
+// readTimeout bounds the reading of one report.
+const readTimeout = time.Second
 
 // Reader reads an engine's load report.
 type Reader interface {
 	Load(ctx context.Context, addr netip.AddrPort) (engine.Load, error)
 }
 
-// Loads holds a pool for each model. It is safe for use by several
-// goroutines.
+// Poller holds a pool for each model and polls its engines. It is safe for
+// concurrent use.
 type Loads struct {
-	reader   Reader
-	interval func(ident.Model) time.Duration
-	chooser  func() place.Chooser
-	vms      func(ident.Model) int
-	book     *invar.Book
-	seed     uint64
+	reader     Reader
+	interval   func(ident.Model) time.Duration
+	chooser    func() place.Chooser
+	vms        func(ident.Model) int
+	invariants *invar.Book
+	seed       uint64
 
 	mu      sync.Mutex
 	pools   map[ident.Model]*pool.Pool
 	pollers map[netip.AddrPort]context.CancelFunc
-	wanted  map[netip.AddrPort]target
+	targets map[netip.AddrPort]target
 	changed chan struct{}
 }
 
@@ -48,21 +48,20 @@
 	name ident.Server
 }
 
-// New makes the pools' keeper. vms tells how many VMs place generations of a
-// model. Each engine's report is read every interval
-// of its model.
-func New(reader Reader, interval func(ident.Model) time.Duration, chooser func() place.Chooser, vms func(ident.Model) int, book *invar.Book, seed uint64) *Loads {
+// New returns a Poller. interval returns how often the load reports of a model's
+// engines are read, and vms how many VMs place generations of a model.
+func New(reader Reader, interval func(ident.Model) time.Duration, chooser func() place.Chooser, vms func(ident.Model) int, invariants *invar.Book, seed uint64) *Loads {
 	return &Loads{
-		reader:   reader,
-		interval: interval,
-		chooser:  chooser,
-		vms:      vms,
-		book:     book,
-		seed:     seed,
-		pools:    map[ident.Model]*pool.Pool{},
-		pollers:  map[netip.AddrPort]context.CancelFunc{},
-		wanted:   map[netip.AddrPort]target{},
-		changed:  make(chan struct{}, 1),
+		reader:     reader,
+		interval:   interval,
+		chooser:    chooser,
+		vms:        vms,
+		invariants: invariants,
+		seed:       seed,
+		pools:      map[ident.Model]*pool.Pool{},
+		pollers:    map[netip.AddrPort]context.CancelFunc{},
+		targets:    map[netip.AddrPort]target{},
+		changed:    make(chan struct{}, 1),
 	}
 }
 
@@ -84,24 +83,24 @@
 	return out
 }
 
-// Update sets the models and engines that the settings name.
+// Update sets the models and engines that the settings list.
 func (l *Loads) Update(s *config.Snapshot) {
 	if s.System == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wanted = map[netip.AddrPort]target{}
+	l.targets = map[netip.AddrPort]target{}
 	for _, m := range s.System.Models {
 		p := l.pools[m.Name]
 		if p == nil {
 			l.seed++
-			p = pool.New(m.Name, l.chooser(), func() int { return l.vms(m.Name) }, l.book, rand.New(rand.NewPCG(l.seed, 0)))
+			p = pool.New(m.Name, l.chooser(), func() int { return l.vms(m.Name) }, l.invariants, rand.New(rand.NewPCG(l.seed, 0)))
 			l.pools[m.Name] = p
 		}
 		p.Update(m.Servers)
 		for _, server := range m.Servers {
-			l.wanted[server.Address] = target{pool: p, name: server.Name}
+			l.targets[server.Address] = target{pool: p, name: server.Name}
 		}
 	}
 	select {
@@ -127,17 +126,17 @@
 	}
 }
 
-// reconcile starts a poller for each wanted engine and stops the others.
+// reconcile starts a poller for each target engine and stops the others.
 func (l *Loads) reconcile(ctx context.Context, g Group) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for addr, cancel := range l.pollers {
-		if _, ok := l.wanted[addr]; !ok {
+		if _, ok := l.targets[addr]; !ok {
 			cancel()
 			delete(l.pollers, addr)
 		}
 	}
-	for addr, t := range l.wanted {
+	for addr, t := range l.targets {
 		if l.pollers[addr] != nil {
 			continue
 		}
@@ -152,18 +151,19 @@
 	}
 }
 
-// poll reads one engine's reports, at times that differ from VM to VM.
+// poll reads one engine's load reports, at random intervals so that VMs do not
+// poll in step.
 func (l *Loads) poll(ctx context.Context, addr netip.AddrPort, t target, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		l.read(ctx, addr, t)
-		every := l.interval(t.pool.Model())
-		wait := every/2 + time.Duration(rng.Int64N(int64(every)))
+		interval := l.interval(t.pool.Model())
+		wait := interval/2 + time.Duration(rng.Int64N(int64(interval)))
 		retry.Pause(ctx, wait)
 	}
 }
 
 func (l *Loads) read(ctx context.Context, addr netip.AddrPort, t target) {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	report, err := l.reader.Load(ctx, addr)
 	if err != nil {
--- a/internal/route/mover/doc.go
+++ b/internal/route/mover/doc.go
@@ -1,7 +1,7 @@
-// Package mover has engines copy the cache of a run to one another, so that the
-// run can go on elsewhere.
+// Package migr migrates runs between engines: it has an engine copy the KV cache
+// of a run to another engine, where the run continues.
 //
-// Copies queue on the engines' links, and a run that is stopped stands still
-// while its last copy waits. So a run is stopped only when its copy is there but
-// for what it made in the last milliseconds.
+// Copies queue on the engines' links, and a stopped run produces nothing while
+// its last copy is queued. Therefore a run is stopped only when all of its KV
+// cache is copied except for what it produced in the last milliseconds.
 package mover
--- a/internal/route/mover/mover.go
+++ b/internal/route/mover/mover.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// copyTime bounds the copying of a whole cache, which queues behind others.
-	copyTime = 1500 * time.Millisecond
-	// quickCopy is the longest time of a copy of the last second's tokens that met
-	// no queue.
-	quickCopy = 50 * time.Millisecond
-	// settleTime is how long a move waits for the links to be free: it leaves time
-	// for the move within the shortest notice of an engine.
-	settleTime = 1100 * time.Millisecond
-	// freeTime bounds the order to free a copy.
-	freeTime = 500 * time.Millisecond
-	// stopTime bounds the order that stops a run at an engine that may be dead.
-	stopTime = 250 * time.Millisecond
-	// stopWait is how long the answer to an order to stop is waited for: an engine
-	// that dropped the run says so at its next step, and one that did not has
-	// stopped it before it answers.
+	// copyTimeout bounds the copy of a complete KV cache, which queues behind others.
+	copyTimeout = 1500 * time.Millisecond
+	// quickCopyTime is the longest time that a copy of the last second's tokens takes
+	// if the link has no queue.
+	quickCopyTime = 50 * time.Millisecond
+	// copyPhaseTime is how long a migration repeats copies until the links are free.
+	// It leaves time to finish within the shortest notice of an engine's end.
+	copyPhaseTime = 1100 * time.Millisecond
+	// freeTimeout bounds the order to free a copy.
+	freeTimeout = 500 * time.Millisecond
+	// stopTimeout bounds the order that stops a run at an engine that may have
+	// terminated.
+	stopTimeout = 250 * time.Millisecond
+	// stopWait is how long Stop waits for the engine's response. An engine that
+	// dropped the run says so at its next step, and one that did not stops it before
+	// it responds.
 	stopWait = 20 * time.Millisecond
-	// busyPause is the pause before an order is given again to an engine that is
-	// at another for the same run.
-	busyPause = 50 * time.Millisecond
+	// busyRetryDelay is the delay before an order is repeated to an engine that is
+	// executing another order for the same run.
+	busyRetryDelay = 50 * time.Millisecond
 )
 
-// ErrUnpaid says that the run may not go on elsewhere, so that it was left
-// where it is.
+// ErrBudgetExhausted reports that the run was not migrated because the retry
+// budget is used up.
 var ErrUnpaid = errors.New("mover: the retry budget is used up")
 
 // Group starts goroutines.
@@ -44,7 +45,7 @@
 	Go(f func() error)
 }
 
-// Mover orders the copies of one run.
+// Migrator orders the KV cache copies of one run.
 type Mover struct {
 	backend port.Backend
 	group   Group
@@ -54,81 +55,81 @@
 	stopped atomic.Bool
 }
 
-// Stopped reports whether the run's engine was told to stop it.
+// Stopped reports whether the run's engine was ordered to stop it.
 func (m *Mover) Stopped() bool { return m.stopped.Load() }
 
-// New makes a mover of a run.
+// New returns the Migrator of a run.
 func New(b port.Backend, g Group, run ident.Request, log func(string, ...zap.Field)) *Mover {
 	return &Mover{backend: b, group: g, run: run, log: log}
 }
 
-// Move copies the run's cache while the run goes on, and then stops it and
-// copies what is new. What is new is copied again until a copy comes through at
-// once or the time is over; 8 ms then are the rule for the last one, and were
-// 0.4 s at the median. Before the run is stopped, pay has to allow it.
-func (m *Mover) Move(ctx context.Context, from, to *backs.Server, pay func() bool) (port.Moved, error) {
+// Move copies the run's KV cache while the run continues, then stops the run and
+// copies the rest. Before the stop it repeats the copy of new tokens until one
+// meets no queue or copyPhaseTime is over; the last copy then usually takes 8 ms
+// instead of a median of 0.4 s. The run is stopped only if spend returns true.
+func (m *Mover) Move(ctx context.Context, from, to *backs.Server, spend func() bool) (port.Moved, error) {
 	m.stopped.Store(false)
-	end := time.Now().Add(settleTime)
-	made := ""
+	deadline := time.Now().Add(copyPhaseTime)
+	handle := ""
 	for {
 		start := time.Now()
-		c, err := m.order(ctx, from, to, false, copyTime)
+		c, err := m.orderCopy(ctx, from, to, false, copyTimeout)
 		if err != nil {
-			m.free(from, made)
+			m.freeCopy(from, handle)
 			return c, err
 		}
-		made = c.Handle
+		handle = c.Handle
 		now := time.Now()
-		if now.Sub(start) < quickCopy || now.After(end) {
+		if now.Sub(start) < quickCopyTime || now.After(deadline) {
 			break
 		}
 	}
-	if !pay() {
-		m.free(from, made)
+	if !spend() {
+		m.freeCopy(from, handle)
 		return port.Moved{}, ErrUnpaid
 	}
 	m.stopped.Store(true)
-	c, err := m.order(ctx, from, to, true, copyTime)
+	c, err := m.orderCopy(ctx, from, to, true, copyTimeout)
 	if err != nil {
-		m.free(from, made)
+		m.freeCopy(from, handle)
 	}
 	return c, err
 }
 
-// Rescue stops a run whose connection broke and copies its cache.
+// Recover stops a run whose connection broke and copies its KV cache.
 func (m *Mover) Rescue(ctx context.Context, from, to *backs.Server) (port.Moved, error) {
-	return m.order(ctx, from, to, true, copyTime)
+	return m.orderCopy(ctx, from, to, true, copyTimeout)
 }
 
-// Stop makes sure that an engine does not work on the run any more: most drop
-// it with the connection, and the others are ordered to. The cache goes to an
-// engine that has it already.
+// Stop makes sure that an engine no longer works on the run. Most engines drop it
+// with the connection; the others are ordered to stop it, with a copy to an
+// engine that already has the KV cache.
 func (m *Mover) Stop(ctx context.Context, from, to *backs.Server) {
 	done := make(chan struct{})
 	m.group.Go(func() error {
 		defer close(done)
-		_, err := m.order(context.WithoutCancel(ctx), from, to, true, stopTime)
+		_, err := m.orderCopy(context.WithoutCancel(ctx), from, to, true, stopTimeout)
 		if !errors.Is(err, port.ErrNoRun) {
 			m.log("run stopped by order", zap.String("server", string(from.ID)), zap.Error(err))
 		}
 		return nil
 	})
-	limit := time.NewTimer(stopWait)
-	defer limit.Stop()
+	timer := time.NewTimer(stopWait)
+	defer timer.Stop()
 	select {
 	case <-done:
-	case <-limit.C:
+	case <-timer.C:
 	}
 }
 
-// free gives up a copy that is of no use, so that it does not fill its engine
-// until it lapses.
-func (m *Mover) free(from *backs.Server, handle string) {
+// freeCopy frees a copy that is not used, so that it does not take memory until
+// it expires.
+func (m *Mover) freeCopy(from *backs.Server, handle string) {
 	if handle == "" {
 		return
 	}
 	m.group.Go(func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), freeTime)
+		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
 		if err := m.backend.Free(ctx, from, handle); err != nil {
 			m.log("copy not freed", zap.String("server", string(from.ID)), zap.Error(err))
@@ -137,17 +138,17 @@
 	})
 }
 
-// order has an engine copy the run's cache.
-func (m *Mover) order(ctx context.Context, from, to *backs.Server, last bool, limit time.Duration) (port.Moved, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// orderCopy has an engine copy the run's KV cache.
+func (m *Mover) orderCopy(ctx context.Context, from, to *backs.Server, stopRun bool, timeout time.Duration) (port.Moved, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		c, err := m.backend.Move(ctx, from, m.run, to.Addr, last)
+		c, err := m.backend.Move(ctx, from, m.run, to.Addr, stopRun)
 		if !errors.Is(err, port.ErrBusy) {
 			return c, err
 		}
 		select {
-		case <-time.After(busyPause):
+		case <-time.After(busyRetryDelay):
 		case <-ctx.Done():
 			return c, err
 		}
--- a/internal/route/port/doc.go
+++ b/internal/route/port/doc.go
@@ -1,3 +1,3 @@
-// Package port says what the relay asks of the sides it stands between: the
-// client's reply, the backend servers and the settings.
+// Package port defines the interfaces between the relay and its surroundings: the
+// response to the client, the backend servers and the settings.
 package port
--- a/internal/route/port/port.go
+++ b/internal/route/port/port.go
@@ -11,35 +11,35 @@
 	"umberladder/internal/state/backs"
 )
 
-// Send is one sending of a call to a server.
+// Attempt is one attempt to have a server run a call.
 type Send struct {
 	Call      *call.Call
 	Server    *backs.Server
 	Workspace ident.Workspace // empty: the route is public
-	Left      time.Duration   // how long the answer is of use
+	Left      time.Duration   // time after which the response is of no use
 	Backup    netip.AddrPort  // engine that keeps a copy of the cache; not valid: none
-	Copy      Copy            // cache to go on from
-	After     string          // identifier of the last event the client has
+	Copy      Copy            // KV cache to continue from
+	After     string          // ID of the last event that the client received
 }
 
-// Copy names the cache of a run that goes on elsewhere.
+// CacheRef identifies the KV cache of a run that continues on another engine.
 type Copy struct {
-	At netip.AddrPort // not valid: none
+	At netip.AddrPort // engine that has the cache; not valid: none
 	ID string
 }
 
-// Answer is a server's answer.
+// Response is a server's response.
 type Answer struct {
 	Status int
-	Fields []call.Field // as the server sent them, without the connection's own
-	Signed bool         // bears the server's signature
+	Fields []call.Field // as sent by the server, without those of the connection
+	Signed bool         // carries a signature of the server
 	NotRun bool         // the server says that it did not run the call
-	Gone   bool         // another server answers at the address: the one that was called is gone
-	Framed bool         // the end of the body is marked
-	// Leaving says that the server is draining: it takes no new calls.
+	Gone   bool         // another server responded at the address: the called one has terminated
+	Framed bool         // the end of the body is marked, so truncation is detected
+	// Draining reports that the server is draining: it accepts no new calls.
 	Leaving bool
-	// Pause is how long a server that rejects the call wants none of this VM; zero: it
-	// does not say.
+	// Pause is how long a server that rejects the call wants no calls from this VM;
+	// zero: it does not say.
 	Pause time.Duration
 	// Limit is the request rate, per second, that the server accepts from all VMs
 	// together; zero: it states no limit.
@@ -47,36 +47,36 @@
 	Body  Body
 }
 
-// Body is the rest of an answer. Read returns io.EOF only at the end of a
-// whole body. Close ends the connection, and with it the server's work.
+// Body is the body of a response. Read returns io.EOF only at the end of a
+// complete body. Close closes the connection, and with it ends the server's work.
 type Body interface {
 	Read(p []byte) (int, error)
 	Close() error
 }
 
-// Moved is the outcome of an order to copy a run's cache.
+// MoveResult is the result of an order to copy a run's KV cache.
 type Moved struct {
 	Handle string
-	Events int // made so far
+	Events int // produced so far
 }
 
-// Report is what an engine says of itself, as of some time ago.
+// EngineReport is the state that an engine reports of itself, with some delay.
 type Report struct {
 	Leaving bool
 	Left    time.Duration // until it ends; zero: not known
-	Born    time.Time     // when it started; zero: it does not tell
+	Born    time.Time     // when it started; zero: not reported
 }
 
-// Errors of an order to copy.
+// Errors of an order to copy a KV cache.
 var (
 	ErrNoRun  = errors.New("port: the engine has no such run")
-	ErrBusy   = errors.New("port: an order for the run is under way")
-	ErrNoRoom = errors.New("port: the other engine has no room or can't be reached")
+	ErrBusy   = errors.New("port: another order for the run is in progress")
+	ErrNoRoom = errors.New("port: the other engine has no capacity or is unreachable")
 )
 
-// SendError is a sending without an answer.
+// SendError is the error of an attempt without a response.
 type SendError struct {
-	Unsent bool // nothing of the call left this VM: it can't have run
+	Unsent bool // nothing of the call left this VM, so it cannot have run
 	Err    error
 }
 
@@ -84,21 +84,23 @@
 
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Backend speaks to backend servers.
+// Backend is a client of the backend servers.
 type Backend interface {
-	// Send sends the call and returns once the head of the answer is there. Its
+	// Send sends the call and returns once the head of the response has arrived. Its
 	// error is always a *SendError.
 	Send(ctx context.Context, s Send) (*Answer, error)
-	// Move copies the cache of a run to another engine; with last the run stops first.
-	Move(ctx context.Context, from *backs.Server, id ident.Request, to netip.AddrPort, last bool) (Moved, error)
-	// Free gives up a copy that is not used.
+	// Move copies the KV cache of a run to another engine. With stopRun it stops the
+	// run first.
+	Move(ctx context.Context, from *backs.Server, id ident.Request, to netip.AddrPort, stopRun bool) (Moved, error)
+	// Free frees a copy that is not used.
 	Free(ctx context.Context, from *backs.Server, handle string) error
-	// Refuses reports whether the server's address refuses connections: its process has
-	// ended. A connection that fails in another way proves nothing.
+	// RefusesConnections reports whether the server's address refuses connections,
+	// which means that its process has ended. Other connection failures prove
+	// nothing.
 	Refuses(ctx context.Context, s *backs.Server) bool
 }
 
-// Reply writes the answer to the client.
+// ResponseWriter writes the response to the client.
 type Reply interface {
 	Begun() bool
 	Whole(status int, fields []call.Field, body []byte) error
@@ -108,7 +110,7 @@
 	Abort()
 }
 
-// Refresher reads the settings anew.
+// Refresher reads the settings again.
 type Refresher interface {
 	Refresh(ctx context.Context, limit time.Duration) error
 }
