--- a/internal/route/probe/doc.go
+++ b/internal/route/probe/doc.go
@@ -1,8 +1,9 @@
-// Package probe asks engines themselves whether they leave while the store
-// can't tell.
+// Package probe asks engines whether they are draining while the store is
+// unreachable.
 //
-// In an outage of the store nobody reads the notice of an engine that leaves,
-// and all its streams are lost with it. An engine also says of itself that it
-// leaves, as of half a second ago, which is early enough for most of its
-// streams. One VM asks for all, and only while no VM hears the store.
+// In an outage of the store nobody reads the notice that an engine is to end, and
+// all its streams would be lost with it. The engine also reports its drain
+// itself, with a delay of half a second, which is early enough for most of its
+// streams. One VM asks the engines for all VMs, and only while no VM can reach
+// the store.
 package probe
--- a/internal/route/probe/probe.go
+++ b/internal/route/probe/probe.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// Every is the time between two questions to an engine: its notice is short, and
-	// its word is half a second old.
-	Every = 200 * time.Millisecond
-	// limit bounds one question. An engine that is silent for longer is asked again
+	// Interval is the time between two questions to an engine. It is short because an
+	// engine's notice is short and its report is half a second old.
+	Interval = 200 * time.Millisecond
+	// reportTimeout bounds one question. An engine that takes longer is asked again
 	// rather than waited for.
-	limit = 500 * time.Millisecond
-	// most is how many questions a round asks: among thousands of engines, those that
-	// were asked longest ago, so that the VM has its link and descriptors for calls.
-	most = 100
+	reportTimeout = 500 * time.Millisecond
+	// maxPerRound is the maximum number of questions per round. With thousands of
+	// engines, those asked longest ago are asked first, so that the VM keeps its link
+	// and file descriptors for calls.
+	maxPerRound = 100
 )
 
-// Engines answers for engines what they say of themselves.
+// Reporter reads the reports of engines.
 type Engines interface {
 	Report(ctx context.Context, s *backs.Server) (port.Report, error)
 }
@@ -36,34 +37,35 @@
 	Go(f func() error)
 }
 
-// Prober asks the engines of services.
+// Prober asks the engines of services whether they are draining.
 type Prober struct {
-	table    *backs.Table
-	engines  Engines
-	services func(now time.Time) []ident.Service
-	dead     func(ids []ident.Server, now time.Time)
-	group    Group
-	log      *zap.Logger
+	table       *backs.Table
+	engines     Engines
+	services    func(now time.Time) []ident.Service
+	unreachable func(ids []ident.Server, now time.Time)
+	group       Group
+	log         *zap.Logger
 
-	mu    sync.Mutex
-	asked map[ident.Server]struct{}  // a question is under way
-	last  map[ident.Server]time.Time // when engines were last asked
+	mu        sync.Mutex
+	inFlight  map[ident.Server]struct{}  // engines with an unanswered question
+	lastAsked map[ident.Server]time.Time // when engines were last asked
 }
 
-// New makes a prober of the services that are to be asked at a moment. It calls
-// dead with engines that can't be connected to.
+// New returns a Prober. services returns the services whose engines are to be
+// asked at a given time; unreachable is called with engines that refuse
+// connections.
 func New(table *backs.Table, engines Engines, services func(now time.Time) []ident.Service,
-	dead func(ids []ident.Server, now time.Time), group Group, log *zap.Logger,
+	unreachable func(ids []ident.Server, now time.Time), group Group, log *zap.Logger,
 ) *Prober {
 	return &Prober{
-		table: table, engines: engines, services: services, dead: dead, group: group, log: log,
-		asked: make(map[ident.Server]struct{}), last: make(map[ident.Server]time.Time),
+		table: table, engines: engines, services: services, unreachable: unreachable, group: group, log: log,
+		inFlight: make(map[ident.Server]struct{}), lastAsked: make(map[ident.Server]time.Time),
 	}
 }
 
-// Run asks until ctx ends.
+// Run asks the engines until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
-	t := time.NewTicker(Every)
+	t := time.NewTicker(Interval)
 	defer t.Stop()
 	for {
 		select {
@@ -75,18 +77,18 @@
 	}
 }
 
-// round asks engines that do not owe an answer.
+// round asks the engines that are due.
 func (p *Prober) round(ctx context.Context, now time.Time) {
 	for _, s := range p.due(now) {
 		p.group.Go(func() error {
-			defer p.end(s.ID)
-			p.ask(ctx, s)
+			defer p.done(s.ID)
+			p.probe(ctx, s)
 			return nil
 		})
 	}
 }
 
-// due returns the engines to be asked now, and notes that they are.
+// due returns the engines to ask now, and records that they are asked.
 func (p *Prober) due(now time.Time) []*backs.Server {
 	var list []*backs.Server
 	view := p.table.View()
@@ -96,42 +98,42 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list = slices.DeleteFunc(list, func(s *backs.Server) bool {
-		_, owes := p.asked[s.ID]
-		return owes
+		_, pending := p.inFlight[s.ID]
+		return pending
 	})
-	slices.SortStableFunc(list, func(a, b *backs.Server) int { return p.last[a.ID].Compare(p.last[b.ID]) })
-	list = list[:min(len(list), most)]
+	slices.SortStableFunc(list, func(a, b *backs.Server) int { return p.lastAsked[a.ID].Compare(p.lastAsked[b.ID]) })
+	list = list[:min(len(list), maxPerRound)]
 	for _, s := range list {
-		p.asked[s.ID], p.last[s.ID] = struct{}{}, now
+		p.inFlight[s.ID], p.lastAsked[s.ID] = struct{}{}, now
 	}
-	for id := range p.last {
+	for id := range p.lastAsked {
 		if view.Server(id) == nil {
-			delete(p.last, id)
+			delete(p.lastAsked, id)
 		}
 	}
 	return list
 }
 
-func (p *Prober) end(id ident.Server) {
+func (p *Prober) done(id ident.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asked, id)
+	delete(p.inFlight, id)
 }
 
-// ask asks one engine. Silence says nothing: it may be the way to this VM alone
-// that is cut.
-func (p *Prober) ask(ctx context.Context, s *backs.Server) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// probe asks one engine. A missing response proves nothing: possibly only the
+// network path to this VM is broken.
+func (p *Prober) probe(ctx context.Context, s *backs.Server) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := p.engines.Report(ctx, s)
 	switch {
 	case task.IsUnsent(err):
-		p.dead([]ident.Server{s.ID}, time.Now())
+		p.unreachable([]ident.Server{s.ID}, time.Now())
 	case err != nil:
-		p.log.Debug("engine did not tell of itself", zap.String("server", string(s.ID)), zap.Error(err))
+		p.log.Debug("engine report not read", zap.String("server", string(s.ID)), zap.Error(err))
 	case restarted(s, r):
 		if p.table.Left(s.ID) {
-			p.log.Info("server gone", zap.String("server", string(s.ID)), zap.String("reason", "it has started again"))
+			p.log.Info("server gone", zap.String("server", string(s.ID)), zap.String("reason", "it was restarted"))
 		}
 	case r.Leaving:
 		if p.table.Drain(s.ID, time.Now()) {
@@ -141,7 +143,7 @@
 	}
 }
 
-// restarted reports whether the engine has started anew under its name.
+// restarted reports whether the engine has been restarted under its name.
 func restarted(s *backs.Server, r port.Report) bool {
 	born := s.ID.Born()
 	return !born.IsZero() && !r.Born.IsZero() && !r.Born.Equal(born)
--- a/internal/route/task/crash.go
+++ b/internal/route/task/crash.go
@@ -10,17 +10,18 @@
 	"umberladder/internal/state/backs"
 )
 
-// checkTime bounds the check whether a server has ended: a refused connection takes one
-// round trip.
-const checkTime = 50 * time.Millisecond
+// crashCheckTimeout bounds the check whether a server has terminated: a refused
+// connection takes one round trip.
+const crashCheckTimeout = 50 * time.Millisecond
 
-// CheckCrash checks whether a server has ended whose answer broke off soon after the call
-// had begun to run there, which is evidence against the request.
+// CheckCrash checks whether a server has terminated after its response broke off
+// soon after the call started there. A termination is evidence that the request
+// crashes servers.
 func (t *Task) CheckCrash(ctx context.Context, s *backs.Server) {
 	if s.Left() {
-		return // it has announced its end
+		return // it announced its end, so this is not a crash
 	}
-	ctx, cancel := context.WithTimeout(ctx, checkTime)
+	ctx, cancel := context.WithTimeout(ctx, crashCheckTimeout)
 	defer cancel()
 	ended := t.Backend.Refuses(ctx, s)
 	crashes := 0
@@ -31,17 +32,18 @@
 		zap.Bool("server-ended", ended), zap.Int("crashes", crashes))
 }
 
-// Completed notes that a server ran the call to its end.
+// Completed records that a server ran the call to its end.
 func (t *Task) Completed() { t.Poison.Completed(t.Record.Fingerprint, time.Now()) }
 
-// Quarantined refuses a call whose request is quarantined; nil: it may run.
+// QuarantineRefusal returns the refusal of a call whose request is quarantined, or
+// nil if it may run.
 func (t *Task) Quarantined() *refuse.Refusal {
 	now := time.Now()
 	until, ok := t.Poison.Until(t.Record.Fingerprint, now)
 	if !ok {
 		return nil
 	}
-	left := until.Sub(now)
+	remaining := until.Sub(now)
 	return refuse.New(refuse.Quarantined, "backend servers crashed when they began to run request %s; it is not sent to others for %s",
-		t.Record.Fingerprint, left.Round(time.Second)).After(left)
+		t.Record.Fingerprint, remaining.Round(time.Second)).After(remaining)
 }
--- a/internal/route/task/doc.go
+++ b/internal/route/task/doc.go
@@ -1,3 +1,3 @@
-// Package task holds one call on its way to its one end: what it is, what it is
-// served with, and what is known of it so far.
+// Package task holds the state that is shared by all ways to serve one call: the
+// call, the dependencies to serve it with, and the result so far.
 package task
--- a/internal/route/task/parts.go
+++ b/internal/route/task/parts.go
@@ -21,16 +21,16 @@
 	"umberladder/internal/state/routes"
 )
 
-// Config is what varies between deployments.
+// Config holds the settings of the deployment.
 type Config struct {
 	Domain ident.Domain
-	// Revoke returns how long after its end an API key may still be served.
+	// RevokeDelay returns how long an API key may still be served after it ended.
 	Revoke func() time.Duration
-	// Apply returns how long a change of the settings may take to be in force.
+	// ApplyDelay returns how long a change of the settings may take to be in force.
 	Apply func() time.Duration
 }
 
-// Parts are what calls are served with.
+// Deps holds the dependencies for serving calls.
 type Parts struct {
 	Config   Config
 	Settings *routes.Book
@@ -49,24 +49,24 @@
 	Count    Counter
 }
 
-// Budget bounds sendings beyond the first of each call, over all VMs.
+// Budget limits the attempts beyond the first of each call, over all VMs.
 type Budget interface {
 	Earn(service ident.Service, now time.Time)
 	Spend(service ident.Service, now time.Time) bool
 }
 
 // Placer decides where runs go. Its error is pick.ErrNoServer, a
-// *pick.NoRoomError or the context's.
+// *pick.NoCapacityError or the context's error.
 type Placer interface {
 	Place(ctx context.Context, w pick.Want) (pick.Spot, error)
 }
 
-// Counter counts how calls end.
+// Counter counts the results of calls.
 type Counter interface {
 	Ended(e *End)
 }
 
-// End tells how a call ended.
+// Result describes how a call was served and how it ended.
 type End struct {
 	Call        *call.Call
 	Fingerprint call.Fingerprint // zero: the call was refused before its workspace was known
@@ -74,14 +74,14 @@
 	Service     ident.Service
 	Server      ident.Server
 	Status      int             // sent to the client; zero: none
-	Refusal     *refuse.Refusal // nil: answered by a server
-	Queued      time.Duration   // wait for room at an engine
-	First       time.Duration   // until the answer or its first event
+	Refusal     *refuse.Refusal // nil: a server's response was delivered
+	Queued      time.Duration   // total wait for capacity on an engine
+	First       time.Duration   // until the response or its first event
 	Total       time.Duration
-	Sent        int // sendings
-	Moves       int // times a stream went on at another engine
+	Sent        int // attempts
+	Moves       int // migrations of the stream to another engine
 	Events      int
-	Gap         time.Duration // longest pause between two events
-	Version     uint64        // of the settings
-	Age         time.Duration // of the knowledge that they are the newest
+	Gap         time.Duration // longest time between two events
+	Version     uint64        // version of the settings
+	Age         time.Duration // time since the settings were known to be the newest
 }
--- a/internal/route/task/task.go
+++ b/internal/route/task/task.go
@@ -18,13 +18,13 @@
 	"umberladder/internal/state/routes"
 )
 
-// RoomRetry is when a call refused for want of a server should come back.
+// NoServerRetry is the retry delay of a call refused for lack of a server.
 const RoomRetry = 500 * time.Millisecond
 
-// ErrTimeout is the cause that ends a call's context at its end.
-var ErrTimeout = errors.New("task: the time allowed is over")
+// ErrTimeout is the cause that cancels a call's context at its deadline.
+var ErrTimeout = errors.New("task: the deadline has passed")
 
-// Task is one call on its way, once its route is known.
+// Task is one call to be served, once its route is known.
 type Task struct {
 	Parts
 	Call      *call.Call
@@ -32,18 +32,19 @@
 	Route     *routes.Route
 	Service   *routes.Service
 	Workspace ident.Workspace
-	End       time.Time // no answer is of use after it
+	End       time.Time // no response is of use after it
 	Record    End
 
-	mu   sync.Mutex // guards kept: orders to engines log beside the call
-	kept []kept
+	mu       sync.Mutex // guards deferred: orders to engines are logged concurrently with the call
+	deferred []deferredLine
 }
 
-// Left returns how long an answer is still of use.
+// Remaining returns how long a response is still of use.
 func (t *Task) Left() time.Duration { return time.Until(t.End) }
 
-// Over returns the refusal of a call whose time or client is gone. The call
-// has not been written to any server that may still run it unless ran says so.
+// CancellationRefusal returns the refusal of a call whose deadline has passed or
+// whose client has disconnected. ran states whether the call may have run: with
+// RanNo it has not been sent to any server that may still run it.
 func (t *Task) Over(ctx context.Context, ran refuse.Ran) *refuse.Refusal {
 	if errors.Is(context.Cause(ctx), ErrTimeout) {
 		r := refuse.New(refuse.TimedOut, "no answer within the %s allowed", t.End.Sub(t.Call.Arrived)).With(ran)
@@ -56,38 +57,40 @@
 }
 
 const (
-	// patientUnsent is how many servers that can't be connected to are passed over
-	// in any case.
-	patientUnsent = 3
-	// mostUnsent is how many are passed over at most. A refused connection costs
-	// little, and in an outage of the store many servers may have gone unnoticed.
-	mostUnsent = 12
-	// unsentShare is the share of the latency target in which more than
-	// patientUnsent are passed over.
-	unsentShare = 0.5
+	// alwaysRetryUnsent is the number of unreachable servers below which another one
+	// is always tried.
+	alwaysRetryUnsent = 3
+	// maxUnsent is the maximum number of unreachable servers before the call fails.
+	// A refused connection costs little, and in an outage of the store the
+	// termination of many servers may have gone unnoticed.
+	maxUnsent = 12
+	// unsentTimeShare is the share of the latency target within which another server
+	// is tried after more than alwaysRetryUnsent unreachable ones.
+	unsentTimeShare = 0.5
 )
 
-// PassOver reports whether another server is to be tried after unsent ones could
-// not be connected to.
+// RetryUnsent reports whether to try another server after unsent servers could not
+// be connected to.
 func (t *Task) PassOver(unsent int) bool {
-	if unsent < patientUnsent {
+	if unsent < alwaysRetryUnsent {
 		return true
 	}
-	return unsent < mostUnsent && time.Since(t.Call.Arrived) < time.Duration(unsentShare*float64(t.Route.Target))
+	return unsent < maxUnsent && time.Since(t.Call.Arrived) < time.Duration(unsentTimeShare*float64(t.Route.Target))
 }
 
-// Lost notes that a server is gone: another one answers at its address. Its entry
-// outlives it.
+// MarkGone records that a server has terminated, because another one responds at
+// its address. Its entry outlives it.
 func (t *Task) Lost(s *backs.Server) {
 	if t.Servers.Left(s.ID) {
 		t.Note("server gone", zap.String("server", string(s.ID)), zap.Stringer("address", s.Addr), zap.String("reason", "another server answers at its address"))
 	}
 }
 
-// Observe takes what an answer says of its server. One that drains is taken out of use:
-// its entry may say so much later, or never. One that wants no calls for a time gets
-// none from this VM. A rate limit is recorded and applies to all VMs together. sent is
-// when the request was sent, and serves to order limits that were stated at different times.
+// ObserveResponse processes what a response says about its server. A draining
+// server is taken out of use: its entry may say so much later, or never. A server
+// that asks for a pause gets no calls from this VM for that time. A rate limit is
+// recorded and applies to all VMs together. sent is when the request was sent; it
+// orders limits that were stated at different times.
 func (t *Task) Observe(s *backs.Server, a *port.Answer, sent time.Time) {
 	now := time.Now()
 	if !a.Gone {
@@ -98,31 +101,32 @@
 	}
 	if a.Pause > 0 {
 		t.Health.Pause(s.ID, a.Pause, now)
-		t.Note("server wants a pause", zap.String("server", string(s.ID)), zap.Duration("pause", a.Pause))
+		t.Note("server asked for a pause", zap.String("server", string(s.ID)), zap.Duration("pause", a.Pause))
 	}
 }
 
-// NoServer refuses a call for which no server takes work now. Where all servers of the
-// service want a pause, the client should come back after the shortest.
+// NoServerRefusal returns the refusal of a call for which no server accepts work
+// now. If all servers of the service are paused, the client should retry after the
+// shortest pause.
 func (t *Task) NoServer() *refuse.Refusal {
 	now := time.Now()
-	retry, limited := time.Duration(0), 0
+	retryAfter, limited := time.Duration(0), 0
 	for _, s := range t.Servers.View().Service(t.Service.Name) {
 		if t.Rates.IsLimited(s.ID, now) {
 			limited++
 		}
-		if left := t.Health.Paused(s.ID, now); left > 0 && (retry == 0 || left < retry) {
-			retry = left
+		if remaining := t.Health.Paused(s.ID, now); remaining > 0 && (retryAfter == 0 || remaining < retryAfter) {
+			retryAfter = remaining
 		}
 	}
 	r := refuse.New(refuse.NoServer, "no server of service %s takes work", t.Service.Name)
 	if limited > 0 {
 		r.Detail += fmt.Sprintf(", %d of them limit their requests", limited)
 	}
-	return r.After(max(retry, RoomRetry))
+	return r.After(max(retryAfter, RoomRetry))
 }
 
-// Deliver writes a whole answer to the client.
+// WriteResponse writes a complete response to the client.
 func (t *Task) Deliver(a *Whole) *refuse.Refusal {
 	t.Record.Status = a.Status
 	t.Record.First = time.Since(t.Call.Arrived)
@@ -132,17 +136,17 @@
 	return nil
 }
 
-// Whole is a whole answer.
+// FullResponse is a complete response.
 type Whole struct {
 	Status int
 	Fields []call.Field
 	NotRun bool // the server says that it did not run the call
-	Gone   bool // another server answered in its place
+	Gone   bool // another server responded in its place
 	Body   []byte
 }
 
-// Truthful gives a refusal of a call that may have run a status that promises
-// nothing.
+// AdjustReason replaces the reason of a refusal of a call that may have run, if
+// its status, 503, would promise that it did not run.
 func Truthful(r *refuse.Refusal) *refuse.Refusal {
 	if r.Ran != refuse.RanNo && r.Reason.Status() == http.StatusServiceUnavailable {
 		r.Reason = refuse.ServerDied
@@ -150,43 +154,43 @@
 	return r
 }
 
-// IsUnsent reports whether nothing of a call left this VM.
+// IsUnsent reports whether the error says that nothing of a call left this VM.
 func IsUnsent(err error) bool {
 	var se *port.SendError
 	return errors.As(err, &se) && se.Unsent
 }
 
-// maxKept is how many declined lines a call keeps for its end.
-const maxKept = 32
+// maxDeferred is the maximum number of deferred log lines per call.
+const maxDeferred = 32
 
-// kept is a log line that was declined when it was made.
-type kept struct {
-	what   string
+// deferredLine is a log line that the logger declined when it was made.
+type deferredLine struct {
+	msg    string
 	at     time.Time
 	fields []zap.Field
 }
 
-// Note writes one line about the call. A line that the log declines under load
-// is kept, and written if the call fails.
-func (t *Task) Note(what string, fields ...zap.Field) {
+// LogInfo writes one log line about the call. A line that the logger declines
+// under load is deferred, and written if the call fails.
+func (t *Task) Note(msg string, fields ...zap.Field) {
 	fields = append(fields, zap.String("request", string(t.Call.ID)))
-	if ce := t.Log.Check(zap.InfoLevel, what); ce != nil {
+	if ce := t.Log.Check(zap.InfoLevel, msg); ce != nil {
 		ce.Write(fields...)
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.kept) < maxKept {
-		t.kept = append(t.kept, kept{what: what, at: time.Now(), fields: fields})
+	if len(t.deferred) < maxDeferred {
+		t.deferred = append(t.deferred, deferredLine{msg: msg, at: time.Now(), fields: fields})
 	}
 }
 
-// Tell writes the declined lines of a call that failed.
+// FlushDeferred writes the deferred lines of a call that failed.
 func (t *Task) Tell() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, k := range t.kept {
-		t.Log.Warn(k.what, append(k.fields, zap.Time("at", k.at))...)
+	for _, line := range t.deferred {
+		t.Log.Warn(line.msg, append(line.fields, zap.Time("at", line.at))...)
 	}
-	t.kept = nil
+	t.deferred = nil
 }
--- a/internal/route/task/task_test.go
+++ b/internal/route/task/task_test.go
@@ -11,22 +11,22 @@
 	"umberladder/internal/state/routes"
 )
 
-// TestPassOver replays an outage of the store in which many engines are gone
-// unnoticed: connections to them are refused at once, or not answered.
+// TestPassOver simulates an outage of the store in which the termination of many
+// engines goes unnoticed: connections to them are refused at once, or time out.
 func TestPassOver(t *testing.T) {
 	for name, tc := range map[string]struct {
-		each time.Duration // that a connection takes to fail
-		want int           // servers that are passed over
+		failAfter time.Duration // how long a connection takes to fail
+		want      int           // unreachable servers that are tried
 	}{
-		"refused at once": {each: 3 * time.Millisecond, want: mostUnsent},
-		"not answered":    {each: 400 * time.Millisecond, want: patientUnsent},
+		"refused at once": {failAfter: 3 * time.Millisecond, want: maxUnsent},
+		"not answered":    {failAfter: 400 * time.Millisecond, want: alwaysRetryUnsent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &Task{Call: &call.Call{Arrived: time.Now()}, Route: &routes.Route{Target: 1500 * time.Millisecond}}
 				unsent := 0
 				for more := true; more; more = c.PassOver(unsent) {
-					time.Sleep(tc.each)
+					time.Sleep(tc.failAfter)
 					unsent++
 				}
 				assert.Equal(t, unsent, tc.want)
