--- a/internal/route/desk/placer.go
+++ b/internal/route/desk/placer.go
@@ -133,8 +133,7 @@
 }
 
 // placeLocally places the run by what this VM knows. Runs that wait here are not
-// ordered by priority, so none waits beyond the time in which it can start in
-// time.
+// ordered by priority, so none waits after it can no longer start in time.
 func (p *Desk) placeLocally(ctx context.Context, r pick.Want, start time.Time) (pick.Spot, error) {
 	timer := time.NewTimer(max(0, min(r.Due, r.Wait)-time.Since(start)))
 	defer timer.Stop()
--- a/internal/route/homes/coord.go
+++ b/internal/route/homes/coord.go
@@ -122,7 +122,7 @@
 	updatedAt         time.Time          // when the rates were last updated
 }
 
-// grant is capacity given to a VM that may not have reported it yet.
+// grant is capacity granted to a VM that may not have reported it yet.
 type grant struct {
 	server ident.Server
 	load   seats.Load
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -133,15 +133,15 @@
 	}
 	placement := Spot{Server: s}
 	if r.Backup && keepCopies {
-		skip := append(slices.Clone(r.Skip), s.ID)
-		placement.Backup, _ = c.choose(r, Keep, loads, s.Domain, skip, now)
+		exclude := append(slices.Clone(r.Skip), s.ID)
+		placement.Backup, _ = c.choose(r, Keep, loads, s.Domain, exclude, now)
 	}
 	return placement, nil
 }
 
 // choose returns an engine with capacity for a purpose of the run; known reports
 // whether there is any engine that is not excluded.
-func (c *Chooser) choose(r *Want, purpose Use, loads map[ident.Server]seats.Load, from ident.Domain, skip []ident.Server, now time.Time) (s *backs.Server, known bool) {
+func (c *Chooser) choose(r *Want, purpose Use, loads map[ident.Server]seats.Load, from ident.Domain, exclude []ident.Server, now time.Time) (s *backs.Server, known bool) {
 	list := c.servers.View().Service(r.Service)
 	servers := make([]assign.Server, len(list))
 	for i, s := range list {
@@ -156,7 +156,7 @@
 			Copies:  purpose.transfersAhead(l),
 			Far:     s.Domain != from,
 			Weight:  c.health.Weight(s.ID, now),
-			Skip:    slices.Contains(skip, s.ID),
+			Skip:    slices.Contains(exclude, s.ID),
 		}
 		known = known || !servers[i].Skip
 		servers[i].Skip = servers[i].Skip || c.isAvoided(s.ID, now) || purpose != Keep && !c.rates.CanGrant(s.ID, now)
--- a/internal/route/port/port.go
+++ b/internal/route/port/port.go
@@ -16,7 +16,7 @@
 	Call      *call.Call
 	Server    *backs.Server
 	Workspace ident.Workspace // empty: the route is public
-	Left      time.Duration   // time after which the response is of no use
+	Left      time.Duration   // after it the response is of no use
 	Backup    netip.AddrPort  // engine that keeps a copy of the cache; not valid: none
 	Copy      Copy            // KV cache to continue from
 	After     string          // ID of the last event that the client received
@@ -88,7 +88,7 @@
 type Backend interface {
 	// Send sends the call and returns once the head of the response has arrived. Its
 	// error is always a *SendError.
-	Send(ctx context.Context, s Send) (*Answer, error)
+	Send(ctx context.Context, a Send) (*Answer, error)
 	// Move copies the KV cache of a run to another engine. With stopRun it stops the
 	// run first.
 	Move(ctx context.Context, from *backs.Server, id ident.Request, to netip.AddrPort, stopRun bool) (Moved, error)
--- a/internal/route/task/deps.go
+++ b/internal/route/task/deps.go
@@ -58,12 +58,12 @@
 // Placer decides where runs go. Its error is pick.ErrNoServer, a
 // *pick.NoCapacityError or the context's error.
 type Placer interface {
-	Place(ctx context.Context, w pick.Want) (pick.Spot, error)
+	Place(ctx context.Context, r pick.Want) (pick.Spot, error)
 }
 
 // Counter counts the results of calls.
 type Counter interface {
-	Ended(e *End)
+	Ended(r *End)
 }
 
 // Result describes how a call was served and how it ended.
@@ -78,7 +78,7 @@
 	Queued      time.Duration   // total wait for capacity on an engine
 	First       time.Duration   // until the response or its first event
 	Total       time.Duration
-	Sent        int // attempts
+	Sent        int // attempts, including the first
 	Moves       int // migrations of the stream to another engine
 	Events      int
 	Gap         time.Duration // longest time between two events
--- a/internal/route/task/task.go
+++ b/internal/route/task/task.go
@@ -91,17 +91,17 @@
 // that asks for a pause gets no calls from this VM for that time. A rate limit is
 // recorded and applies to all VMs together. sent is when the request was sent; it
 // orders limits that were stated at different times.
-func (t *Task) Observe(s *backs.Server, a *port.Answer, sent time.Time) {
+func (t *Task) Observe(s *backs.Server, resp *port.Answer, sent time.Time) {
 	now := time.Now()
-	if !a.Gone {
-		t.Rates.Observe(s.ID, a.Limit, sent, now)
+	if !resp.Gone {
+		t.Rates.Observe(s.ID, resp.Limit, sent, now)
 	}
-	if a.Leaving && t.Servers.Drain(s.ID, now) {
+	if resp.Leaving && t.Servers.Drain(s.ID, now) {
 		t.Note("server drains", zap.String("server", string(s.ID)), zap.String("reported-by", "itself"))
 	}
-	if a.Pause > 0 {
-		t.Health.Pause(s.ID, a.Pause, now)
-		t.Note("server asked for a pause", zap.String("server", string(s.ID)), zap.Duration("pause", a.Pause))
+	if resp.Pause > 0 {
+		t.Health.Pause(s.ID, resp.Pause, now)
+		t.Note("server asked for a pause", zap.String("server", string(s.ID)), zap.Duration("pause", resp.Pause))
 	}
 }
 
@@ -127,10 +127,10 @@
 }
 
 // WriteResponse writes a complete response to the client.
-func (t *Task) Deliver(a *Whole) *refuse.Refusal {
-	t.Record.Status = a.Status
+func (t *Task) Deliver(resp *Whole) *refuse.Refusal {
+	t.Record.Status = resp.Status
 	t.Record.First = time.Since(t.Call.Arrived)
-	if err := t.Reply.Whole(a.Status, a.Fields, a.Body); err != nil {
+	if err := t.Reply.Whole(resp.Status, resp.Fields, resp.Body); err != nil {
 		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).With(refuse.RanMaybe)
 	}
 	return nil
