--- /dev/null
+++ b/internal/route/desk/placer.go
@@ -0,0 +1,293 @@
+package desk
+
+import (
+	"context"
+	"errors"
+	"net/netip"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"umberladder/internal/core/ident"
+	"umberladder/internal/route/homes"
+	"umberladder/internal/route/pick"
+	"umberladder/internal/state/hubs"
+)
+
+// errNoResponse reports that the coordinator did not respond.
+var errNoResponse = errors.New("placer: the coordinator does not respond")
+
+const (
+	// firstTimeout is how long a coordinator may take to respond to a new request:
+	// 1 ms of network delay each way, and more on a VM with a fifth of a core. The
+	// request is sent three times within it, because datagrams may be lost.
+	firstTimeout = 60 * time.Millisecond
+	maxTries     = 3
+	// renewInterval is how often a queued request is repeated.
+	renewInterval = 150 * time.Millisecond
+	// avoidTime is how long a coordinator that did not respond gets no requests.
+	avoidTime = time.Second
+	// maxUnusable is how many granted servers that this VM knows to accept no
+	// calls are declined before the VM places the run itself.
+	maxUnusable = 3
+	// maxCoordinators is how many VMs of the order are asked before a VM places the
+	// run itself.
+	maxCoordinators = 2
+)
+
+// Transport sends requests to other VMs.
+type Post interface {
+	Ask(to netip.AddrPort, r homes.Ask)
+}
+
+// Placer places the runs of one VM. It is safe for concurrent use.
+type Desk struct {
+	vm          ident.VM
+	chooser     *pick.Chooser
+	coordinator *homes.Home
+	order       func(ident.Service, time.Time) []hubs.Rank
+	transport   Post
+	count       func(outcome string)
+	log         *zap.Logger
+
+	mu           sync.Mutex
+	lastID       uint64
+	pending      map[uint64]chan homes.Answer
+	avoidUntil   map[ident.VM]time.Time // until when a VM gets no requests
+	coordinators map[ident.Service]ident.VM
+}
+
+// New returns a Placer. order returns the VMs that may coordinate a service, in
+// order; coordinator is this VM's own. Request IDs start after boot. count is
+// called with the outcome of each placement.
+func New(vm ident.VM, boot uint64, c *pick.Chooser, coordinator *homes.Home, order func(ident.Service, time.Time) []hubs.Rank, transport Post, count func(outcome string), log *zap.Logger) *Desk {
+	return &Desk{
+		vm: vm, chooser: c, coordinator: coordinator, order: order, transport: transport, count: count, log: log,
+		lastID: boot, pending: make(map[uint64]chan homes.Answer), avoidUntil: make(map[ident.VM]time.Time),
+		coordinators: make(map[ident.Service]ident.VM),
+	}
+}
+
+// Outcomes of placements, as in the metrics.
+const (
+	outcomeCoordinator = "by-home"
+	outcomeLocal       = "alone"
+	outcomeNoCapacity  = "no-room"
+	outcomeNoServer    = "no-server"
+	outcomeClientLeft  = "client-left"
+)
+
+// Place returns the placement of a run. Its error is pick.ErrNoServer, a
+// *pick.NoCapacityError or the context's error.
+func (p *Desk) Place(ctx context.Context, r pick.Want) (pick.Spot, error) {
+	placement, outcome, err := p.place(ctx, r)
+	var noCapacity *pick.NoRoomError
+	switch {
+	case errors.As(err, &noCapacity):
+		outcome = outcomeNoCapacity
+	case errors.Is(err, pick.ErrNoServer):
+		outcome = outcomeNoServer
+	case err != nil:
+		outcome = outcomeClientLeft
+	}
+	p.count(outcome)
+	return placement, err
+}
+
+// place returns the placement of a run and the outcome to count.
+func (p *Desk) place(ctx context.Context, r pick.Want) (pick.Spot, string, error) {
+	start := time.Now()
+	r.Skip = append(slices.Clone(r.Skip), p.chooser.Paused(r.Service, start)...)
+	req := r
+	req.Skip = append(slices.Clone(r.Skip), p.chooser.Unhealthy(r.Service, start)...)
+	for range maxUnusable {
+		resp, err := p.requestPlacement(ctx, req)
+		if err != nil {
+			break
+		}
+		switch resp.State {
+		case homes.Full:
+			return pick.Spot{}, outcomeCoordinator, &pick.NoRoomError{Retry: resp.Retry, Ahead: resp.Ahead}
+		case homes.NoServer:
+			// The coordinator may know fewer servers than this VM.
+			placement, err := p.placeLocally(ctx, r, start)
+			return placement, outcomeLocal, err
+		}
+		view := p.chooser.View()
+		server, backup := view.Server(resp.Server), view.Server(resp.Backup)
+		if backup != nil && backup.Leaving {
+			backup = nil
+		}
+		if server != nil && !server.Leaving && !p.chooser.IsPaused(server.ID, time.Now()) {
+			return pick.Spot{Server: server, Backup: backup}, outcomeCoordinator, nil
+		}
+		req.Skip = append(req.Skip, resp.Server)
+	}
+	if err := ctx.Err(); err != nil {
+		return pick.Spot{}, outcomeCoordinator, err
+	}
+	placement, err := p.placeLocally(ctx, r, start)
+	return placement, outcomeLocal, err
+}
+
+// placeLocally places the run by what this VM knows. Runs that wait here are not
+// ordered by priority, so none waits after it can no longer start in time.
+func (p *Desk) placeLocally(ctx context.Context, r pick.Want, start time.Time) (pick.Spot, error) {
+	timer := time.NewTimer(max(0, min(r.Due, r.Wait)-time.Since(start)))
+	defer timer.Stop()
+	for {
+		changed := p.chooser.Changed()
+		placement, err := p.chooser.Choose(&r, nil, time.Now())
+		var noCapacity *pick.NoRoomError
+		if !errors.As(err, &noCapacity) {
+			return placement, err
+		}
+		select {
+		case <-ctx.Done():
+			return pick.Spot{}, ctx.Err()
+		case <-changed:
+		case <-timer.C:
+			return pick.Spot{}, &pick.NoRoomError{Retry: homes.MinRetryAfter}
+		}
+	}
+}
+
+// requestPlacement asks the coordinator, or the next VM in order if it does not
+// respond.
+func (p *Desk) requestPlacement(ctx context.Context, r pick.Want) (homes.Answer, error) {
+	tried := 0
+	order := p.order(r.Service, time.Now())
+	p.logCoordinatorChange(r.Service, order)
+	for _, cand := range order {
+		if p.isAvoided(cand.VM) {
+			continue
+		}
+		resp, err := p.requestFrom(ctx, cand, r)
+		if err == nil || ctx.Err() != nil {
+			return resp, err
+		}
+		p.avoid(cand.VM)
+		if tried++; tried == maxCoordinators {
+			break
+		}
+	}
+	return homes.Answer{}, errNoResponse
+}
+
+// logCoordinatorChange logs that the coordinator of a service has changed.
+func (p *Desk) logCoordinatorChange(s ident.Service, order []hubs.Rank) {
+	if len(order) == 0 {
+		return
+	}
+	p.mu.Lock()
+	old := p.coordinators[s]
+	p.coordinators[s] = order[0].VM
+	p.mu.Unlock()
+	if old != order[0].VM {
+		p.log.Info("home changed", zap.String("service", string(s)), zap.String("from", string(old)),
+			zap.String("to", string(order[0].VM)), zap.Bool("this-vm", !order[0].Addr.IsValid()))
+	}
+}
+
+func (p *Desk) isAvoided(vm ident.VM) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return time.Now().Before(p.avoidUntil[vm])
+}
+
+func (p *Desk) avoid(vm ident.VM) {
+	p.mu.Lock()
+	p.avoidUntil[vm] = time.Now().Add(avoidTime)
+	p.mu.Unlock()
+	p.log.Info("home does not answer", zap.String("home", string(vm)))
+}
+
+func (p *Desk) newRequest() (uint64, chan homes.Answer) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	ch := make(chan homes.Answer, 2*maxTries)
+	p.pending[p.lastID] = ch
+	return p.lastID, ch
+}
+
+func (p *Desk) forget(id uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pending, id)
+}
+
+// HandleResponse handles a response to a request.
+func (p *Desk) Answered(resp homes.Answer) {
+	p.mu.Lock()
+	ch := p.pending[resp.Number]
+	p.mu.Unlock()
+	select {
+	case ch <- resp:
+	default:
+		// The request has ended, or the response was repeated.
+	}
+}
+
+// requestFrom sends a request to one VM, and repeats it until the VM decides.
+func (p *Desk) requestFrom(ctx context.Context, cand hubs.Rank, r pick.Want) (homes.Answer, error) {
+	id, ch := p.newRequest()
+	defer p.forget(id)
+	start := time.Now()
+	lastHeard, interval := start, firstTimeout/maxTries
+	for {
+		r := r
+		r.Wait = max(0, r.Wait-time.Since(start))
+		r.Due = max(0, r.Due-time.Since(start))
+		p.send(cand, homes.Ask{VM: p.vm, Number: id, Want: r})
+		timer := time.NewTimer(interval)
+		select {
+		case resp := <-ch:
+			timer.Stop()
+			if resp.State != homes.Waiting {
+				return resp, nil
+			}
+			lastHeard, interval = time.Now(), renewInterval
+			if resp, ok := p.awaitDecision(ctx, ch, renewInterval); ok {
+				return resp, nil
+			}
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+		}
+		if err := ctx.Err(); err != nil {
+			return homes.Answer{}, err
+		}
+		if time.Since(lastHeard) >= maxTries*interval {
+			return homes.Answer{}, errNoResponse
+		}
+	}
+}
+
+// awaitDecision waits for the decision on a queued request.
+func (p *Desk) awaitDecision(ctx context.Context, ch chan homes.Answer, timeout time.Duration) (homes.Answer, bool) {
+	t := time.NewTimer(timeout)
+	defer t.Stop()
+	for {
+		select {
+		case resp := <-ch:
+			if resp.State != homes.Waiting {
+				return resp, true
+			}
+		case <-t.C:
+			return homes.Answer{}, false
+		case <-ctx.Done():
+			return homes.Answer{}, false
+		}
+	}
+}
+
+func (p *Desk) send(cand hubs.Rank, r homes.Ask) {
+	if cand.Addr.IsValid() {
+		p.transport.Ask(cand.Addr, r)
+		return
+	}
+	p.coordinator.Take(r, p.Answered, time.Now())
+}
--- /dev/null
+++ b/internal/route/desk/placer_test.go
@@ -0,0 +1,538 @@
+package desk
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sync/errgroup"
+	"gotest.tools/v3/assert"
+
+	"umberladder/internal/core/ident"
+	"umberladder/internal/policy/health"
+	"umberladder/internal/policy/rates"
+	"umberladder/internal/route/homes"
+	"umberladder/internal/route/pick"
+	"umberladder/internal/route/seats"
+	"umberladder/internal/state/backs"
+	"umberladder/internal/state/hubs"
+)
+
+const (
+	service  = ident.Service("engines")
+	memory   = 20_000
+	netDelay = time.Millisecond // one way between two VMs
+)
+
+// vm is one VM with its own view of the same engines.
+type vm struct {
+	name         ident.VM
+	addr         netip.AddrPort
+	tracker      *seats.Book
+	servers      *backs.Table
+	coordinator  *homes.Home
+	placer       *Desk
+	unresponsive atomic.Bool
+	mu           sync.Mutex // serialises reports, so that they arrive in order of seq
+	seq          uint64
+}
+
+// fleet is a set of VMs that use the same engines, in virtual time. The first
+// VM is the coordinator of all services.
+type fleet struct {
+	vms   []*vm
+	group errgroup.Group
+}
+
+// transport implements Transport over the fleet's network.
+type transport struct {
+	fleet *fleet
+	from  *vm
+}
+
+func (t transport) Ask(to netip.AddrPort, r homes.Ask) {
+	t.fleet.group.Go(func() error {
+		time.Sleep(netDelay)
+		for _, v := range t.fleet.vms {
+			if v.addr == to && !v.unresponsive.Load() {
+				v.coordinator.Take(r, t.answer, time.Now())
+			}
+		}
+		return nil
+	})
+}
+
+func (t transport) answer(resp homes.Answer) {
+	t.fleet.group.Go(func() error {
+		time.Sleep(netDelay)
+		t.from.placer.Answered(resp)
+		return nil
+	})
+}
+
+func newFleet(ctx context.Context, vms, engines int) *fleet {
+	f := &fleet{}
+	order := func(self *vm) func(ident.Service, time.Time) []hubs.Rank {
+		return func(ident.Service, time.Time) []hubs.Rank {
+			var out []hubs.Rank
+			for _, v := range f.vms[:2] {
+				rank := hubs.Rank{VM: v.name, Addr: v.addr}
+				if v == self {
+					rank.Addr = netip.AddrPort{}
+				}
+				out = append(out, rank)
+			}
+			return out
+		}
+	}
+	for i := range vms {
+		v := &vm{
+			name:    ident.VM(fmt.Sprintf("vm-%d", i)),
+			addr:    netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1+i)),
+			tracker: seats.New(), servers: backs.NewTable(func() {}),
+		}
+		for e := range engines {
+			v.servers.Put(backs.Entry{ID: engine(e), Service: service, Domain: "a", Slots: 24})
+		}
+		c := pick.NewChooser(v.servers, v.tracker, health.New(), rates.New(nil, nil))
+		v.coordinator = homes.NewHome(c)
+		v.placer = New(v.name, 0, c, v.coordinator, order(v), transport{f, v}, func(string) {}, zap.NewNop())
+		f.vms = append(f.vms, v)
+		f.group.Go(func() error {
+			v.coordinator.Run(ctx)
+			return nil
+		})
+	}
+	f.group.Go(func() error {
+		for ctx.Err() == nil {
+			for _, v := range f.vms {
+				f.reportLoads(v)
+			}
+			time.Sleep(500 * time.Millisecond)
+		}
+		return nil
+	})
+	return f
+}
+
+func engine(n int) ident.Server { return ident.Server(fmt.Sprintf("e%d", n)) }
+
+// reportLoads sends a VM's loads to the first two VMs.
+func (f *fleet) reportLoads(v *vm) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.seq++
+	for _, to := range f.vms[:2] {
+		if to != v {
+			to.tracker.Hear(v.name, 1, v.seq, 0, v.tracker.Own(), time.Now())
+		}
+	}
+}
+
+// newCall returns a placement request of typical size.
+func newCall() pick.Want {
+	return pick.Want{Service: service, Rank: 1, Need: 3300, Read: 3000, Memory: memory, From: "a", Due: 600 * time.Millisecond, Wait: 900 * time.Millisecond}
+}
+
+// placeAndHold places a run and holds its reservation for d, or forever if
+// d < 0.
+func (f *fleet) placeAndHold(v *vm, r pick.Want, d time.Duration) (pick.Spot, error) {
+	placement, err := v.placer.Place(context.Background(), r)
+	if err != nil {
+		return placement, err
+	}
+	res := v.tracker.Take(placement.Server.ID, seats.Load{Seats: 1, Tokens: r.Need})
+	f.reportLoads(v)
+	if d >= 0 {
+		time.AfterFunc(d, func() {
+			res.Release()
+			f.reportLoads(v)
+		})
+	}
+	return placement, nil
+}
+
+func testFleet(t *testing.T, vms, engines int, fn func(t *testing.T, f *fleet)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		f := newFleet(ctx, vms, engines)
+		defer func() {
+			cancel()
+			assert.NilError(t, f.group.Wait())
+		}()
+		fn(t, f)
+	})
+}
+
+// fillEngine reserves all capacity of an engine for d.
+func (f *fleet) fillEngine(t *testing.T, d time.Duration) {
+	t.Helper()
+	for range memory / newCall().Need {
+		_, err := f.placeAndHold(f.vms[1], newCall(), d)
+		assert.NilError(t, err)
+	}
+}
+
+// assertNoCapacity fails the test unless err is a NoCapacityError.
+func assertNoCapacity(t *testing.T, err error) *pick.NoRoomError {
+	t.Helper()
+	var noCapacity *pick.NoRoomError
+	assert.Assert(t, errors.As(err, &noCapacity), "%v", err)
+	return noCapacity
+}
+
+// TestHerd guards against VMs that all place calls at once and overcommit an
+// engine.
+func TestHerd(t *testing.T) {
+	testFleet(t, 20, 10, func(t *testing.T, f *fleet) {
+		var mu sync.Mutex
+		runs := map[ident.Server]int{}
+		var g errgroup.Group
+		for i := range 60 {
+			g.Go(func() error {
+				placement, err := f.placeAndHold(f.vms[i%len(f.vms)], newCall(), -1)
+				if err != nil {
+					return err
+				}
+				mu.Lock()
+				defer mu.Unlock()
+				runs[placement.Server.ID]++
+				return nil
+			})
+		}
+		assert.NilError(t, g.Wait())
+		for id, n := range runs {
+			assert.Assert(t, n*newCall().Need <= memory, "%d at %s", n, id)
+		}
+	})
+}
+
+func TestWaiting(t *testing.T) {
+	t.Run("released capacity is granted at once", func(t *testing.T) {
+		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, 300*time.Millisecond)
+			start := time.Now()
+			_, err := f.placeAndHold(f.vms[2], newCall(), 0)
+			assert.NilError(t, err)
+			assert.Assert(t, time.Since(start) < 310*time.Millisecond, "%s", time.Since(start))
+		})
+	})
+	t.Run("a call that cannot start in time is rejected at once when the wait can be estimated", func(t *testing.T) {
+		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, -1)
+			var g errgroup.Group
+			for range 40 {
+				g.Go(func() error {
+					_, err := f.placeAndHold(f.vms[2], newCall(), 0)
+					assertNoCapacity(t, err)
+					return nil
+				})
+			}
+			time.Sleep(newCall().Due + 50*time.Millisecond)
+			start := time.Now()
+			_, err := f.placeAndHold(f.vms[2], newCall(), 0)
+			assert.Assert(t, assertNoCapacity(t, err).Retry >= homes.MinRetryAfter)
+			assert.Assert(t, time.Since(start) < 10*time.Millisecond, "%s", time.Since(start))
+			assert.NilError(t, g.Wait())
+		})
+	})
+	t.Run("urgent calls precede others, and migrations precede urgent calls", func(t *testing.T) {
+		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, 300*time.Millisecond)
+			var mu sync.Mutex
+			var started []string
+			var g errgroup.Group
+			for _, name := range []string{"long", "urgent", "move"} {
+				r := newCall()
+				r.Need = 15_000 // only one fits at a time
+				switch name {
+				case "urgent":
+					r.Rank = 0
+				case "move":
+					r.Use, r.Read = pick.Move, 0
+				}
+				g.Go(func() error {
+					_, err := f.placeAndHold(f.vms[2], r, 50*time.Millisecond)
+					mu.Lock()
+					defer mu.Unlock()
+					started = append(started, name)
+					return err
+				})
+				time.Sleep(10 * time.Millisecond)
+			}
+			assert.NilError(t, g.Wait())
+			assert.DeepEqual(t, started, []string{"move", "urgent", "long"})
+		})
+	})
+	t.Run("a repeated call yields to calls that can start in time", func(t *testing.T) {
+		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, 1200*time.Millisecond)
+			repeated := newCall()
+			repeated.Mark = 7
+			_, err := f.placeAndHold(f.vms[2], repeated, 0)
+			assertNoCapacity(t, err)
+			var mu sync.Mutex
+			var started []string
+			var g errgroup.Group
+			for name, r := range map[string]pick.Want{"back": repeated, "new": newCall()} {
+				r.Need, r.Due, r.Wait = 15_000, 2*time.Second, 3*time.Second
+				g.Go(func() error {
+					_, err := f.placeAndHold(f.vms[2], r, 50*time.Millisecond)
+					mu.Lock()
+					defer mu.Unlock()
+					started = append(started, name)
+					return err
+				})
+			}
+			assert.NilError(t, g.Wait())
+			assert.DeepEqual(t, started, []string{"new", "back"})
+		})
+	})
+	t.Run("a wait ends at its limit, also behind other queued calls", func(t *testing.T) {
+		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, 50*time.Millisecond)
+			var g errgroup.Group
+			for range 300 {
+				g.Go(func() error {
+					r := newCall()
+					r.Wait = 2 * time.Second
+					start := time.Now()
+					_, err := f.placeAndHold(f.vms[2], r, 600*time.Millisecond)
+					if err != nil {
+						assertNoCapacity(t, err)
+					}
+					assert.Assert(t, time.Since(start) <= r.Wait+20*time.Millisecond, "%s", time.Since(start))
+					return nil
+				})
+				time.Sleep(20 * time.Millisecond)
+			}
+			assert.NilError(t, g.Wait())
+		})
+	})
+	t.Run("a cancelled request does not block the queue", func(t *testing.T) {
+		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, 300*time.Millisecond)
+			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
+			defer cancel()
+			_, err := f.vms[2].placer.Place(ctx, newCall())
+			assert.ErrorIs(t, err, context.DeadlineExceeded)
+			_, err = f.placeAndHold(f.vms[1], newCall(), 0)
+			assert.NilError(t, err)
+		})
+	})
+	t.Run("an engine with a large prefill backlog gets no more calls", func(t *testing.T) {
+		testFleet(t, 2, 1, func(t *testing.T, f *fleet) {
+			f.vms[1].tracker.Take(engine(0), seats.Load{Tokens: 6000, Backlog: 6000})
+			f.reportLoads(f.vms[1])
+			_, err := f.placeAndHold(f.vms[1], newCall(), 0)
+			assertNoCapacity(t, err)
+		})
+	})
+}
+
+func TestBackup(t *testing.T) {
+	backup := func(t *testing.T, f *fleet) *backs.Server {
+		t.Helper()
+		r := newCall()
+		r.Backup = true
+		placement, err := f.placeAndHold(f.vms[1], r, -1)
+		assert.NilError(t, err)
+		return placement.Backup
+	}
+	t.Run("on another engine", func(t *testing.T) {
+		testFleet(t, 2, 2, func(t *testing.T, f *fleet) {
+			r := newCall()
+			r.Backup = true
+			placement, err := f.placeAndHold(f.vms[1], r, -1)
+			assert.NilError(t, err)
+			assert.Assert(t, placement.Backup != nil && placement.Backup != placement.Server)
+		})
+	})
+	t.Run("none while calls fill the engines", func(t *testing.T) {
+		testFleet(t, 2, 2, func(t *testing.T, f *fleet) {
+			f.vms[1].tracker.Take(engine(0), seats.Load{Tokens: 13_000})
+			f.vms[1].tracker.Take(engine(1), seats.Load{Tokens: 13_000})
+			f.reportLoads(f.vms[1])
+			assert.Assert(t, backup(t, f) == nil)
+		})
+	})
+}
+
+// TestCopiesByRisk checks that half-full engines keep KV cache copies only if
+// engines have recently been lost without notice. Otherwise the copies would
+// take the capacity that streams need when their engines are retired.
+func TestCopiesByRisk(t *testing.T) {
+	placeOne := func(t *testing.T, unreachable bool) pick.Spot {
+		t.Helper()
+		var placement pick.Spot
+		testFleet(t, 2, 4, func(t *testing.T, f *fleet) {
+			for e := range 4 {
+				f.vms[1].tracker.Take(engine(e), seats.Load{Tokens: memory * 2 / 5})
+			}
+			f.reportLoads(f.vms[1])
+			r := newCall()
+			r.Backup = true
+			if unreachable {
+				r.Failed = []ident.Server{engine(3)}
+			}
+			var err error
+			placement, err = f.placeAndHold(f.vms[1], r, -1)
+			assert.NilError(t, err)
+		})
+		return placement
+	}
+	t.Run("engines announce their end", func(t *testing.T) {
+		assert.Assert(t, placeOne(t, false).Backup == nil)
+	})
+	t.Run("an engine was lost without notice", func(t *testing.T) {
+		assert.Assert(t, placeOne(t, true).Backup != nil)
+	})
+}
+
+// TestDeadEngine guards against repeated attempts at an engine that terminated
+// unnoticed: while the others are full, it alone appears to have capacity.
+func TestDeadEngine(t *testing.T) {
+	testFleet(t, 10, 3, func(t *testing.T, f *fleet) {
+		for i := range 2 {
+			f.vms[1].tracker.Take(engine(1+i), seats.Load{Tokens: memory})
+		}
+		f.reportLoads(f.vms[1])
+		attempts := 0
+		for i := range 30 {
+			r := newCall()
+			r.Wait = 0
+			placement, err := f.vms[i%10].placer.Place(context.Background(), r)
+			for err == nil && placement.Server.ID == engine(0) {
+				attempts++
+				r.Skip = []ident.Server{engine(0)}
+				r.Failed = r.Skip
+				placement, err = f.vms[i%10].placer.Place(context.Background(), r)
+			}
+			assertNoCapacity(t, err)
+			time.Sleep(20 * time.Millisecond)
+		}
+		assert.Assert(t, attempts <= 3, "%d attempts at a terminated engine", attempts)
+	})
+}
+
+func TestHomeLost(t *testing.T) {
+	t.Run("the next VM decides, and is asked first the next time", func(t *testing.T) {
+		testFleet(t, 4, 1, func(t *testing.T, f *fleet) {
+			f.vms[0].unresponsive.Store(true)
+			for _, limit := range []time.Duration{firstTimeout + 10*time.Millisecond, 10 * time.Millisecond} {
+				start := time.Now()
+				_, err := f.placeAndHold(f.vms[3], newCall(), -1)
+				assert.NilError(t, err)
+				assert.Assert(t, time.Since(start) < limit, "%s", time.Since(start))
+			}
+		})
+	})
+	t.Run("a VM places runs itself if neither responds", func(t *testing.T) {
+		testFleet(t, 4, 1, func(t *testing.T, f *fleet) {
+			f.vms[0].unresponsive.Store(true)
+			f.vms[1].unresponsive.Store(true)
+			start := time.Now()
+			_, err := f.placeAndHold(f.vms[3], newCall(), -1)
+			assert.NilError(t, err)
+			assert.Assert(t, time.Since(start) < 2*firstTimeout+10*time.Millisecond)
+		})
+	})
+	t.Run("a coordinator that stops responding while a call is queued", func(t *testing.T) {
+		testFleet(t, 4, 1, func(t *testing.T, f *fleet) {
+			f.fillEngine(t, 250*time.Millisecond)
+			time.AfterFunc(50*time.Millisecond, func() { f.vms[0].unresponsive.Store(true) })
+			r := newCall()
+			r.Wait = 2 * time.Second
+			_, err := f.placeAndHold(f.vms[3], r, -1)
+			assert.NilError(t, err)
+		})
+	})
+	t.Run("no engine", func(t *testing.T) {
+		testFleet(t, 2, 0, func(t *testing.T, f *fleet) {
+			_, err := f.placeAndHold(f.vms[1], newCall(), -1)
+			assert.ErrorIs(t, err, pick.ErrNoServer)
+		})
+	})
+	t.Run("a granted server that the requesting VM knows to be retired is declined", func(t *testing.T) {
+		testFleet(t, 3, 2, func(t *testing.T, f *fleet) {
+			f.vms[2].servers.Put(backs.Entry{ID: engine(0), Service: service, Domain: "a", Slots: 24, Leaving: true})
+			for range 4 {
+				placement, err := f.placeAndHold(f.vms[2], newCall(), -1)
+				assert.NilError(t, err)
+				assert.Equal(t, placement.Server.ID, engine(1))
+			}
+		})
+	})
+}
+
+// TestLeavingEngine retires an engine with six runs in 1.8 s whose link
+// transfers one KV cache in 0.25 s. If the transfers share the link, none
+// completes in time.
+func TestLeavingEngine(t *testing.T) {
+	const (
+		copying = 250 * time.Millisecond
+		notice  = 1800 * time.Millisecond
+	)
+	move := newCall()
+	move.Use, move.Read, move.Due, move.Wait = pick.Move, 0, 0, 2*time.Second
+	move.Source, move.Skip = engine(0), []ident.Server{engine(0)}
+	t.Run("its runs migrate one after the other", func(t *testing.T) {
+		testFleet(t, 6, 4, func(t *testing.T, f *fleet) {
+			var g errgroup.Group
+			var copies, maxCopies, moved atomic.Int64
+			start := time.Now()
+			for _, v := range f.vms {
+				g.Go(func() error {
+					if _, err := f.placeAndHold(v, move, -1); err != nil {
+						return err
+					}
+					maxCopies.Store(max(maxCopies.Load(), copies.Add(1)))
+					link := v.tracker.Take(engine(0), seats.Load{Sends: 1})
+					f.reportLoads(v)
+					time.Sleep(copying)
+					copies.Add(-1)
+					link.Release()
+					f.reportLoads(v)
+					if time.Since(start) < notice {
+						moved.Add(1)
+					}
+					return nil
+				})
+			}
+			assert.NilError(t, g.Wait())
+			assert.Equal(t, maxCopies.Load(), int64(1), "caches share the link")
+			assert.Equal(t, moved.Load(), int64(6))
+		})
+	})
+	t.Run("a migration that waits for the link does not block those of other engines", func(t *testing.T) {
+		testFleet(t, 3, 4, func(t *testing.T, f *fleet) {
+			f.vms[1].tracker.Take(engine(0), seats.Load{Sends: 1})
+			f.reportLoads(f.vms[1])
+			ctx, cancel := context.WithCancel(context.Background())
+			var g errgroup.Group
+			g.Go(func() error {
+				_, err := f.vms[1].placer.Place(ctx, move)
+				return err
+			})
+			time.Sleep(50 * time.Millisecond)
+			other := move
+			other.Source, other.Skip = engine(1), []ident.Server{engine(1)}
+			start := time.Now()
+			_, err := f.placeAndHold(f.vms[2], other, -1)
+			assert.NilError(t, err)
+			_, err = f.placeAndHold(f.vms[2], newCall(), -1)
+			assert.NilError(t, err)
+			assert.Assert(t, time.Since(start) < firstTimeout, "waited for %s", time.Since(start))
+			cancel()
+			assert.ErrorIs(t, g.Wait(), context.Canceled)
+		})
+	})
+}
--- /dev/null
+++ b/internal/route/homes/coord.go
@@ -0,0 +1,448 @@
+package homes
+
+import (
+	"context"
+	"errors"
+	"math"
+	"sync"
+	"time"
+
+	"umberladder/internal/core/ident"
+	"umberladder/internal/policy/queue"
+	"umberladder/internal/route/pick"
+	"umberladder/internal/route/seats"
+)
+
+const (
+	// grantTTL is how long a grant is added to the reported loads. By then the
+	// VM that got it has reported the run in its own load, even if one message
+	// was lost.
+	grantTTL = 60 * time.Millisecond
+	// requestTTL is how long a queued request is kept without being repeated.
+	// After that its VM is down or its client has disconnected.
+	requestTTL = 500 * time.Millisecond
+	// responseTTL is how long a response is kept for repetitions of its request.
+	responseTTL = time.Second
+	// serveInterval is how often the queues are served, in addition to when
+	// capacity may have changed.
+	serveInterval = 10 * time.Millisecond
+	// rateWindow is the time constant of the moving average of granted tokens.
+	rateWindow = time.Second
+	// minBusyTime is how long the queues must have been non-empty before the grant
+	// rate is used for estimates.
+	minBusyTime = 100 * time.Millisecond
+	// maxLate is the maximum number of queued calls that cannot start in time. They
+	// get the capacity that other calls leave; calls beyond this number are
+	// rejected at once.
+	maxLate = 16
+	// refusedTTL is how long a rejected call is remembered. If the client repeats
+	// it within this time, it does not take capacity from calls that can still
+	// start in time.
+	refusedTTL = 15 * time.Second
+	// MinRetryAfter and maxRetryAfter bound the retry delay given to a rejected
+	// run. A rejection means that all priority levels were full, which does not
+	// change quickly.
+	MinRetryAfter = 4 * time.Second
+	maxRetryAfter = 12 * time.Second
+)
+
+// Request is a VM's request to place one run.
+type Ask struct {
+	VM     ident.VM
+	Number uint64 // unique among the VM's requests
+	Want   pick.Want
+}
+
+// State is the state of a request.
+type State uint8
+
+// The states of a request.
+const (
+	Waiting State = iota // queued until an engine has capacity
+	Granted
+	Full     // rejected: no engine will have capacity in time
+	NoServer // rejected: no server accepts work
+)
+
+// Response is the coordinator's response to a Request.
+type Answer struct {
+	Number uint64
+	State  State
+	Server ident.Server  // set if granted
+	Backup ident.Server  // keeps a copy of the KV cache; empty: none
+	Ahead  int           // runs queued before this one
+	Retry  time.Duration // delay after which capacity is likely, if rejected for lack of it
+}
+
+// Coordinator places the runs of all VMs that send it requests. It is safe for
+// concurrent use.
+type Home struct {
+	chooser *pick.Chooser
+
+	mu       sync.Mutex
+	requests map[requestKey]*request
+	queues   map[ident.Service]*serviceQueue
+	grants   []grant
+	refused  map[uint64]time.Time // time of the last rejection, by retry key
+}
+
+type requestKey struct {
+	vm ident.VM
+	id uint64
+}
+
+// request is a queued or answered Request.
+type request struct {
+	Ask
+	respond  func(Answer)
+	lastSeen time.Time
+	startBy  time.Time // latest start that is in time
+	deadline time.Time // end of the wait
+	response Answer
+	level    int
+	entry    *queue.Entry[*request]
+}
+
+// Priority levels of queued requests, in the order in which they are served.
+const (
+	migrationLevel = iota // runs that have to leave their engines
+	onTimeLevel           // calls that can still start in time
+	lateLevel             // calls that cannot start in time
+	numLevels
+)
+
+// serviceQueue holds the requests queued for capacity on a service's engines.
+type serviceQueue struct {
+	queues            [numLevels]*queue.Queue[*request]
+	migrationsBlocked bool               // a migration waits for capacity rather than for a link
+	urgentTokens      int                // tokens of queued migrations and of queued calls of rank 0
+	queuedTokens      [numLevels]int     // tokens of queued requests
+	grantRate         [numLevels]float64 // recently granted tokens per second while the queues were non-empty
+	busySince         time.Time          // since when the queues have been non-empty
+	updatedAt         time.Time          // when the rates were last updated
+}
+
+// grant is capacity granted to a VM that may not have reported it yet.
+type grant struct {
+	server ident.Server
+	load   seats.Load
+	until  time.Time
+}
+
+// New returns a Coordinator without queued requests.
+func NewHome(c *pick.Chooser) *Home {
+	return &Home{chooser: c, requests: make(map[requestKey]*request), queues: make(map[ident.Service]*serviceQueue), refused: make(map[uint64]time.Time)}
+}
+
+// Run serves the queued requests until ctx ends.
+func (c *Home) Run(ctx context.Context) {
+	t := time.NewTicker(serveInterval)
+	defer t.Stop()
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+		case <-c.chooser.Changed():
+		case <-t.C:
+		}
+		c.serve(time.Now())
+	}
+}
+
+// Submit handles a new or repeated request. It calls reply with each response;
+// reply must not call the Coordinator.
+func (c *Home) Take(r Ask, reply func(Answer), now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := requestKey{vm: r.VM, id: r.Number}
+	old := c.requests[key]
+	if old != nil {
+		old.lastSeen, old.respond = now, reply
+		reply(old.response)
+		return
+	}
+	req := &request{
+		Ask: r, respond: reply, lastSeen: now, startBy: now.Add(r.Want.Due), deadline: now.Add(r.Want.Wait),
+		response: Answer{Number: r.Number},
+	}
+	if at, ok := c.refused[r.Want.Mark]; ok && now.Sub(at) < refusedTTL {
+		req.startBy = now
+	}
+	c.requests[key] = req
+	c.chooser.Failed(r.Want.Failed, now)
+	sq := c.queueFor(r.Want.Service)
+	sq.decayRates(now)
+	if !sq.mustQueue(req) {
+		if done, _ := c.tryPlace(sq, req, now); done {
+			return
+		}
+	}
+	req.response.Ahead = sq.queueLen()
+	if !sq.enqueue(req, now) {
+		c.refuse(sq, req)
+		return
+	}
+	reply(req.response)
+}
+
+// QueueLen returns the number of queued requests of all services.
+func (c *Home) Waiting() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := 0
+	for _, sq := range c.queues {
+		n += sq.queueLen()
+	}
+	return n
+}
+
+func (c *Home) queueFor(s ident.Service) *serviceQueue {
+	sq := c.queues[s]
+	if sq == nil {
+		sq = &serviceQueue{}
+		for i := range sq.queues {
+			sq.queues[i] = queue.New[*request]()
+		}
+		c.queues[s] = sq
+	}
+	return sq
+}
+
+// serve grants capacity to queued requests, in order, until there is none left.
+func (c *Home) serve(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, sq := range c.queues {
+		sq.decayRates(now)
+		sq.migrationsBlocked = !c.serveMigrations(sq, now)
+		hasCapacity := !sq.migrationsBlocked
+		for level := onTimeLevel; level < numLevels; level++ {
+			hasCapacity = c.serveLevel(sq, level, hasCapacity, now)
+		}
+	}
+	for key, r := range c.requests {
+		if r.entry == nil && now.Sub(r.lastSeen) > responseTTL {
+			delete(c.requests, key)
+		}
+	}
+	for key, at := range c.refused {
+		if now.Sub(at) > refusedTTL {
+			delete(c.refused, key)
+		}
+	}
+}
+
+// serveMigrations grants capacity to migrating runs, one per source engine at a
+// time: KV caches that share a link would all arrive late. It reports whether
+// no migration lacks capacity.
+func (c *Home) serveMigrations(sq *serviceQueue, now time.Time) bool {
+	hasCapacity := true
+	for _, e := range sq.queues[migrationLevel].Sorted() {
+		r := e.Value
+		switch {
+		case now.Sub(r.lastSeen) > requestTTL:
+			sq.remove(r)
+		case now.After(r.deadline):
+			sq.remove(r)
+			c.refuse(sq, r)
+		case hasCapacity:
+			granted, noCapacity := c.tryPlace(sq, r, now)
+			if granted {
+				sq.remove(r)
+			}
+			hasCapacity = !noCapacity
+		}
+	}
+	return hasCapacity
+}
+
+// serveLevel removes expired requests of a level and grants capacity to the
+// others. It reports whether there may be capacity left.
+func (c *Home) serveLevel(sq *serviceQueue, level int, hasCapacity bool, now time.Time) bool {
+	for {
+		e := sq.queues[level].Peek()
+		if e == nil {
+			return hasCapacity
+		}
+		r := e.Value
+		switch {
+		case now.Sub(r.lastSeen) > requestTTL:
+			sq.remove(r)
+		case level == onTimeLevel && now.After(r.startBy):
+			sq.remove(r)
+			if !sq.enqueue(r, now) {
+				c.refuse(sq, r)
+			}
+		case now.After(r.deadline):
+			sq.remove(r)
+			c.refuse(sq, r)
+		case hasCapacity:
+			if granted, _ := c.tryPlace(sq, r, now); !granted {
+				return false
+			}
+			sq.remove(r)
+		default:
+			return false
+		}
+	}
+}
+
+// tryPlace grants the request capacity, or answers it with NoServer. It reports
+// whether the request was answered, and if not, whether the reason is a lack of
+// capacity rather than a busy link.
+func (c *Home) tryPlace(sq *serviceQueue, r *request, now time.Time) (done, noCapacity bool) {
+	placement, err := c.chooser.Choose(&r.Want, c.pendingGrants(now), now)
+	switch {
+	case errors.Is(err, pick.ErrNoServer):
+		r.response.State = NoServer
+	case err != nil:
+		var full *pick.NoRoomError
+		return false, !errors.As(err, &full) || !full.LinkBusy
+	default:
+		r.response.State, r.response.Server = Granted, placement.Server.ID
+		c.grants = append(c.grants, grant{server: placement.Server.ID, load: r.Want.Load(), until: now.Add(grantTTL)})
+		if r.Want.Source != "" {
+			c.grants = append(c.grants, grant{server: r.Want.Source, load: seats.Load{Sends: 1}, until: now.Add(grantTTL)})
+		}
+		if placement.Backup != nil {
+			r.response.Backup = placement.Backup.ID
+			c.grants = append(c.grants, grant{server: placement.Backup.ID, load: r.Want.BackupLoad(), until: now.Add(grantTTL)})
+		}
+		sq.grantRate[r.levelAt(now)] += float64(r.Want.Need) / rateWindow.Seconds()
+	}
+	r.respond(r.response)
+	return true, false
+}
+
+// refuse answers the request with NoCapacity.
+func (c *Home) refuse(sq *serviceQueue, r *request) {
+	if r.Want.Mark != 0 {
+		c.refused[r.Want.Mark] = r.lastSeen
+	}
+	r.response.State = Full
+	r.response.Retry = min(max(sq.estimateWait(r, onTimeLevel), MinRetryAfter), maxRetryAfter)
+	r.respond(r.response)
+}
+
+// pendingGrants returns the granted loads that VMs may not have reported yet.
+func (c *Home) pendingGrants(now time.Time) map[ident.Server]seats.Load {
+	n := 0
+	for n < len(c.grants) && now.After(c.grants[n].until) {
+		n++
+	}
+	c.grants = c.grants[n:]
+	out := make(map[ident.Server]seats.Load, len(c.grants))
+	for _, g := range c.grants {
+		out[g.server] = out[g.server].Plus(g.load)
+	}
+	return out
+}
+
+// decayRates updates the grant rates. It resets them while the queues are empty,
+// because they then say nothing about the engines' throughput.
+func (sq *serviceQueue) decayRates(now time.Time) {
+	if sq.queueLen() == 0 {
+		sq.grantRate = [numLevels]float64{}
+		sq.busySince, sq.updatedAt = now, now
+		return
+	}
+	elapsed := now.Sub(sq.updatedAt)
+	if elapsed <= 0 {
+		return
+	}
+	for i := range sq.grantRate {
+		sq.grantRate[i] *= math.Exp(-elapsed.Seconds() / rateWindow.Seconds())
+	}
+	sq.updatedAt = now
+}
+
+func (sq *serviceQueue) queueLen() int {
+	n := 0
+	for _, q := range sq.queues {
+		n += q.Len()
+	}
+	return n
+}
+
+// levelAt returns the priority level of the request at a given time.
+func (r *request) levelAt(now time.Time) int {
+	switch {
+	case r.Want.Use != pick.Call:
+		return migrationLevel
+	case !now.Before(r.startBy):
+		return lateLevel
+	default:
+		return onTimeLevel
+	}
+}
+
+// mustQueue reports whether other requests have to be served before a new one.
+func (sq *serviceQueue) mustQueue(r *request) bool {
+	if r.Want.Use != pick.Call {
+		return sq.migrationsBlocked
+	}
+	return sq.migrationsBlocked || sq.queues[onTimeLevel].Len() > 0
+}
+
+// isUrgent reports whether the request is a migration or has rank 0, and so precedes
+// the other calls.
+func (r *request) isUrgent() bool { return r.Want.Use != pick.Call || r.Want.Rank == 0 }
+
+// maxEstimate caps wait estimates; it is longer than any wait.
+const maxEstimate = time.Hour
+
+// estimateWait returns how long it takes to serve the request and all that
+// precede it at a level, at the recent grant rate; zero if that is not known.
+func (sq *serviceQueue) estimateWait(r *request, level int) time.Duration {
+	tokens, rate := r.Want.Need, 0.0
+	for i := range level + 1 {
+		tokens += sq.queuedTokens[i]
+		rate += sq.grantRate[i]
+	}
+	if r.isUrgent() {
+		tokens = r.Want.Need + sq.urgentTokens
+	}
+	busy := sq.updatedAt.Sub(sq.busySince)
+	if busy < minBusyTime {
+		return 0
+	}
+	known := 1 - math.Exp(-busy.Seconds()/rateWindow.Seconds())
+	seconds := float64(tokens) * known / rate
+	if seconds > maxEstimate.Seconds() {
+		return maxEstimate
+	}
+	return time.Duration(seconds * float64(time.Second))
+}
+
+// enqueue queues the request, or reports false if it would not be served in
+// time.
+func (sq *serviceQueue) enqueue(r *request, now time.Time) bool {
+	level := r.levelAt(now)
+	if level == onTimeLevel && sq.estimateWait(r, level) > r.startBy.Sub(now) {
+		level = lateLevel
+	}
+	remaining := r.deadline.Sub(now)
+	if remaining <= 0 || level == lateLevel && sq.queues[level].Len() >= maxLate {
+		return false
+	}
+	bound := remaining
+	if level == onTimeLevel {
+		bound = r.startBy.Sub(now)
+	}
+	r.level = level
+	r.entry = sq.queues[level].Push(r, r.Want.Rank, now, bound)
+	sq.addTokens(r, r.Want.Need)
+	return true
+}
+
+func (sq *serviceQueue) remove(r *request) {
+	sq.queues[r.level].Remove(r.entry)
+	r.entry = nil
+	sq.addTokens(r, -r.Want.Need)
+}
+
+func (sq *serviceQueue) addTokens(r *request, tokens int) {
+	sq.queuedTokens[r.level] += tokens
+	if r.isUrgent() {
+		sq.urgentTokens += tokens
+	}
+}
--- /dev/null
+++ b/internal/route/seats/tracker.go
@@ -0,0 +1,213 @@
+package seats
+
+import (
+	"maps"
+	"sync"
+	"time"
+
+	"umberladder/internal/core/ident"
+)
+
+// PeerTTL is how long another VM's loads count without a newer report. VMs
+// report at least every half second, so three lost reports in a row are
+// tolerated.
+const PeerTTL = 2 * time.Second
+
+// peerRetention is how long the sequence number of another VM's last report is
+// kept. No message is in transit for longer.
+const peerRetention = time.Minute
+
+// Load is the work in flight at one server.
+type Load struct {
+	Seats   int // calls
+	Tokens  int // expected memory of the calls at their end
+	Backlog int // prompt tokens not known to be prefilled yet
+	Copies  int // KV caches in transit to the server
+	Sends   int // KV caches in transit from the server, except copies that grow with their runs
+}
+
+// Plus returns the sum of the loads.
+func (l Load) Plus(o Load) Load {
+	return Load{Seats: l.Seats + o.Seats, Tokens: l.Tokens + o.Tokens, Backlog: l.Backlog + o.Backlog, Copies: l.Copies + o.Copies, Sends: l.Sends + o.Sends}
+}
+
+func (l Load) minus(o Load) Load {
+	return Load{Seats: l.Seats - o.Seats, Tokens: l.Tokens - o.Tokens, Backlog: l.Backlog - o.Backlog, Copies: l.Copies - o.Copies, Sends: l.Sends - o.Sends}
+}
+
+// Tracker tracks the loads of all VMs. It is safe for concurrent use.
+type Book struct {
+	mu        sync.Mutex
+	local     map[ident.Server]Load
+	peers     map[ident.VM]peer
+	peerTotal map[ident.Server]Load // sum of the peers' loads
+	changed   chan struct{}         // closed at the next change that may free capacity
+	dirty     chan struct{}         // has an element once local loads changed
+}
+
+type peer struct {
+	receivedAt time.Time
+	boot       uint64
+	seq        uint64
+	load       map[ident.Server]Load
+}
+
+// New returns an empty Tracker.
+func New() *Book {
+	return &Book{
+		local:     make(map[ident.Server]Load),
+		peers:     make(map[ident.VM]peer),
+		peerTotal: make(map[ident.Server]Load),
+		changed:   make(chan struct{}),
+		dirty:     make(chan struct{}, 1),
+	}
+}
+
+// Reservation is one call's part of a server's load.
+type Seat struct {
+	tracker  *Book
+	server   ident.Server
+	load     Load
+	released bool
+}
+
+// Reserve adds a call to the load of a server.
+func (t *Book) Take(server ident.Server, l Load) *Seat {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.local[server] = t.local[server].Plus(l)
+	t.markDirty(l)
+	return &Seat{tracker: t, server: server, load: l}
+}
+
+// Resize changes the load of the call.
+func (r *Seat) Resize(l Load) {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if r.released || l == r.load {
+		return
+	}
+	r.tracker.local[r.server] = r.tracker.local[r.server].minus(r.load).Plus(l)
+	r.load = l
+	r.tracker.markDirty(l)
+}
+
+// Load returns the load of the call.
+func (r *Seat) Load() Load {
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	return r.load
+}
+
+// Release removes the call's load. Further calls do nothing.
+func (r *Seat) Release() {
+	if r == nil {
+		return
+	}
+	r.tracker.mu.Lock()
+	defer r.tracker.mu.Unlock()
+	if r.released {
+		return
+	}
+	r.released = true
+	rest := r.tracker.local[r.server].minus(r.load)
+	if rest == (Load{}) {
+		delete(r.tracker.local, r.server)
+	} else {
+		r.tracker.local[r.server] = rest
+	}
+	r.tracker.markDirty(r.load)
+	r.tracker.signalChanged()
+}
+
+// markDirty records that local loads changed. Calls to plain servers end before
+// other VMs could use the information; they are reported with the next regular
+// message.
+func (t *Book) markDirty(l Load) {
+	if l.Tokens == 0 && l.Sends == 0 {
+		return
+	}
+	select {
+	case t.dirty <- struct{}{}:
+	default:
+	}
+}
+
+func (t *Book) signalChanged() {
+	close(t.changed)
+	t.changed = make(chan struct{})
+}
+
+// Dirty returns a channel that has an element once local loads changed since the
+// last receive.
+func (t *Book) Dirty() <-chan struct{} { return t.dirty }
+
+// Changed returns a channel that is closed once capacity may have become free.
+func (t *Book) Changed() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changed
+}
+
+// Local returns this VM's loads.
+func (t *Book) Own() map[ident.Server]Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return maps.Clone(t.local)
+}
+
+// UpdatePeer replaces another VM's loads, unless later ones were received before.
+// The loads of further parts of the same message are added.
+func (t *Book) Hear(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.peers[vm]
+	continued := boot == p.boot && seq == p.seq && part > 0
+	if boot < p.boot || boot == p.boot && seq <= p.seq && !continued {
+		return
+	}
+	for s, l := range load {
+		t.peerTotal[s] = t.peerTotal[s].Plus(l)
+	}
+	if continued {
+		maps.Copy(load, p.load)
+	} else {
+		t.subtract(p)
+	}
+	t.peers[vm] = peer{receivedAt: now, boot: boot, seq: seq, load: load}
+	t.signalChanged()
+}
+
+// subtract removes a peer's loads from the total.
+func (t *Book) subtract(p peer) {
+	for s, l := range p.load {
+		rest := t.peerTotal[s].minus(l)
+		if rest == (Load{}) {
+			delete(t.peerTotal, s)
+			continue
+		}
+		t.peerTotal[s] = rest
+	}
+}
+
+// All returns the loads of all VMs that reported recently.
+func (t *Book) All(now time.Time) map[ident.Server]Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for vm, p := range t.peers {
+		if now.Sub(p.receivedAt) <= PeerTTL {
+			continue
+		}
+		t.subtract(p)
+		p.load = nil
+		t.peers[vm] = p
+		if now.Sub(p.receivedAt) > peerRetention {
+			delete(t.peers, vm)
+		}
+	}
+	all := maps.Clone(t.local)
+	for s, l := range t.peerTotal {
+		all[s] = all[s].Plus(l)
+	}
+	return all
+}
