--- a/internal/state/hubs/doc.go
+++ b/internal/state/hubs/doc.go
@@ -1,9 +1,9 @@
-// Package hubs decides which few VMs, the hubs, all others report to, and which
-// of them ask the store for changes.
+// Package hubs selects the hubs, the few VMs that all others report to, and
+// decides which VMs watch the store for changes.
 //
-// A VM reports to the first VMs of an order that all agree on: by capacity, then by
-// a hash of the name. Whoever is reported to answers with what it knows of all, and
-// with the first VMs of the order that it hears. A VM that does not answer is passed
-// over, so that nothing has to be elected, and VMs that disagree for a while cost
-// messages and nothing else.
+// All VMs sort themselves in the same order, by capacity and then by a hash of the
+// name, and report to the first Count VMs of it. A hub responds to each report with what
+// it knows of all VMs and with the top of the order among the VMs it receives
+// messages from. A VM that does not respond is skipped, so no election is needed.
+// VMs that disagree on the hubs for a while only send more messages.
 package hubs
--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -10,237 +10,247 @@
 )
 
 const (
-	// Beat is how often a VM reports though nothing changed.
+	// ReportInterval is how often a VM reports when nothing has changed.
 	Beat = 500 * time.Millisecond
-	// Count is how many hubs there are: two that ask the store, and two that take
-	// their place. They share the homes of services.
+	// Count is the number of hubs: two watch the store and two are their standbys.
+	// The hubs divide the services to coordinate among themselves.
 	Count = 4
-	// listed is how many candidates a hub names: one more for each hub's place.
-	listed = 2 * Count
-	// Silence is how long a VM may say nothing before it counts as gone.
+	// maxListed is how many candidates a hub lists in a response: one spare per hub.
+	maxListed = 2 * Count
+	// PeerTimeout is how long after its last message a VM counts as live.
 	Silence = time.Second
-	// seekEvery is how often a VM is reported to that has not answered.
-	seekEvery = 150 * time.Millisecond
-	// leastTries is how many reports a VM must have left unanswered to count as gone.
-	leastTries = 4
-	// early is by how much a report may be sent before its time, with others.
-	early = 10 * time.Millisecond
-	// retryAfter is the pause before a VM that did not answer is reported to again.
-	retryAfter = 3 * time.Second
-	// forget is how long a silent VM counts as one that may still be there.
-	forget = 15 * time.Second
-	// StartTime is how long a VM that starts looks for others before it acts by itself.
-	StartTime = 1500 * time.Millisecond
-	// joinTime is how long a VM that has heard the first other one waits at most until
-	// it has heard of the hubs, and does not take itself for one. It stops waiting once
-	// it hears all that it takes for hubs, and they are the same for settleTime.
-	joinTime   = 400 * time.Millisecond
-	settleTime = 80 * time.Millisecond
-	// joinEvery is how often it reports meanwhile: others hear of one another, too.
-	joinEvery = 80 * time.Millisecond
-	// orderTime is how long the first places are taken to be unchanged, so that
-	// they need not be sought for each message.
-	orderTime = 50 * time.Millisecond
+	// probeInterval is how often a report is sent to a VM that has not responded.
+	probeInterval = 150 * time.Millisecond
+	// minUnanswered is how many reports a VM must have left unanswered to count as
+	// not responding.
+	minUnanswered = 4
+	// coalesceWindow is how long before it is due a report may be sent, so that it goes
+	// out with others.
+	coalesceWindow = 10 * time.Millisecond
+	// retryInterval is the pause before the next report to a VM that is not responding.
+	retryInterval = 3 * time.Second
+	// forgetAfter is how long a VM from which nothing is received is still remembered.
+	forgetAfter = 15 * time.Second
+	// DiscoveryTimeout is how long a starting VM looks for others before it acts alone.
+	DiscoveryTimeout = 1500 * time.Millisecond
+	// joinTimeout is how long, after the first message of another VM, a starting VM
+	// waits at most to learn which VMs are the hubs. Until then it does not act as one.
+	// The wait ends early once all hubs that it knows are live and have been the same
+	// for settleTime.
+	joinTimeout = 400 * time.Millisecond
+	settleTime  = 80 * time.Millisecond
+	// joinInterval is how often it reports during that wait. The others are learning of
+	// each other at the same time.
+	joinInterval = 80 * time.Millisecond
+	// orderTTL is how long the top of the order is cached, so that it is not computed
+	// for each message.
+	orderTTL = 50 * time.Millisecond
 )
 
-// StoreStatus is what a VM says of its way to the store.
+// StoreStatus is what a VM reports about its access to the store.
 type StoreStatus struct {
-	Asks bool          // it asks the store for changes
-	Age  time.Duration // of what it knows of the servers
+	Asks bool          // whether it watches the store
+	Age  time.Duration // of its data on the servers
 }
 
-// Report is what a VM says of itself to those that it reports to, and they to it.
+// Report is what a VM says of itself in a report to a hub, and a hub of itself in its
+// response.
 type Report struct {
 	Candidate
 	StoreStatus
 }
 
-// vm is what is known of another VM.
-type vm struct {
+// peer is what is known of another VM.
+type peer struct {
 	Candidate
-	heard    time.Time // its last message
-	reported time.Time // its last report
-	tried    time.Time // when it was last reported to
-	unheard  time.Time // when it was first reported to since it was heard; zero: not yet
-	tries    int       // reports to it since then
-	status   StoreStatus
+	lastSeen        time.Time // when its last message of any kind arrived
+	lastReport      time.Time // when its last report arrived
+	lastSent        time.Time // when the last report was sent to it
+	unansweredSince time.Time // first report sent to it since lastSeen; zero: none yet
+	unanswered      int       // reports sent to it since then
+	status          StoreStatus
 }
 
-// naming is a list of candidates that a hub, or the store, has named.
-type naming struct {
+// listing is a list of candidates from a hub's response or from the store.
+type listing struct {
 	at     time.Time
 	digest uint64
 	list   []Candidate
 }
 
-// fromStore stands for the store among those that name candidates.
-const fromStore ident.VM = ""
+// storeSource is the key of the store's list in Tracker.listings.
+const storeSource ident.VM = ""
 
-// Hubs holds what one VM knows of the others. It is safe for use by several
-// goroutines.
+// Tracker tracks what one VM knows of the others and which of them are hubs. It is safe
+// for use by several goroutines.
 type Hubs struct {
-	own   Candidate
-	seeds []netip.AddrPort
-	start time.Time
+	self      Candidate
+	seeds     []netip.AddrPort
+	startedAt time.Time
 
-	mu      sync.Mutex
-	vms     map[ident.VM]*vm
-	named   map[ident.VM]naming // by who named them
-	joined  time.Time           // when another VM was first heard, or none was to be looked for
-	store   time.Time           // when the store last answered this VM
-	first   []Candidate         // of the order
-	firstAt time.Time
-	rank    int       // of this VM in first; len(first): none
-	changed time.Time // when another VM came to be a hub
+	mu             sync.Mutex
+	peers          map[ident.VM]*peer
+	listings       map[ident.VM]listing // by the hub that sent them
+	joinedAt       time.Time            // first message of another VM, or the end of discovery
+	storeResponded time.Time            // when the store last responded to this VM
+	top            []Candidate          // first candidates of the order, maxListed at most
+	topAt          time.Time            // when top was computed
+	rank           int                  // of this VM in top; len(top) if it is not there
+	hubsChanged    time.Time            // when the set of hubs last changed
 }
 
-// New makes the knowledge of a VM that has heard nobody, at its start. The seeds are
-// addresses of VMs that it asks for others while it hears nobody.
-func New(own Candidate, seeds []netip.AddrPort, start time.Time) *Hubs {
-	return &Hubs{own: own, seeds: seeds, start: start, vms: make(map[ident.VM]*vm), named: make(map[ident.VM]naming)}
+// New returns the tracker of a VM that has just started and received no message yet. The
+// seeds are addresses of VMs that it reports to while it is isolated.
+func New(self Candidate, seeds []netip.AddrPort, start time.Time) *Hubs {
+	return &Hubs{self: self, seeds: seeds, startedAt: start, peers: make(map[ident.VM]*peer), listings: make(map[ident.VM]listing)}
 }
 
-// hear takes a message of another VM.
-func (h *Hubs) hear(r Report, now time.Time) *vm {
-	v := h.vms[r.VM]
-	if v == nil {
-		v = &vm{}
-		h.vms[r.VM] = v
+// recordMessage records that a message of another VM arrived, and what it says of it.
+func (h *Hubs) recordMessage(r Report, now time.Time) *peer {
+	p := h.peers[r.VM]
+	if p == nil {
+		p = &peer{}
+		h.peers[r.VM] = p
 	}
-	if now.Sub(v.heard) >= Silence || v.Candidate != r.Candidate {
-		h.firstAt = time.Time{}
+	if now.Sub(p.lastSeen) >= Silence || p.Candidate != r.Candidate {
+		h.topAt = time.Time{}
 	}
-	v.Candidate, v.status = r.Candidate, r.StoreStatus
-	v.heard, v.unheard, v.tries = now, time.Time{}, 0
-	if h.joined.IsZero() {
-		h.joined = now
+	p.Candidate, p.status = r.Candidate, r.StoreStatus
+	p.lastSeen, p.unansweredSince, p.unanswered = now, time.Time{}, 0
+	if h.joinedAt.IsZero() {
+		h.joinedAt = now
 	}
-	return v
+	return p
 }
 
-// Reported takes another VM's report.
+// HandleReport records another VM's report.
 func (h *Hubs) Reported(r Report, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hear(r, now).reported = now
+	h.recordMessage(r, now).lastReport = now
 }
 
-// Answered takes a hub's answer to a report. The hub leaves out the candidates that
-// it names if they are those of the digest that this VM told it. It returns whether
-// this VM has to report to others than before, which it should do at once.
+// HandleResponse records a hub's response to a report. The hub omits its list of candidates
+// if its digest equals the one in the report. HandleResponse returns whether there is a
+// hub that this VM has neither reported to nor received a message from, in which case
+// the caller should send reports at once.
 func (h *Hubs) Answered(r Report, list []Candidate, digest uint64, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hear(r, now)
-	old := h.named[r.VM]
+	h.recordMessage(r, now)
+	old := h.listings[r.VM]
 	switch {
 	case old.digest == digest:
 		old.at = now
-		h.named[r.VM] = old
+		h.listings[r.VM] = old
 	case len(list) > 0:
 		if now.Sub(old.at) >= Silence {
-			old.list = nil // the hub is new, or has come back itself
+			old.list = nil // the hub is new or was away itself
 		}
-		h.again(old.list, list, now)
-		h.named[r.VM] = naming{at: now, digest: digest, list: list}
-		h.firstAt = time.Time{}
+		h.resetReturned(old.list, list, now)
+		h.listings[r.VM] = listing{at: now, digest: digest, list: list}
+		h.topAt = time.Time{}
 	}
-	for _, c := range h.others(now) {
-		if v := h.vms[c.VM]; v == nil || v.heard.IsZero() && v.tried.IsZero() {
+	for _, c := range h.otherHubs(now) {
+		if p := h.peers[c.VM]; p == nil || p.lastSeen.IsZero() && p.lastSent.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// again gives VMs that did not answer another chance: those that a hub names now and
-// did not name before have come back.
-func (h *Hubs) again(old, list []Candidate, now time.Time) {
+// resetReturned resets the count of unanswered reports of VMs that a hub lists now and
+// did not list before: they have come back.
+func (h *Hubs) resetReturned(old, list []Candidate, now time.Time) {
 	for _, c := range list {
-		if v := h.vms[c.VM]; v.silent(now) && !slices.Contains(old, c) {
-			v.unheard, v.tries = time.Time{}, 0
+		if p := h.peers[c.VM]; p.notResponding(now) && !slices.Contains(old, c) {
+			p.unansweredSince, p.unanswered = time.Time{}, 0
 		}
 	}
 }
 
-// Listed takes the names in the store.
-func (h *Hubs) Listed(names map[ident.VM]netip.AddrPort, now time.Time) {
+// SetRegistered records the VMs that are registered in the store, and that the store
+// responded at now.
+func (h *Hubs) SetRegistered(names map[ident.VM]netip.AddrPort, now time.Time) {
 	list := make([]Candidate, 0, len(names))
 	for name, addr := range names {
-		if name != h.own.VM {
+		if name != h.self.VM {
 			list = append(list, Candidate{VM: name, Addr: addr})
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.store = now
-	h.named[fromStore] = naming{at: now, list: list}
-	h.firstAt = time.Time{}
+	h.storeResponded = now
+	h.listings[storeSource] = listing{at: now, list: list}
+	h.topAt = time.Time{}
 }
 
-// Answering returns how many of the other VMs that the store names may answer.
-func (h *Hubs) Answering(names map[ident.VM]netip.AddrPort, now time.Time) int {
+// CountResponding returns how many of the other VMs registered in the store do not count
+// as not responding.
+func (h *Hubs) CountResponding(names map[ident.VM]netip.AddrPort, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
 	for name := range names {
-		if name != h.own.VM && !h.vms[name].silent(now) {
+		if name != h.self.VM && !h.peers[name].notResponding(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// Alone has this VM act though it has heard nobody: nobody is there to be heard.
-func (h *Hubs) Alone(now time.Time) {
+// EndDiscovery ends the search for other VMs at once, although none has sent a message:
+// the caller knows that there is none.
+func (h *Hubs) EndDiscovery(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.joined = now.Add(-joinTime)
+	h.joinedAt = now.Add(-joinTimeout)
 }
 
-// Leave has this VM stand last in the order, so that another takes its place as a
-// hub before it ends.
+// Leave puts this VM last in the order by setting its capacity to zero, so that another
+// replaces it as a hub before it stops.
 func (h *Hubs) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.own.Capacity = 0
-	h.firstAt = time.Time{}
+	h.self.Capacity = 0
+	h.topAt = time.Time{}
 }
 
-// Own returns what this VM says of itself.
+// Self returns this VM as a candidate.
 func (h *Hubs) Own() Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.own
+	return h.self
 }
 
-// silent reports whether a VM does not answer.
-func (v *vm) silent(now time.Time) bool {
-	return v != nil && v.tries >= leastTries && now.Sub(v.unheard) >= Silence
+// notResponding reports whether a VM has left enough reports unanswered for long enough.
+func (p *peer) notResponding(now time.Time) bool {
+	return p != nil && p.unanswered >= minUnanswered && now.Sub(p.unansweredSince) >= Silence
 }
 
-// hears reports whether a VM was heard lately.
-func (v *vm) hears(now time.Time) bool { return v != nil && now.Sub(v.heard) < Silence }
+// live reports whether a message of the VM arrived within PeerTimeout.
+func (p *peer) live(now time.Time) bool { return p != nil && now.Sub(p.lastSeen) < Silence }
 
-// order brings the first places up to date. They go to VMs that are heard, and to
-// those that hubs name and that have not failed to answer. What the store names
-// counts while no hub names anybody.
-func (h *Hubs) order(now time.Time) []Candidate {
-	if now.Sub(h.firstAt) < orderTime {
-		return h.first
+// topCandidates returns the top of the order and computes it anew once it is older than
+// orderTTL. The order contains the live VMs and those that hubs list and that are not
+// not responding. The VMs registered in the store are used while there is no list of a
+// hub with a VM that may respond.
+func (h *Hubs) topCandidates(now time.Time) []Candidate {
+	if now.Sub(h.topAt) < orderTTL {
+		return h.top
 	}
-	all := map[ident.VM]Candidate{h.own.VM: h.own}
-	for name, v := range h.vms {
-		if v.hears(now) {
-			all[name] = v.Candidate
+	all := map[ident.VM]Candidate{h.self.VM: h.self}
+	for name, p := range h.peers {
+		if p.live(now) {
+			all[name] = p.Candidate
 		}
-		if now.Sub(v.heard) > forget && now.Sub(v.tried) > forget {
-			delete(h.vms, name)
-			delete(h.named, name)
+		if now.Sub(p.lastSeen) > forgetAfter && now.Sub(p.lastSent) > forgetAfter {
+			delete(h.peers, name)
+			delete(h.listings, name)
 		}
 	}
-	for _, c := range h.namedNow(now) {
-		if _, ok := all[c.VM]; !ok && !h.vms[c.VM].silent(now) {
+	for _, c := range h.currentCandidates(now) {
+		if _, ok := all[c.VM]; !ok && !h.peers[c.VM].notResponding(now) {
 			all[c.VM] = c
 		}
 	}
@@ -248,94 +258,98 @@
 	for _, c := range all {
 		list = append(list, c)
 	}
-	slices.SortFunc(list, compare)
-	spread(list)
-	if !slices.Equal(hubsOf(list), hubsOf(h.first)) {
-		h.changed = now
+	slices.SortFunc(list, compareCandidates)
+	spreadDomains(list)
+	if !slices.Equal(firstHubs(list), firstHubs(h.top)) {
+		h.hubsChanged = now
 	}
-	h.first, h.firstAt = list[:min(len(list), listed)], now
-	h.rank = slices.IndexFunc(h.first, func(c Candidate) bool { return c.VM == h.own.VM })
+	h.top, h.topAt = list[:min(len(list), maxListed)], now
+	h.rank = slices.IndexFunc(h.top, func(c Candidate) bool { return c.VM == h.self.VM })
 	if h.rank < 0 {
-		h.rank = len(h.first)
+		h.rank = len(h.top)
 	}
-	return h.first
+	return h.top
 }
 
-// hubsOf returns the hubs among the first candidates.
-func hubsOf(first []Candidate) []Candidate { return first[:min(len(first), Count)] }
+// firstHubs returns the hubs, the first Count candidates.
+func firstHubs(first []Candidate) []Candidate { return first[:min(len(first), Count)] }
 
-// namedNow returns the candidates of the namings that are as new as the newest one:
-// while all hubs are lost, those that they named last take their place.
-func (h *Hubs) namedNow(now time.Time) []Candidate {
+// currentCandidates returns the candidates of all hub lists that are less than
+// PeerTimeout older than the newest one. When all hubs are lost, no newer list arrives,
+// and the candidates that they listed last replace them.
+func (h *Hubs) currentCandidates(now time.Time) []Candidate {
 	var newest time.Time
-	for by, n := range h.named {
-		if by != fromStore && n.at.After(newest) {
+	for by, n := range h.listings {
+		if by != storeSource && n.at.After(newest) {
 			newest = n.at
 		}
 	}
 	if newest.IsZero() {
-		return h.named[fromStore].list
+		return h.listings[storeSource].list
 	}
 	var out []Candidate
-	for by, n := range h.named {
-		if by != fromStore && newest.Sub(n.at) < Silence {
+	for by, n := range h.listings {
+		if by != storeSource && newest.Sub(n.at) < Silence {
 			out = append(out, n.list...)
 		}
 	}
-	if h.lost(out, now) {
-		return h.named[fromStore].list
+	if h.noneRespond(out, now) {
+		return h.listings[storeSource].list
 	}
 	return out
 }
 
-// lost reports whether none of the candidates answers.
-func (h *Hubs) lost(list []Candidate, now time.Time) bool {
+// noneRespond reports whether all candidates but this VM are not responding.
+func (h *Hubs) noneRespond(list []Candidate, now time.Time) bool {
 	for _, c := range list {
-		if c.VM != h.own.VM && !h.vms[c.VM].silent(now) {
+		if c.VM != h.self.VM && !h.peers[c.VM].notResponding(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// Names returns the candidates that this VM names to others: those that it hears
-// itself, so that nobody names one for ever that is gone.
+// LiveCandidates returns the candidates that this VM lists in its responses: only those
+// that are live, since VMs that repeated each other's lists would keep one that is gone
+// listed forever.
 func (h *Hubs) Names(now time.Time) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Candidate
-	for _, c := range h.order(now) {
-		if c.VM == h.own.VM || h.vms[c.VM].hears(now) {
+	for _, c := range h.topCandidates(now) {
+		if c.VM == h.self.VM || h.peers[c.VM].live(now) {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// Named returns the digest of the candidates that a hub named last.
+// CandidateDigest returns the digest of the candidates that a hub listed last.
 func (h *Hubs) Named(hub ident.VM) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.named[hub].digest
+	return h.listings[hub].digest
 }
 
-// Targets returns the VMs to report to now: the hubs, and at times one that did not
-// answer, or that nobody but the store names, to hear whether it does now. All of the
-// hubs are due if something has to be told at once.
+// Targets returns the VMs to report to now and records the reports as sent. These are
+// the hubs, and at times one VM that was not responding or is only known from the store,
+// to find out whether it responds now. With all set, the hubs are included even if they
+// are not due, because something has to be reported at once. An isolated VM also reports
+// to its seeds.
 func (h *Hubs) Targets(now time.Time, all bool) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := h.others(now)
-	if c, ok := h.missing(out, now); ok {
+	out := h.otherHubs(now)
+	if c, ok := h.probeCandidate(out, now); ok {
 		out = append(out, c)
 	}
-	out = slices.DeleteFunc(out, func(c Candidate) bool { return !all && h.due(c.VM).Sub(now) > early })
+	out = slices.DeleteFunc(out, func(c Candidate) bool { return !all && h.nextDue(c.VM).Sub(now) > coalesceWindow })
 	for _, c := range out {
-		h.try(c, now)
+		h.recordAttempt(c, now)
 	}
-	if h.alone(now) {
+	if h.isolated(now) {
 		for _, addr := range h.seeds {
-			if addr != h.own.Addr {
+			if addr != h.self.Addr {
 				out = append(out, Candidate{Addr: addr})
 			}
 		}
@@ -343,92 +357,95 @@
 	return out
 }
 
-// alone reports whether no other VM is heard.
-func (h *Hubs) alone(now time.Time) bool {
-	for _, v := range h.vms {
-		if v.hears(now) {
+// isolated reports whether no other VM is live.
+func (h *Hubs) isolated(now time.Time) bool {
+	for _, p := range h.peers {
+		if p.live(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// Next returns when the next report is due.
+// NextReport returns how long it is until the next report is due.
 func (h *Hubs) Next(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next := Beat
-	if h.alone(now) {
-		next = seekEvery
+	if h.isolated(now) {
+		next = probeInterval
 	}
-	for _, c := range h.others(now) {
-		next = min(next, h.due(c.VM).Sub(now))
+	for _, c := range h.otherHubs(now) {
+		next = min(next, h.nextDue(c.VM).Sub(now))
 	}
-	return max(next, early)
+	return max(next, coalesceWindow)
 }
 
-// others returns the hubs that this VM reports to.
-func (h *Hubs) others(now time.Time) []Candidate {
-	first := h.order(now)
+// otherHubs returns the hubs other than this VM, which it reports to.
+func (h *Hubs) otherHubs(now time.Time) []Candidate {
+	first := h.topCandidates(now)
 	out := make([]Candidate, 0, Count+1)
-	for _, c := range hubsOf(first) {
-		if c.VM != h.own.VM {
+	for _, c := range firstHubs(first) {
+		if c.VM != h.self.VM {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// due returns when a VM is to be reported to. One that has not answered soon is told
-// again, so that a few lost messages do not pass for its end.
-func (h *Hubs) due(name ident.VM) time.Time {
-	v := h.vms[name]
+// nextDue returns when the next report to a VM is due. A VM with an unanswered report is
+// sent the next one soon, so that a few lost messages do not make it count as
+// not responding.
+func (h *Hubs) nextDue(name ident.VM) time.Time {
+	p := h.peers[name]
 	switch {
-	case v == nil:
+	case p == nil:
 		return time.Time{}
-	case !h.joined.IsZero() && v.tried.Sub(h.joined) < joinTime:
-		return v.tried.Add(joinEvery)
-	case !v.unheard.IsZero():
-		return v.tried.Add(seekEvery)
+	case !h.joinedAt.IsZero() && p.lastSent.Sub(h.joinedAt) < joinTimeout:
+		return p.lastSent.Add(joinInterval)
+	case !p.unansweredSince.IsZero():
+		return p.lastSent.Add(probeInterval)
 	default:
-		return v.tried.Add(Beat)
+		return p.lastSent.Add(Beat)
 	}
 }
 
-// try notes that a VM is reported to. Reports that were given up long ago, without an
-// answer, do not count.
-func (h *Hubs) try(c Candidate, now time.Time) {
-	v := h.vms[c.VM]
-	if v == nil {
-		v = &vm{Candidate: c}
-		h.vms[c.VM] = v
+// recordAttempt records that a report is sent to a VM. The count of unanswered reports
+// starts anew if the last one was sent PeerTimeout or longer ago and the VM does not count
+// as not responding.
+func (h *Hubs) recordAttempt(c Candidate, now time.Time) {
+	p := h.peers[c.VM]
+	if p == nil {
+		p = &peer{Candidate: c}
+		h.peers[c.VM] = p
 	}
-	if !v.silent(now) && now.Sub(v.tried) >= Silence {
-		v.unheard, v.tries = time.Time{}, 0
+	if !p.notResponding(now) && now.Sub(p.lastSent) >= Silence {
+		p.unansweredSince, p.unanswered = time.Time{}, 0
 	}
-	v.tried = now
-	v.tries++
-	if v.unheard.IsZero() {
-		v.unheard = now
+	p.lastSent = now
+	p.unanswered++
+	if p.unansweredSince.IsZero() {
+		p.unansweredSince = now
 	}
 }
 
-// missing returns a candidate that is not heard and was not tried lately. Hubs look
-// for all that the store names, others for those that would be hubs.
-func (h *Hubs) missing(targets []Candidate, now time.Time) (Candidate, bool) {
+// probeCandidate returns a candidate that is not live and was sent no report within
+// retryInterval. Hubs probe the VMs registered in the store as well as those on hub
+// lists; other VMs probe only VMs on hub lists that are not responding.
+func (h *Hubs) probeCandidate(targets []Candidate, now time.Time) (Candidate, bool) {
 	var list []Candidate
-	for by, n := range h.named {
-		if by != fromStore || h.rank < Count {
+	for by, n := range h.listings {
+		if by != storeSource || h.rank < Count {
 			list = append(list, n.list...)
 		}
 	}
 	for _, c := range list {
-		v := h.vms[c.VM]
-		if c.VM == h.own.VM || v.hears(now) || v != nil && now.Sub(v.tried) < retryAfter {
+		p := h.peers[c.VM]
+		if c.VM == h.self.VM || p.live(now) || p != nil && now.Sub(p.lastSent) < retryInterval {
 			continue
 		}
-		known := func(o Candidate) bool { return o.VM == c.VM }
-		if slices.ContainsFunc(targets, known) || h.rank >= Count && !v.silent(now) {
+		sameVM := func(o Candidate) bool { return o.VM == c.VM }
+		if slices.ContainsFunc(targets, sameVM) || h.rank >= Count && !p.notResponding(now) {
 			continue
 		}
 		return c, true
@@ -436,64 +453,66 @@
 	return Candidate{}, false
 }
 
-// Reporters returns the VMs that report to this one.
+// Reporters returns the VMs that have reported to this one within PeerTimeout.
 func (h *Hubs) Reporters(now time.Time) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Candidate
-	for _, v := range h.vms {
-		if now.Sub(v.reported) < Silence {
-			out = append(out, v.Candidate)
+	for _, p := range h.peers {
+		if now.Sub(p.lastReport) < Silence {
+			out = append(out, p.Candidate)
 		}
 	}
 	return out
 }
 
-// Count returns how many VMs report to this one, and how many did of late.
-func (h *Hubs) Count(now time.Time) (known, heard int) {
+// ReporterCounts returns how many VMs have reported to this one within forgetAfter
+// (known) and within PeerTimeout (live).
+func (h *Hubs) Count(now time.Time) (known, live int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, v := range h.vms {
-		if now.Sub(v.reported) < forget {
+	for _, p := range h.peers {
+		if now.Sub(p.lastReport) < forgetAfter {
 			known++
 		}
-		if now.Sub(v.reported) < Silence {
-			heard++
+		if now.Sub(p.lastReport) < Silence {
+			live++
 		}
 	}
-	return known, heard
+	return known, live
 }
 
-// Heard returns how many other VMs are heard.
+// LivePeers returns how many other VMs are live.
 func (h *Hubs) Heard(now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, v := range h.vms {
-		if v.hears(now) {
+	for _, p := range h.peers {
+		if p.live(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// Rank is a VM in the order of those that decide for a service.
+// Coordinator is a VM that may coordinate a service, that is, place its calls.
 type Rank struct {
 	VM   ident.VM
 	Addr netip.AddrPort // not valid: this VM
 }
 
-// Order returns the first n hubs in the order in which they decide for a service.
+// Coordinators returns the first n hubs in the order in which they take over the
+// coordination of a service. Logs and metrics call the coordinator the home.
 func (h *Hubs) Order(service ident.Service, n int, now time.Time) []Rank {
 	h.mu.Lock()
-	first := slices.Clone(h.order(now))
+	first := slices.Clone(h.topCandidates(now))
 	h.mu.Unlock()
-	first = hubsOf(first)
+	first = firstHubs(first)
 	sortForService(service, first)
 	out := make([]Rank, 0, n)
 	for _, c := range first[:min(len(first), n)] {
 		r := Rank{VM: c.VM, Addr: c.Addr}
-		if c.VM == h.own.VM {
+		if c.VM == h.self.VM {
 			r.Addr = netip.AddrPort{}
 		}
 		out = append(out, r)
--- a/internal/state/hubs/hubs_test.go
+++ b/internal/state/hubs/hubs_test.go
@@ -18,15 +18,16 @@
 	return Candidate{VM: ident.VM(fmt.Sprint("vm-", n)), Addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1+n)), Capacity: c}
 }
 
-// fresh is the word of a VM that asks the store and is answered.
-var fresh = StoreStatus{Asks: true, Age: 100 * time.Millisecond}
+// watching is the status of a VM that watches the store and gets responses.
+var watching = StoreStatus{Asks: true, Age: 100 * time.Millisecond}
 
-// among returns what a VM knows that has heard so many of more capacity.
-func among(hubs int, w StoreStatus, now time.Time) *Hubs {
+// newWithHubs returns the tracker of a VM that has received reports from the given number
+// of VMs of higher capacity.
+func newWithHubs(hubs int, status StoreStatus, now time.Time) *Hubs {
 	h := New(candidate(99, 12), nil, now.Add(-time.Minute))
-	h.Alone(now)
+	h.EndDiscovery(now)
 	for n := range hubs {
-		h.Reported(Report{Candidate: candidate(n, 14), StoreStatus: w}, now)
+		h.Reported(Report{Candidate: candidate(n, 14), StoreStatus: status}, now)
 	}
 	return h
 }
@@ -34,95 +35,97 @@
 func TestAsks(t *testing.T) {
 	now := time.Now()
 	for name, tc := range map[string]struct {
-		hubs     int
-		status   StoreStatus
-		answered bool
-		asks     bool
+		hubs      int
+		status    StoreStatus
+		responded bool
+		want      bool
 	}{
-		"nobody is heard":                       {asks: true},
-		"one asks":                              {hubs: 1, status: fresh, asks: true},
-		"two ask":                               {hubs: 2, status: fresh},
-		"two do not":                            {hubs: 2, status: StoreStatus{}, asks: true},
-		"the store answers none of the hubs":    {hubs: 3, status: StoreStatus{Asks: true, Age: time.Minute}, asks: true},
-		"this VM is no hub":                     {hubs: 4, status: fresh},
-		"nor does the store answer the hubs":    {hubs: 4, status: StoreStatus{Asks: true, Age: time.Minute}},
-		"nor the hubs, and it answers this one": {hubs: 4, status: StoreStatus{Asks: true, Age: time.Minute}, answered: true, asks: true},
+		"no VM is live":                                     {want: true},
+		"one hub watches":                                   {hubs: 1, status: watching, want: true},
+		"two hubs watch":                                    {hubs: 2, status: watching},
+		"two hubs do not watch":                             {hubs: 2, status: StoreStatus{}, want: true},
+		"the store responds to none of the hubs":            {hubs: 3, status: StoreStatus{Asks: true, Age: time.Minute}, want: true},
+		"this VM is not a hub":                              {hubs: 4, status: watching},
+		"not a hub, and the store responds to no hub":       {hubs: 4, status: StoreStatus{Asks: true, Age: time.Minute}},
+		"not a hub, and the store responds only to this VM": {hubs: 4, status: StoreStatus{Asks: true, Age: time.Minute}, responded: true, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := among(tc.hubs, tc.status, now)
-			if tc.answered {
-				h.Listed(nil, now)
+			h := newWithHubs(tc.hubs, tc.status, now)
+			if tc.responded {
+				h.SetRegistered(nil, now)
 			}
-			assert.Equal(t, h.Asks(now), tc.asks)
+			assert.Equal(t, h.Asks(now), tc.want)
 		})
 	}
-	t.Run("a hub that falls silent is replaced", func(t *testing.T) {
-		h := among(2, fresh, now)
-		assert.Assert(t, !h.Asks(now.Add(watchSilence-1)))
-		assert.Assert(t, h.Asks(now.Add(watchSilence)))
-		assert.Assert(t, h.Lead(now.Add(watchSilence)))
+	t.Run("a hub that stops responding is replaced", func(t *testing.T) {
+		h := newWithHubs(2, watching, now)
+		assert.Assert(t, !h.Asks(now.Add(watcherTimeout-1)))
+		assert.Assert(t, h.Asks(now.Add(watcherTimeout)))
+		assert.Assert(t, h.Lead(now.Add(watcherTimeout)))
 	})
-	t.Run("a VM that starts waits to hear others", func(t *testing.T) {
+	t.Run("a starting VM waits for messages of others", func(t *testing.T) {
 		h := New(candidate(1, 12), nil, now)
-		assert.Assert(t, !h.Asks(now.Add(StartTime-1)))
-		assert.Assert(t, h.Asks(now.Add(StartTime)))
+		assert.Assert(t, !h.Asks(now.Add(DiscoveryTimeout-1)))
+		assert.Assert(t, h.Asks(now.Add(DiscoveryTimeout)))
 		h.Reported(Report{Candidate: candidate(2, 10)}, now)
-		assert.Assert(t, !h.Asks(now.Add(joinTime-1)))
-		assert.Assert(t, h.Asks(now.Add(joinTime)), "the other has less capacity")
+		assert.Assert(t, !h.Asks(now.Add(joinTimeout-1)))
+		assert.Assert(t, h.Asks(now.Add(joinTimeout)), "the other has less capacity")
 	})
 }
 
-// TestTargets follows one VM that reports to those of a hub's list.
+// TestTargets checks which VMs one VM reports to as a hub lists candidates, one of them
+// stops responding, and it comes back.
 func TestTargets(t *testing.T) {
 	now := time.Now()
 	h := New(candidate(99, 12), nil, now)
-	h.Alone(now) // it has looked for others long enough
-	h.Listed(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
-	assert.Equal(t, len(h.Targets(now, true)), 1, "the one that the store names")
+	h.EndDiscovery(now) // reports are due at the usual intervals, not at joinInterval
+	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
+	assert.Equal(t, len(h.Targets(now, true)), 1, "the VM that is registered in the store")
 	list := []Candidate{candidate(0, 14), candidate(1, 14), candidate(2, 14), candidate(3, 14), candidate(4, 13)}
-	assert.Assert(t, h.Answered(Report{Candidate: list[0], StoreStatus: fresh}, list, Digest(list), now), "there are others to report to")
-	assert.Equal(t, len(h.Targets(now, false)), Count-1, "those that have not been told yet")
+	assert.Assert(t, h.Answered(Report{Candidate: list[0], StoreStatus: watching}, list, Digest(list), now), "there are new hubs to report to")
+	assert.Equal(t, len(h.Targets(now, false)), Count-1, "the hubs that no report was sent to yet")
 	for _, c := range list[:3] {
-		h.Answered(Report{Candidate: c, StoreStatus: fresh}, list, Digest(list), now)
+		h.Answered(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), now)
 	}
-	assert.Equal(t, len(h.Targets(now.Add(seekEvery), false)), 1, "the one that has not answered")
-	gone := now.Add(Silence + orderTime)
-	for at := now; !at.After(gone); at = at.Add(seekEvery) {
+	assert.Equal(t, len(h.Targets(now.Add(probeInterval), false)), 1, "the hub that has not responded")
+	expired := now.Add(Silence + orderTTL)
+	for at := now; !at.After(expired); at = at.Add(probeInterval) {
 		h.Targets(at, false)
 	}
 	for _, c := range list[:3] {
-		h.Answered(Report{Candidate: c, StoreStatus: fresh}, list, Digest(list), gone)
+		h.Answered(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), expired)
 	}
 	var names []ident.VM
-	for _, c := range h.Targets(gone, true) {
+	for _, c := range h.Targets(expired, true) {
 		names = append(names, c.VM)
 	}
-	assert.Assert(t, !contains(names, "vm-3") && contains(names, "vm-4"), "%s: the next one takes its place", names)
-	h.Answered(Report{Candidate: list[1], StoreStatus: fresh}, list[:3], 1, gone) // the hub does not hear it either
-	h.Answered(Report{Candidate: list[1], StoreStatus: fresh}, list, Digest(list), gone)
+	assert.Assert(t, !contains(names, "vm-3") && contains(names, "vm-4"), "%s: the next candidate replaces it", names)
+	h.Answered(Report{Candidate: list[1], StoreStatus: watching}, list[:3], 1, expired) // this hub receives nothing from vm-3 either
+	h.Answered(Report{Candidate: list[1], StoreStatus: watching}, list, Digest(list), expired)
 	names = nil
-	for _, c := range h.Targets(gone, true) {
+	for _, c := range h.Targets(expired, true) {
 		names = append(names, c.VM)
 	}
 	assert.Assert(t, contains(names, "vm-3"), "%s: it has come back", names)
 }
 
-// TestGivenUp has a VM report to one that did not answer long ago, when it may not have
-// been there yet: a lost message now does not make it one that is gone.
+// TestGivenUp guards against counting reports that were left unanswered long ago, when
+// the other VM may not have been running yet: one more unanswered report must not make it
+// count as not responding.
 func TestGivenUp(t *testing.T) {
 	now := time.Now()
 	h := New(candidate(99, 12), nil, now)
-	h.Alone(now)
-	h.Listed(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
-	for range leastTries - 1 {
+	h.EndDiscovery(now)
+	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
+	for range minUnanswered - 1 {
 		h.Targets(now, true)
 	}
-	h.Listed(nil, now) // it is not a candidate for a while
-	now = now.Add(2 * retryAfter)
-	h.Listed(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
+	h.SetRegistered(nil, now) // vm-0 is not a candidate for a while
+	now = now.Add(2 * retryInterval)
+	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
 	assert.Equal(t, len(h.Targets(now, true)), 1)
-	now = now.Add(orderTime)
-	assert.Equal(t, len(h.Order("s", Count, now)), 2, "it may still answer")
+	now = now.Add(orderTTL)
+	assert.Equal(t, len(h.Order("s", Count, now)), 2, "it may still respond")
 }
 
 func contains(list []ident.VM, vm ident.VM) bool {
@@ -139,8 +142,9 @@
 	// Output: 12 14 13
 }
 
-// TestSpread has hubs in as many failure domains as candidates of the most capacity are,
-// whichever part of the candidates a VM knows that holds the hubs.
+// TestSpread checks that there is a hub in each failure domain that has a candidate of the
+// highest capacity, and that a VM that knows only a subset of the candidates with the hubs
+// chooses the same hubs.
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Candidate
@@ -149,27 +153,27 @@
 			c.Domain = ident.Domain(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"))
 			all = append(all, c)
 		}
-		slices.SortFunc(all, compare)
-		most := make(map[ident.Domain]bool)
+		slices.SortFunc(all, compareCandidates)
+		domains := make(map[ident.Domain]bool)
 		for _, c := range all {
 			if c.Capacity == all[0].Capacity {
-				most[c.Domain] = true
+				domains[c.Domain] = true
 			}
 		}
-		part := slices.Clone(all)
-		spread(all)
-		hubs := hubsOf(all)
+		subset := slices.Clone(all)
+		spreadDomains(all)
+		hubs := firstHubs(all)
 		covered := make(map[ident.Domain]bool)
 		for _, c := range hubs {
 			covered[c.Domain] = true
 		}
-		for d := range most {
+		for d := range domains {
 			assert.Assert(t, covered[d], "no hub in %s: %v", d, hubs)
 		}
-		part = slices.DeleteFunc(part, func(c Candidate) bool {
-			return !slices.Contains(all[:min(len(all), listed)], c)
+		subset = slices.DeleteFunc(subset, func(c Candidate) bool {
+			return !slices.Contains(all[:min(len(all), maxListed)], c)
 		})
-		spread(part)
-		assert.DeepEqual(t, hubsOf(part), hubs, cmpopts.EquateComparable(netip.AddrPort{}))
+		spreadDomains(subset)
+		assert.DeepEqual(t, firstHubs(subset), hubs, cmpopts.EquateComparable(netip.AddrPort{}))
 	})
 }
--- a/internal/state/hubs/order.go
+++ b/internal/state/hubs/order.go
@@ -11,25 +11,25 @@
 	"umberladder/internal/core/ident"
 )
 
-// Capacity is the order of magnitude of the messages a second that a VM carries: a
-// logarithm, so that VMs of nearly the same kind are equals.
+// Capacity is the bit length of the number of messages a second that a VM can handle. It
+// is logarithmic so that VMs of similar size have the same capacity.
 type Capacity uint8
 
 const (
-	// messagesPerCore is how many messages a second a core handles, each with the
-	// work that it causes.
+	// messagesPerCore is how many messages a second a core handles, including the
+	// work that they cause.
 	messagesPerCore = 20_000
-	// messageBits is the size of a message on the link.
+	// messageBits is the size of a message on the link, in bits.
 	messageBits = 1600
-	// mostCapacity bounds what a VM tells of itself.
-	mostCapacity Capacity = 24
+	// maxCapacity bounds the capacity that a VM reports of itself.
+	maxCapacity Capacity = 24
 )
 
-// CapacityOf returns the capacity of a VM by its share of processor cores and the
-// rate of its link in bits a second.
+// CapacityOf returns the capacity of a VM with a number of processor cores, which may be
+// a fraction, and a link rate in bits a second. The scarcer of the two decides.
 func CapacityOf(cores, link float64) Capacity {
 	n := min(cores*messagesPerCore, link/messageBits)
-	return min(Capacity(bits.Len64(uint64(max(n, 0)))), mostCapacity)
+	return min(Capacity(bits.Len64(uint64(max(n, 0)))), maxCapacity)
 }
 
 // Candidate is a VM that may be a hub.
@@ -40,25 +40,27 @@
 	Domain   ident.Domain // empty: not known
 }
 
-// compare orders candidates: those of more capacity first. The hash spreads the
-// first places over VMs of the same capacity.
-func compare(a, b Candidate) int {
+// compareCandidates orders candidates by falling capacity, and those of the same capacity
+// by a hash of the name, which spreads the hubs over them.
+func compareCandidates(a, b Candidate) int {
 	return cmp.Or(
-		cmp.Compare(min(b.Capacity, mostCapacity), min(a.Capacity, mostCapacity)),
+		cmp.Compare(min(b.Capacity, maxCapacity), min(a.Capacity, maxCapacity)),
 		cmp.Compare(xxhash.Sum64String(string(a.VM)), xxhash.Sum64String(string(b.VM))),
 		cmp.Compare(a.VM, b.VM),
 	)
 }
 
-// spread brings the hubs to the front of ordered candidates: in turn the first of those
-// of the most capacity whose failure domain has the fewest hubs so far, so that the loss
-// of a domain leaves some. The first of an order come first in each part of it that
-// holds them, so that VMs that know only some candidates choose the same hubs.
-func spread(list []Candidate) {
+// spreadDomains moves the hubs to the front of ordered candidates. In turn it chooses,
+// among those of the highest remaining capacity, the first whose failure domain has the
+// fewest hubs so far, so that the loss of a failure domain leaves some hubs.
+//
+// Applied to a subset of the candidates that contains the hubs, it chooses the same
+// hubs, so that VMs that know only some candidates agree on them.
+func spreadDomains(list []Candidate) {
 	for i := range min(Count, len(list)) {
 		best, least := i, Count
 		for j := i; j < len(list) && list[j].Capacity == list[i].Capacity; j++ {
-			if n := hubsIn(list[:i], list[j].Domain); n < least {
+			if n := countInDomain(list[:i], list[j].Domain); n < least {
 				best, least = j, n
 			}
 		}
@@ -68,8 +70,9 @@
 	}
 }
 
-// hubsIn counts the hubs in a failure domain. One that is not known is like no other.
-func hubsIn(chosen []Candidate, d ident.Domain) int {
+// countInDomain counts the chosen hubs in a failure domain. Unknown failure domains count
+// as different from each other.
+func countInDomain(chosen []Candidate, d ident.Domain) int {
 	n := 0
 	for _, c := range chosen {
 		if d != "" && c.Domain == d {
@@ -79,19 +82,20 @@
 	return n
 }
 
-// homeRank is a VM's place in the order of those that decide for a service.
-func homeRank(service ident.Service, vm ident.VM) uint64 {
+// homeHash returns the key by which VMs are ordered as coordinators of a service.
+func homeHash(service ident.Service, vm ident.VM) uint64 {
 	return xxhash.Sum64String(string(service) + "/" + string(vm))
 }
 
-// sortForService brings candidates into the order in which they decide for a service.
+// sortForService sorts candidates into the order in which they take over the coordination
+// of a service.
 func sortForService(service ident.Service, list []Candidate) {
 	slices.SortFunc(list, func(a, b Candidate) int {
-		return cmp.Compare(homeRank(service, a.VM), homeRank(service, b.VM))
+		return cmp.Compare(homeHash(service, a.VM), homeHash(service, b.VM))
 	})
 }
 
-// Digest identifies a list of candidates; zero: there is none.
+// Digest returns a hash that identifies a list of candidates, or zero for an empty list.
 func Digest(list []Candidate) uint64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/state/hubs/watch.go
+++ b/internal/state/hubs/watch.go
@@ -6,134 +6,139 @@
 )
 
 const (
-	// watchers is how many hubs ask the store for changes and tell the others. With
-	// one, its death would be noticed only by its silence.
-	watchers = 2
-	// watchSilence is how long a hub that watches may say nothing before the next
-	// one takes its place: it reports each 500 ms, and a server that leaves must get
-	// no call 2 s later.
-	watchSilence = 800 * time.Millisecond
-	// answerAge is how long ago the store must have answered a hub that watches.
-	// Servers' heartbeats end each wait within a fraction of a second.
-	answerAge = 900 * time.Millisecond
-	// quietTime is how long no hub may know anything new before VMs that the store
-	// answers ask it themselves.
-	quietTime = 2500 * time.Millisecond
-	// answeredTime is how long ago the store must have answered such a VM.
-	answeredTime = 1500 * time.Millisecond
+	// watcherCount is how many hubs watch the store and report changes to the others.
+	// If there were only one, its loss would be noticed only after watcherTimeout.
+	watcherCount = 2
+	// watcherTimeout is how long after the last message of a hub that watches the next
+	// hub replaces it. Hubs report each 500 ms, and a server that leaves must get no
+	// call 2 s later.
+	watcherTimeout = 800 * time.Millisecond
+	// maxResponseAge is how long ago the store may have responded to a hub that watches for
+	// its watch to count as working. Servers' heartbeats are changes, so the store
+	// responds to each watch within a fraction of a second.
+	maxResponseAge = 900 * time.Millisecond
+	// staleTimeout is the age of the newest data on the servers from any peer beyond
+	// which VMs other than hubs watch the store themselves, if it responds to them.
+	staleTimeout = 2500 * time.Millisecond
+	// reachableTime is how long after its last response the store counts as reachable.
+	reachableTime = 1500 * time.Millisecond
 )
 
-// Asks reports whether this VM is to ask the store for changes: the first hubs that
-// the store answers do, and the others are told by them.
+// ShouldWatch reports whether this VM has to watch the store for changes. The first
+// watcherCount hubs that the store responds to do so and report the changes to the others.
+// Another VM does so if the store responds to it and no peer has recent data.
 func (h *Hubs) Asks(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.starts(now) {
+	if h.joining(now) {
 		return false
 	}
-	fresh := h.fresh(now)
+	fresh := h.watchersBefore(now)
 	if h.rank >= Count {
-		return now.Sub(h.store) < answeredTime && h.quiet(now) > quietTime
+		return now.Sub(h.storeResponded) < reachableTime && h.peerDataAge(now) > staleTimeout
 	}
-	return fresh < watchers
+	return fresh < watcherCount
 }
 
-// starts reports whether this VM still looks for others.
-func (h *Hubs) starts(now time.Time) bool {
-	if h.joined.IsZero() {
-		return now.Sub(h.start) < StartTime
+// joining reports whether this VM is still starting and looks for other VMs.
+func (h *Hubs) joining(now time.Time) bool {
+	if h.joinedAt.IsZero() {
+		return now.Sub(h.startedAt) < DiscoveryTimeout
 	}
-	h.order(now)
-	for _, c := range hubsOf(h.first) {
-		if c.VM != h.own.VM && !h.vms[c.VM].hears(now) {
-			return now.Sub(h.joined) < joinTime
+	h.topCandidates(now)
+	for _, c := range firstHubs(h.top) {
+		if c.VM != h.self.VM && !h.peers[c.VM].live(now) {
+			return now.Sub(h.joinedAt) < joinTimeout
 		}
 	}
-	return now.Sub(h.joined) < min(joinTime, h.changed.Sub(h.joined)+settleTime)
+	return now.Sub(h.joinedAt) < min(joinTimeout, h.hubsChanged.Sub(h.joinedAt)+settleTime)
 }
 
-// fresh returns how many VMs before this one ask the store and are answered.
-func (h *Hubs) fresh(now time.Time) int {
+// watchersBefore returns how many VMs before this one in the order watch the store and
+// gets responses.
+func (h *Hubs) watchersBefore(now time.Time) int {
 	n := 0
-	for _, c := range h.order(now)[:h.rank] {
-		v := h.vms[c.VM]
-		if v != nil && v.status.Asks && now.Sub(v.heard) < watchSilence && v.status.Age < answerAge {
+	for _, c := range h.topCandidates(now)[:h.rank] {
+		p := h.peers[c.VM]
+		if p != nil && p.status.Asks && now.Sub(p.lastSeen) < watcherTimeout && p.status.Age < maxResponseAge {
 			n++
 		}
 	}
 	return n
 }
 
-// Lead reports whether no VM before this one asks the store and is answered.
+// LeadsWatch reports whether no VM before this one in the order watches the store and
+// gets responses.
 func (h *Hubs) Lead(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fresh(now) == 0
+	return h.watchersBefore(now) == 0
 }
 
-// First reports whether this VM is one of the first hubs. While the store is down,
-// the others leave it to them to find out that it is back; VMs that hear nobody are
-// many, and each would take itself for the first.
+// ProbesStore reports whether this VM is one of the first watcherCount hubs. While the
+// store is down, only these find out soon that it has recovered. An isolated VM is not one
+// of them: there may be many such VMs, and each is the first of the order that it knows.
 func (h *Hubs) First(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.order(now)
-	return h.rank < watchers && !h.alone(now)
+	h.topCandidates(now)
+	return h.rank < watcherCount && !h.isolated(now)
 }
 
-// Hub reports whether this VM is a hub.
+// IsHub reports whether this VM is a hub.
 func (h *Hubs) Hub(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.order(now)
+	h.topCandidates(now)
 	return h.rank < Count
 }
 
-// Touch reports whether the store has answered this VM within a time.
+// StoreRespondedWithin reports whether the store's last response to this VM is more recent
+// than the given duration.
 func (h *Hubs) Touch(within time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Sub(h.store) < within
+	return now.Sub(h.storeResponded) < within
 }
 
-// Answers reports whether the store has answered this VM just now.
-func (h *Hubs) Answers(now time.Time) bool { return h.Touch(answeredTime, now) }
+// StoreReachable reports whether the store has responded to this VM within reachableTime.
+func (h *Hubs) Answers(now time.Time) bool { return h.Touch(reachableTime, now) }
 
-// Quiet returns the age of the newest knowledge of servers that another VM told of;
-// if there is none, as long as one would be remembered.
+// PeerDataAge returns the age of the newest data on the servers that any other VM has
+// reported, or forgetAfter if there is none.
 func (h *Hubs) Quiet(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.quiet(now)
+	return h.peerDataAge(now)
 }
 
-func (h *Hubs) quiet(now time.Time) time.Duration {
-	quiet := forget
-	for _, v := range h.vms {
-		quiet = min(quiet, v.status.Age+now.Sub(v.heard))
+func (h *Hubs) peerDataAge(now time.Time) time.Duration {
+	quiet := forgetAfter
+	for _, p := range h.peers {
+		quiet = min(quiet, p.status.Age+now.Sub(p.lastSeen))
 	}
 	return quiet
 }
 
-// StoreAnswers reports whether the store answers another VM that asks it.
+// PeersReachStore reports whether the store responds to another VM that watches it.
 func (h *Hubs) StoreAnswers(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, v := range h.vms {
-		if v.hears(now) && v.status.Asks && v.status.Age < answerAge {
+	for _, p := range h.peers {
+		if p.live(now) && p.status.Asks && p.status.Age < maxResponseAge {
 			return true
 		}
 	}
 	return false
 }
 
-// Addresses returns those of the hubs that are heard.
+// HubAddrs returns the addresses of the other hubs that are live.
 func (h *Hubs) Addresses(now time.Time) []netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []netip.AddrPort
-	for _, c := range h.others(now) {
-		if h.vms[c.VM].hears(now) {
+	for _, c := range h.otherHubs(now) {
+		if h.peers[c.VM].live(now) {
 			out = append(out, c.Addr)
 		}
 	}
--- a/internal/state/names/names.go
+++ b/internal/state/names/names.go
@@ -181,10 +181,10 @@
 	}
 	if k.hubs.Heard(now) == 0 {
 		// Those that began to look at the same time may have written theirs.
-		if names, err = k.read(ctx, true); err != nil || k.hubs.Answering(names, time.Now()) >= hubs.Count {
+		if names, err = k.read(ctx, true); err != nil || k.hubs.CountResponding(names, time.Now()) >= hubs.Count {
 			return err
 		}
-		k.hubs.Alone(now)
+		k.hubs.EndDiscovery(now)
 	}
 	lease, err := k.reg.Announce(ctx, k.own.VM, k.own.Addr, leaseTTL)
 	if err != nil {
@@ -200,7 +200,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	k.hubs.Listed(records.VMs, now)
+	k.hubs.SetRegistered(records.VMs, now)
 	k.held.Stored(records.Quarantined, now)
 	if k.hubs.Heard(now) == 0 {
 		k.found()
--- a/internal/state/names/names_test.go
+++ b/internal/state/names/names_test.go
@@ -122,7 +122,7 @@
 	t.Run("a VM that finds nobody can be found", func(t *testing.T) {
 		r := &registry{}
 		run(t, r, func(h *hubs.Hubs) {
-			time.Sleep(hubs.StartTime)
+			time.Sleep(hubs.DiscoveryTimeout)
 			assert.Equal(t, r.wrote(), 1)
 			assert.Assert(t, h.Asks(time.Now()))
 			r.change(func() { r.names, r.lost = make(map[ident.VM]netip.AddrPort), true })
@@ -133,7 +133,7 @@
 	t.Run("a name that could not be written is written soon", func(t *testing.T) {
 		r := &registry{broken: true}
 		run(t, r, func(*hubs.Hubs) {
-			time.Sleep(hubs.StartTime)
+			time.Sleep(hubs.DiscoveryTimeout)
 			r.change(func() { r.broken = false })
 			time.Sleep(readEvery)
 			names, err := r.Read(t.Context(), false)
@@ -147,7 +147,7 @@
 			r.names[candidate(10+n).VM] = candidate(10 + n).Addr
 		}
 		run(t, r, func(*hubs.Hubs) {
-			time.Sleep(hubs.StartTime)
+			time.Sleep(hubs.DiscoveryTimeout)
 			assert.Equal(t, r.wrote(), 0)
 		})
 	})
