--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -109,7 +109,7 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			f.send(f.step(func() []member.Out { return f.table.Tick(now) }))
+			f.send(f.step(func() []member.Outbound { return f.table.Tick(now) }))
 		}
 	}
 }
@@ -118,7 +118,7 @@
 func (f *Fleet) Receive(ctx context.Context) error {
 	return f.transport.Run(ctx, func(p member.Packet) {
 		f.last.Store(time.Now().UnixNano())
-		f.send(f.step(func() []member.Out { return f.table.Receive(p, time.Now()) }))
+		f.send(f.step(func() []member.Outbound { return f.table.Receive(p, time.Now()) }))
 		f.heard(p.From, p.Mark)
 	})
 }
@@ -130,7 +130,7 @@
 		list, err := f.lister.Members(ctx)
 		if err == nil {
 			wait = listEvery
-			f.step(func() []member.Out {
+			f.step(func() []member.Outbound {
 				f.table.List(list, time.Now())
 				return nil
 			})
@@ -142,18 +142,18 @@
 
 // Leave announces that this VM leaves.
 func (f *Fleet) Leave() {
-	f.send(f.step(func() []member.Out { return f.table.Leave(time.Now()) }))
+	f.send(f.step(func() []member.Outbound { return f.table.Leave(time.Now()) }))
 }
 
 // Notify tells VMs at once what this one would tell them in time.
 func (f *Fleet) Notify(to []member.Member) {
-	f.send(f.step(func() []member.Out { return f.table.Announce(to) }))
+	f.send(f.step(func() []member.Outbound { return f.table.Announce(to) }))
 }
 
-func (f *Fleet) step(do func() []member.Out) []member.Out {
+func (f *Fleet) step(do func() []member.Outbound) []member.Outbound {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.SetMark(f.mark())
+	f.table.SetSettings(f.mark())
 	out := do()
 	if v := f.table.Version(); v != f.shown {
 		f.shown = v
@@ -162,7 +162,7 @@
 	return out
 }
 
-func (f *Fleet) send(out []member.Out) {
+func (f *Fleet) send(out []member.Outbound) {
 	for i := range out {
 		// A datagram that was not sent is one that was lost.
 		_ = f.transport.Send(out[i].To, &out[i].Packet)
--- a/internal/state/member/doc.go
+++ b/internal/state/member/doc.go
@@ -1,14 +1,16 @@
-// Package member keeps the list of live VMs.
+// Package member maintains the list of live VMs.
 //
 // It follows SWIM (Das, Gupta and Motivala, SWIM: Scalable Weakly-consistent
-// Infection-style Process Group Membership Protocol, 2002): each period a VM
-// pings one other, asks a few more to ping it if no answer comes, suspects it
-// then, and removes it only if the suspicion stands for a time. Changes travel
-// on the pings and answers. A VM that hears itself suspected or removed raises
-// its incarnation and so refutes it; that also heals a cut between failure
-// domains. Incarnations start at the time of the start, so that a replaced VM
-// at the same address is a new one.
+// Infection-style Process Group Membership Protocol, 2002). In each period a VM
+// pings one other VM. If no ack arrives, it asks a few others to ping that VM;
+// if there is still none, it suspects the VM, and removes it if the suspicion is
+// not refuted within a timeout. Updates are piggybacked on pings and acks.
 //
-// Table is a state machine without I/O: time comes in with each call, and
-// datagrams go out as return values.
+// A VM that learns that others suspect or have removed it raises its incarnation,
+// which refutes the update. This also restores the list after a network partition
+// between failure domains. The first incarnation is the start time, so that a VM
+// that replaces another at the same address overrides it.
+//
+// Table is a state machine without I/O: the current time is an argument of each
+// call, and the datagrams to send are return values.
 package member
--- a/internal/state/member/home.go
+++ b/internal/state/member/home.go
@@ -4,10 +4,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Home returns the VM that computes or keeps the thing named key: the highest
-// of the hashes of key and VM (rendezvous hashing: Thaler and Ravishankar,
-// Using Name-Based Mappings to Increase Hit Rates, 1998). It is false if there
-// is no VM.
+// Owner returns the live VM that a key is assigned to: the one with the highest
+// hash of key and VM name (rendezvous hashing: Thaler and Ravishankar, Using
+// Name-Based Mappings to Increase Hit Rates, 1998). It returns false if there is
+// no live VM.
 func Home(key string, live []Member) (Member, bool) {
 	top := Top(key, live, 1)
 	if len(top) == 0 {
@@ -16,7 +16,7 @@
 	return top[0], true
 }
 
-// Top returns the k VMs of the highest hashes, the highest first.
+// TopOwners returns the k VMs with the highest hashes for key, the highest first.
 func Top(key string, live []Member, k int) []Member {
 	type scored struct {
 		m Member
@@ -24,7 +24,7 @@
 	}
 	best := make([]scored, 0, k+1)
 	for _, m := range live {
-		s := scored{m, weigh(key, m)}
+		s := scored{m, hashScore(key, m)}
 		at := len(best)
 		for at > 0 && s.h > best[at-1].h {
 			at--
@@ -44,7 +44,7 @@
 	return out
 }
 
-func weigh(key string, m Member) uint64 {
+func hashScore(key string, m Member) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
--- a/internal/state/member/receive.go
+++ b/internal/state/member/receive.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// Receive takes a packet and returns the packets to send for it.
-func (t *Table) Receive(p Packet, now time.Time) []Out {
+// Receive applies a packet and returns the packets to send in response.
+func (t *Table) Receive(p Packet, now time.Time) []Outbound {
 	if p.From.Name == t.self.Name {
 		return nil
 	}
-	t.learn(p.From, now)
+	t.applyUpdate(p.From, now)
 	for _, m := range p.Updates {
-		t.learn(m, now)
+		t.applyUpdate(m, now)
 	}
 	switch p.Kind {
 	case Ping:
-		return []Out{{To: p.From.Address, Packet: t.packet(Ack, p.Sequence)}}
+		return []Outbound{{To: p.From.Address, Packet: t.newPacket(Ack, p.Sequence)}}
 	case Ack:
-		return t.acked(p, now)
-	case Indirect:
+		return t.handleAck(p, now)
+	case PingReq:
 		if e := t.others[p.Target]; e != nil {
 			from := p.From
-			return []Out{t.ping(e, &from, p.Sequence, now)}
+			return []Outbound{t.newPing(e, &from, p.Sequence, now)}
 		}
 	}
 	return nil
 }
 
-// acked takes the answer to a ping, for this VM itself or for the one that
-// asked it to help.
-func (t *Table) acked(p Packet, now time.Time) []Out {
-	pr := t.pending[p.Sequence]
+// handleAck handles the ack of a ping that this VM sent for itself or at the
+// request of another VM.
+func (t *Table) handleAck(p Packet, now time.Time) []Outbound {
+	pr := t.probes[p.Sequence]
 	if pr == nil {
 		return nil
 	}
-	answered := pr.target == p.From.Name || pr.helped
+	answered := pr.target == p.From.Name || pr.indirect
 	if !answered {
 		return nil
 	}
-	delete(t.pending, p.Sequence)
-	if pr.asker != nil {
-		// The helper passes the answer on in its own name.
-		return []Out{{To: pr.asker.Address, Packet: t.packet(Ack, pr.asked)}}
+	delete(t.probes, p.Sequence)
+	if pr.requester != nil {
+		// Forward the ack to the requester, with this VM as the sender.
+		return []Outbound{{To: pr.requester.Address, Packet: t.newPacket(Ack, pr.requestSeq)}}
 	}
 	if e := t.others[pr.target]; e != nil && e.State == Suspect {
 		e.State = Alive
-		e.since = now
+		e.stateSince = now
 		t.version++
 	}
 	return nil
 }
 
-// learn takes what a packet says of one VM.
-func (t *Table) learn(m Member, now time.Time) {
+// applyUpdate applies what a packet says of one VM.
+func (t *Table) applyUpdate(m Member, now time.Time) {
 	if m.Name == t.self.Name {
 		t.refute(m)
 		return
@@ -62,11 +62,12 @@
 	if e == nil && m.State >= Left {
 		return // nothing to remove
 	}
-	e = t.set(m, now)
-	t.tell(e.Member)
+	e = t.setMember(m, now)
+	t.enqueueUpdate(e.Member)
 }
 
-// refute answers word of this VM's own end with a higher incarnation.
+// refute overrides an update that says that this VM is not alive, by raising its
+// incarnation.
 func (t *Table) refute(m Member) {
 	if t.self.State != Alive || m.State == Alive && m.Incarnation <= t.self.Incarnation {
 		return
@@ -76,21 +77,21 @@
 	}
 	t.self.Incarnation = m.Incarnation + 1
 	t.version++
-	t.tell(t.self)
+	t.enqueueUpdate(t.self)
 }
 
-// Leave announces that this VM leaves, to several VMs at once.
-func (t *Table) Leave(now time.Time) []Out {
+// Leave returns packets that announce to several VMs that this VM is shutting down.
+func (t *Table) Leave(now time.Time) []Outbound {
 	t.self.State = Left
 	t.version++
-	t.tell(t.self)
-	var out []Out
+	t.enqueueUpdate(t.self)
+	var out []Outbound
 	for _, name := range t.shuffled() {
 		e := t.others[name]
 		if e.State > Suspect {
 			continue
 		}
-		out = append(out, Out{To: e.Address, Packet: t.packet(Announced, 0)})
+		out = append(out, Outbound{To: e.Address, Packet: t.newPacket(Announced, 0)})
 		if len(out) == leaveFanout {
 			break
 		}
@@ -99,16 +100,16 @@
 	return out
 }
 
-// leaveFanout is how many VMs hear of a leaving directly; the others hear it
-// from them.
+// leaveFanout is how many VMs a VM announces its shutdown to directly; the others
+// receive the update from these.
 const leaveFanout = 8
 
-// Announce returns a packet of news for each VM of the given names.
-func (t *Table) Announce(to []Member) []Out {
-	var out []Out
+// Announce returns a packet of updates for each of the given VMs but this one.
+func (t *Table) Announce(to []Member) []Outbound {
+	var out []Outbound
 	for _, m := range to {
 		if m.Name != t.self.Name {
-			out = append(out, Out{To: m.Address, Packet: t.packet(Announced, 0)})
+			out = append(out, Outbound{To: m.Address, Packet: t.newPacket(Announced, 0)})
 		}
 	}
 	return out
--- a/internal/state/member/table.go
+++ b/internal/state/member/table.go
@@ -10,77 +10,77 @@
 	"umberladder/internal/core/ident"
 )
 
-// spreadFactor is how often an update is sent: this many times the number of
-// rounds that reach everyone.
-const spreadFactor = 3
+// retransmitFactor sets how often a VM sends an update: this factor times the number
+// of rounds in which an update reaches all VMs, the logarithm of their number.
+const retransmitFactor = 3
 
-// Table is what one VM knows of all. It is not safe for use by several
-// goroutines. The VM itself is always alive in it, until Leave.
+// Table is the membership list of one VM. It is not safe for use by several
+// goroutines. The VM itself is always alive in it, until Leave is called.
 type Table struct {
-	cfg      Config
-	rng      *rand.Rand
-	self     Member
-	others   map[ident.VM]*entry
-	order    []ident.VM // ping order, reshuffled each round
-	next     int
-	news     []*update
-	sequence uint64
-	pending  map[uint64]*probe
-	lastTick time.Time
-	nextPing time.Time
-	pings    int
-	mark     Mark
-	version  uint64
-	removed  uint64 // VMs taken for dead so far
+	cfg       Config
+	rng       *rand.Rand
+	self      Member
+	others    map[ident.VM]*entry
+	pingOrder []ident.VM // targets of pings, reshuffled each round
+	nextIndex int
+	updates   []*queuedUpdate
+	sequence  uint64
+	probes    map[uint64]*probe
+	lastTick  time.Time
+	nextPing  time.Time
+	pings     int
+	settings  Mark
+	version   uint64
+	removals  uint64 // how often this VM has declared another dead
 }
 
 type entry struct {
 	Member
-	since  time.Time // of the state
-	listed bool      // on the platform's list
+	stateSince time.Time // when the state last changed
+	listed     bool      // on the platform's VM list
 }
 
-type update struct {
+type queuedUpdate struct {
 	Member
-	sent int
+	sends int
 }
 
-// probe is a ping without an answer yet.
+// probe is a ping that has not been acked yet.
 type probe struct {
-	target ident.VM
-	sent   time.Time
-	helped bool
-	asker  *Member // the VM on whose behalf, if any
-	asked  uint64  // the asker's sequence
+	target     ident.VM
+	sentAt     time.Time
+	indirect   bool    // other VMs have been asked to ping the target
+	requester  *Member // the VM that asked for the ping; nil if this VM pings for itself
+	requestSeq uint64  // the sequence number of the requester's packet
 }
 
-// New makes the table of the VM self. The incarnation is the start time in
+// New returns the table of the VM self, whose incarnation is its start time in
 // milliseconds.
 func New(cfg Config, self Member, rng *rand.Rand) *Table {
 	self.State = Alive
 	return &Table{
-		cfg:     cfg,
-		rng:     rng,
-		self:    self,
-		others:  map[ident.VM]*entry{},
-		pending: map[uint64]*probe{},
+		cfg:    cfg,
+		rng:    rng,
+		self:   self,
+		others: map[ident.VM]*entry{},
+		probes: map[uint64]*probe{},
 	}
 }
 
-// Version rises with each change of what All returns.
+// Version returns a number that rises with each change of what All returns.
 func (t *Table) Version() uint64 { return t.version }
 
 // Self returns this VM.
 func (t *Table) Self() Member { return t.self }
 
-// SetMark sets which settings others are told to be in force.
-func (t *Table) SetMark(m Mark) { t.mark = m }
+// SetSettings sets the version of the settings in force that packets report.
+func (t *Table) SetSettings(m Mark) { t.settings = m }
 
-// Removals returns how many times this VM itself took another for dead.
-func (t *Table) Removals() uint64 { return t.removed }
+// Removals returns how many times this VM itself has declared another dead.
+func (t *Table) Removals() uint64 { return t.removals }
 
-// Live returns the VMs taken to be alive, this one included unless it leaves,
-// by name. Suspects are still among them.
+// Live returns the live VMs sorted by name, including suspects, and including
+// this VM unless it is shutting down.
 func (t *Table) Live() []Member {
 	out := make([]Member, 0, len(t.others)+1)
 	if t.self.State == Alive {
@@ -95,7 +95,7 @@
 	return out
 }
 
-// All returns every VM known, by name.
+// All returns every known VM, sorted by name.
 func (t *Table) All() []Member {
 	out := []Member{t.self}
 	for _, e := range t.others {
@@ -105,9 +105,10 @@
 	return out
 }
 
-// List takes the platform's list, which lags: a VM not known yet is added
-// with incarnation 0, below any it may claim itself. One that is gone from
-// the list is forgotten once it is dead or left.
+// MergeList merges the platform's VM list, which lags. An unknown VM is added with
+// incarnation 0, which is lower than any that it may report itself. A VM that is
+// no longer on the list is forgotten once it has been dead or left for four
+// suspicion timeouts.
 func (t *Table) List(list []Member, now time.Time) {
 	on := make(map[ident.VM]bool, len(list))
 	for _, m := range list {
@@ -117,122 +118,124 @@
 		}
 		if t.others[m.Name] == nil {
 			m.Incarnation, m.State = 0, Alive
-			t.set(m, now)
+			t.setMember(m, now)
 		}
 		t.others[m.Name].listed = true
 	}
 	for name, e := range t.others {
 		e.listed = on[name]
-		if !e.listed && e.State >= Left && now.Sub(e.since) > t.cfg.Suspect*4 {
+		if !e.listed && e.State >= Left && now.Sub(e.stateSince) > t.cfg.SuspicionTimeout*4 {
 			delete(t.others, name)
 			t.version++
 		}
 	}
 }
 
-// Tick does what is due at now and returns the packets to send.
-func (t *Table) Tick(now time.Time) []Out {
+// Tick performs what is due at now and returns the packets to send.
+func (t *Table) Tick(now time.Time) []Outbound {
 	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > 2*t.cfg.Period {
-		// This VM itself was paused: its unanswered pings say nothing.
-		clear(t.pending)
-		t.postpone(now.Sub(t.lastTick))
+		// This VM itself was paused: that its pings were not acked says nothing of
+		// the others.
+		clear(t.probes)
+		t.postponeSuspicions(now.Sub(t.lastTick))
 	}
 	t.lastTick = now
-	out := t.unanswered(now)
-	t.expire(now)
+	out := t.checkProbes(now)
+	t.expireSuspects(now)
 	if now.Before(t.nextPing) {
 		return out
 	}
 	t.nextPing = now.Add(t.cfg.Period)
 	t.pings++
-	if target := t.pick(); target != nil {
-		out = append(out, t.ping(target, nil, 0, now))
+	if target := t.nextTarget(); target != nil {
+		out = append(out, t.newPing(target, nil, 0, now))
 	}
-	if t.pings%t.cfg.Probe == 0 {
-		if gone := t.pickGone(); gone != nil {
-			out = append(out, t.ping(gone, nil, 0, now))
+	if t.pings%t.cfg.DeadPingPeriods == 0 {
+		if dead := t.deadTarget(); dead != nil {
+			out = append(out, t.newPing(dead, nil, 0, now))
 		}
 	}
 	return out
 }
 
-// postpone moves the suspicions by a pause of this VM.
-func (t *Table) postpone(pause time.Duration) {
+// postponeSuspicions extends all suspicions by the duration of a pause of this VM.
+func (t *Table) postponeSuspicions(pause time.Duration) {
 	for _, e := range t.others {
 		if e.State == Suspect {
-			e.since = e.since.Add(pause)
+			e.stateSince = e.stateSince.Add(pause)
 		}
 	}
 }
 
-// unanswered asks helpers for pings without an answer, and then suspects.
-func (t *Table) unanswered(now time.Time) []Out {
-	var out []Out
-	for seq, p := range t.pending {
-		waited := now.Sub(p.sent)
+// checkProbes requests indirect pings for probes that were not acked in time, and
+// later suspects their targets.
+func (t *Table) checkProbes(now time.Time) []Outbound {
+	var out []Outbound
+	for seq, p := range t.probes {
+		waited := now.Sub(p.sentAt)
 		e := t.others[p.target]
 		switch {
 		case e == nil:
-			delete(t.pending, seq)
-		case !p.helped && p.asker == nil && waited >= t.cfg.Ack:
-			p.helped = true
-			out = append(out, t.askHelpers(e, seq)...)
-		case waited >= t.cfg.Period+t.cfg.Ack:
-			delete(t.pending, seq)
-			if p.asker == nil && e.State == Alive {
+			delete(t.probes, seq)
+		case !p.indirect && p.requester == nil && waited >= t.cfg.AckTimeout:
+			p.indirect = true
+			out = append(out, t.requestIndirect(e, seq)...)
+		case waited >= t.cfg.Period+t.cfg.AckTimeout:
+			delete(t.probes, seq)
+			if p.requester == nil && e.State == Alive {
 				e.State = Suspect
-				t.changed(e, now)
+				t.recordChange(e, now)
 			}
 		}
 	}
 	return out
 }
 
-func (t *Table) askHelpers(target *entry, seq uint64) []Out {
-	var out []Out
+func (t *Table) requestIndirect(target *entry, seq uint64) []Outbound {
+	var out []Outbound
 	for _, name := range t.shuffled() {
 		e := t.others[name]
-		if len(out) == t.cfg.Helpers {
+		if len(out) == t.cfg.IndirectPings {
 			break
 		}
 		if e.State != Alive || name == target.Name {
 			continue
 		}
-		p := t.packet(Indirect, seq)
+		p := t.newPacket(PingReq, seq)
 		p.Target = target.Name
-		out = append(out, Out{To: e.Address, Packet: p})
+		out = append(out, Outbound{To: e.Address, Packet: p})
 	}
 	return out
 }
 
-// expire removes VMs whose suspicion stood.
-func (t *Table) expire(now time.Time) {
+// expireSuspects declares dead the VMs whose suspicion was not refuted in time.
+func (t *Table) expireSuspects(now time.Time) {
 	for _, e := range t.others {
-		if e.State == Suspect && now.Sub(e.since) >= t.cfg.Suspect {
+		if e.State == Suspect && now.Sub(e.stateSince) >= t.cfg.SuspicionTimeout {
 			e.State = Dead
-			t.removed++
-			t.changed(e, now)
+			t.removals++
+			t.recordChange(e, now)
 		}
 	}
 }
 
-// pick returns the next VM to ping: each once a round, in random order.
-func (t *Table) pick() *entry {
+// nextTarget returns the next VM to ping: each once per round, in random order.
+func (t *Table) nextTarget() *entry {
 	for range 2 {
-		for t.next < len(t.order) {
-			e := t.others[t.order[t.next]]
-			t.next++
+		for t.nextIndex < len(t.pingOrder) {
+			e := t.others[t.pingOrder[t.nextIndex]]
+			t.nextIndex++
 			if e != nil && e.State <= Suspect {
 				return e
 			}
 		}
-		t.order, t.next = t.shuffled(), 0
+		t.pingOrder, t.nextIndex = t.shuffled(), 0
 	}
 	return nil
 }
 
-// pickGone returns a VM that is on the platform's list and taken for dead.
-func (t *Table) pickGone() *entry {
+// deadTarget returns a random dead VM that is on the platform's VM list.
+func (t *Table) deadTarget() *entry {
 	for _, name := range t.shuffled() {
 		if e := t.others[name]; e.State == Dead && e.listed {
 			return e
@@ -246,55 +249,55 @@
 	for name := range t.others {
 		out = append(out, name)
 	}
-	// The map's own order is random; sort first, so that a seed decides.
+	// The order of a map is random. Sorting makes the result depend on the seed only.
 	slices.Sort(out)
 	t.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out
 }
 
-func (t *Table) ping(e *entry, asker *Member, asked uint64, now time.Time) Out {
+func (t *Table) newPing(e *entry, requester *Member, requestSeq uint64, now time.Time) Outbound {
 	t.sequence++
-	t.pending[t.sequence] = &probe{target: e.Name, sent: now, asker: asker, asked: asked}
-	p := t.packet(Ping, t.sequence)
+	t.probes[t.sequence] = &probe{target: e.Name, sentAt: now, requester: requester, requestSeq: requestSeq}
+	p := t.newPacket(Ping, t.sequence)
 	if e.State != Alive {
-		// Let it know, so that it can refute.
+		// Report its state to it, so that it can refute it.
 		p.Updates = append(p.Updates, e.Member)
 	}
-	return Out{To: e.Address, Packet: p}
+	return Outbound{To: e.Address, Packet: p}
 }
 
-// packet makes a packet with the news that were sent least.
-func (t *Table) packet(k Kind, seq uint64) Packet {
-	p := Packet{Kind: k, Sequence: seq, From: t.self, Mark: t.mark}
-	slices.SortStableFunc(t.news, func(a, b *update) int { return cmp.Compare(a.sent, b.sent) })
-	limit := spreadFactor * (bits.Len(uint(len(t.others)+1)) + 1)
-	for _, u := range t.news[:min(len(t.news), t.cfg.Updates)] {
+// newPacket returns a packet with the updates that were sent the fewest times.
+func (t *Table) newPacket(k Kind, seq uint64) Packet {
+	p := Packet{Kind: k, Sequence: seq, From: t.self, Mark: t.settings}
+	slices.SortStableFunc(t.updates, func(a, b *queuedUpdate) int { return cmp.Compare(a.sends, b.sends) })
+	limit := retransmitFactor * (bits.Len(uint(len(t.others)+1)) + 1)
+	for _, u := range t.updates[:min(len(t.updates), t.cfg.MaxUpdates)] {
 		p.Updates = append(p.Updates, u.Member)
-		u.sent++
+		u.sends++
 	}
-	t.news = slices.DeleteFunc(t.news, func(u *update) bool { return u.sent >= limit })
+	t.updates = slices.DeleteFunc(t.updates, func(u *queuedUpdate) bool { return u.sends >= limit })
 	return p
 }
 
-// changed notes a new state of e and spreads it.
-func (t *Table) changed(e *entry, now time.Time) {
-	e.since = now
+// recordChange records a new state of e and queues it for the other VMs.
+func (t *Table) recordChange(e *entry, now time.Time) {
+	e.stateSince = now
 	t.version++
-	t.tell(e.Member)
+	t.enqueueUpdate(e.Member)
 }
 
-func (t *Table) tell(m Member) {
-	t.news = slices.DeleteFunc(t.news, func(u *update) bool { return u.Name == m.Name })
-	t.news = append(t.news, &update{Member: m})
+func (t *Table) enqueueUpdate(m Member) {
+	t.updates = slices.DeleteFunc(t.updates, func(u *queuedUpdate) bool { return u.Name == m.Name })
+	t.updates = append(t.updates, &queuedUpdate{Member: m})
 }
 
-func (t *Table) set(m Member, now time.Time) *entry {
+func (t *Table) setMember(m Member, now time.Time) *entry {
 	e := t.others[m.Name]
 	if e == nil {
 		e = &entry{}
 		t.others[m.Name] = e
 	}
-	e.Member, e.since = m, now
+	e.Member, e.stateSince = m, now
 	t.version++
 	return e
 }
--- a/internal/state/member/types.go
+++ b/internal/state/member/types.go
@@ -7,7 +7,7 @@
 	"umberladder/internal/core/ident"
 )
 
-// State says what is known of a VM.
+// State is the state of a VM as others know it.
 type State uint8
 
 // The states, in the order in which one overrides the other at the same
@@ -15,7 +15,7 @@
 const (
 	Alive State = iota
 	Suspect
-	Left // it announced that it leaves
+	Left // it has announced its shutdown
 	Dead
 )
 
@@ -32,7 +32,7 @@
 	State       State
 }
 
-// overrides reports whether news m replaces what is known.
+// overrides reports whether update m replaces what is known.
 func (m *Member) overrides(known *Member) bool {
 	if m.Incarnation != known.Incarnation {
 		return m.Incarnation > known.Incarnation
@@ -40,15 +40,15 @@
 	return m.State > known.State
 }
 
-// Kind says what a packet is.
+// Kind is the kind of a packet.
 type Kind uint8
 
 // The kinds of packets.
 const (
-	Ping      Kind = iota // answer with Ack
-	Ack                   // the answer to a Ping of the same sequence
-	Indirect              // ping Target for me
-	Announced             // news only: no answer
+	Ping      Kind = iota // asks for an Ack
+	Ack                   // response to a Ping or PingReq with the same sequence number
+	PingReq               // asks to ping Target for the sender
+	Announced             // carries updates only; no response
 )
 
 // Packet is one datagram.
@@ -56,41 +56,41 @@
 	Kind     Kind
 	Sequence uint64
 	From     Member
-	Target   ident.VM // of Indirect
+	Target   ident.VM // of a PingReq
 	Updates  []Member
 	Mark     Mark // of the settings in force at the sender
 }
 
-// Mark tells which settings a VM has in force.
+// SettingsVersion identifies the settings that a VM has in force.
 type Mark struct {
-	Revision uint64 // every document up to it
-	Ahead    uint64 // sum of the versions above it
+	Revision uint64 // every document up to this revision is in force
+	Ahead    uint64 // sum of the versions of documents in force above Revision
 }
 
-// Out is a packet to send.
-type Out struct {
+// Outbound is a packet to send.
+type Outbound struct {
 	To     netip.AddrPort
 	Packet Packet
 }
 
-// Config holds the times and numbers of the protocol.
+// Config holds the parameters of the protocol.
 type Config struct {
-	Period  time.Duration // between two pings
-	Ack     time.Duration // until a ping counts as unanswered
-	Helpers int           // VMs asked to ping in one's stead
-	Suspect time.Duration // until a suspicion removes
-	Probe   int           // periods between two pings of a removed VM on the list
-	Updates int           // most updates in a packet
+	Period           time.Duration // between pings of two targets
+	AckTimeout       time.Duration // until indirect pings are requested
+	IndirectPings    int           // how many VMs are asked for an indirect ping
+	SuspicionTimeout time.Duration // until a suspect is declared dead
+	DeadPingPeriods  int           // periods between two pings of dead VMs on the platform's list
+	MaxUpdates       int           // maximum number of updates in a packet
 }
 
-// DefaultConfig returns the values measured in docs/design.
+// DefaultConfig returns the parameters that docs/design/06-membership.md explains.
 func DefaultConfig() Config {
 	return Config{
-		Period:  500 * time.Millisecond,
-		Ack:     200 * time.Millisecond,
-		Helpers: 3,
-		Suspect: 3 * time.Second,
-		Probe:   4,
-		Updates: 8,
+		Period:           500 * time.Millisecond,
+		AckTimeout:       200 * time.Millisecond,
+		IndirectPings:    3,
+		SuspicionTimeout: 3 * time.Second,
+		DeadPingPeriods:  4,
+		MaxUpdates:       8,
 	}
 }
