--- a/internal/state/claim/claims.go
+++ b/internal/state/claim/claims.go
@@ -99,7 +99,7 @@
 			With(refuse.RanMaybe).After(direct.ComeAgain)
 	case term.Mismatch:
 		return nil, refuse.New(refuse.KeyReused, "this key came with another method, path, service or body")
-	case term.Early:
+	case term.FutureKey:
 		return nil, refuse.New(refuse.BadInput, "the Idempotency-Key was minted in the future; check the caller's clock")
 	default:
 		return nil, refuse.New(refuse.MayHaveRun, "no VM can tell any more whether a call with this key ran").
--- a/internal/state/term/shard.go
+++ b/internal/state/term/shard.go
@@ -1,6 +1,7 @@
-// Package term holds the claims on idempotency keys of one shard for one
-// term, and decides which key may run. docs/design/03-at-most-once.md gives
-// the argument that a key runs at most once over all terms.
+// Package term holds the claims on the idempotency keys of one shard during one
+// term, the time for which one VM holds the shard's lease, and decides which
+// requests may run. docs/design/03-at-most-once.md shows that a key runs at most
+// once over all terms.
 package term
 
 import (
@@ -10,94 +11,96 @@
 	"umberladder/internal/peer/proto"
 )
 
-// Verdict is what the holder of a shard says of a key.
+// Decision is the decision of a shard's lease holder on a key.
 type Verdict uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Run       Verdict = iota // this request may run
-	Replay                   // an earlier one ran to its end; here is its answer
-	Running                  // an earlier one is running
-	MayRun                   // an earlier one may have run
-	Mismatch                 // the key came with another request before
-	Early                    // the key was minted in the future
-	NotHolder                // this VM does not hold the shard now
+	Run        Verdict = iota // this request may run
+	Replay                    // an earlier request completed; its response is returned
+	Running                   // an earlier request is running
+	MayHaveRun                // an earlier request may have run
+	Mismatch                  // the key was used for a different request before
+	FutureKey                 // the key's creation time is in the future
+	NotHolder                 // this VM does not hold the shard's lease now
 )
 
 const (
-	// Kept is how long a claim is remembered. A key minted earlier is
-	// answered as one that may have run.
-	Kept = time.Hour
-	// Margin bounds how far any two clocks of the system are apart.
+	// Retention is how long a claim is kept. For a key created earlier, the decision
+	// is MayHaveRun.
+	Retention = time.Hour
+	// MaxClockSkew bounds the difference between any two clocks of the system.
 	Margin = 250 * time.Millisecond
-	// runLimit is when a running claim's VM is taken to be lost.
-	runLimit = 15 * time.Minute
-	// maxAnswer is the longest answer kept, in bytes.
-	maxAnswer = 16 << 10
+	// lostAfter is how long after a claim its VM is presumed lost if it has not
+	// reported the end of the request.
+	lostAfter = 15 * time.Minute
+	// maxResponse is the size of the largest response kept, in bytes.
+	maxResponse = 16 << 10
 )
 
-// Shard holds the claims on its keys for one term. While it is held, every
-// key it lets run was minted after Start, so no earlier holder can have let
-// it run. It is not safe for use by several goroutines.
+// Shard holds the claims on a shard's keys for one term. Each key that it grants was
+// created after the start of the term, so no earlier lease holder can have granted
+// it. It is not safe for use by several goroutines.
 type Shard struct {
-	start  time.Time // by the store's clock, with the margin for skew
-	claims map[string]*claimed
-	order  []string // keys by arrival, to forget the oldest first
+	start     time.Time // by the store's clock, plus a margin for clock skew
+	claims    map[string]*claim
+	byArrival []string // keys in the order of their claims, to evict the oldest first
 }
 
-type claimed struct {
-	sum     [32]byte
-	request ident.Request
-	at      time.Time
-	done    bool
-	answer  *proto.Answer
+type claim struct {
+	fingerprint [32]byte
+	request     ident.Request
+	claimedAt   time.Time
+	done        bool
+	response    *proto.Answer
 }
 
-// New starts a term at the store's time now.
+// New starts a term. now is the time by the store's clock.
 func New(now time.Time) *Shard {
-	return &Shard{start: now.Add(2 * Margin), claims: map[string]*claimed{}}
+	return &Shard{start: now.Add(2 * Margin), claims: map[string]*claim{}}
 }
 
-// Claim decides whether the request may run the key, which was minted at the
-// given time. now is this VM's clock.
-func (s *Shard) Claim(key string, minted time.Time, sum [32]byte, r ident.Request, now time.Time) (Verdict, *proto.Answer) {
-	s.forget(now)
-	if minted.After(now.Add(Margin)) {
-		return Early, nil
+// Claim decides whether the request r may run for a key with the given creation
+// time, and returns the stored response if the decision is Replay. now is the time by
+// this VM's clock.
+func (s *Shard) Claim(key string, created time.Time, fingerprint [32]byte, r ident.Request, now time.Time) (Verdict, *proto.Answer) {
+	s.evictExpired(now)
+	if created.After(now.Add(Margin)) {
+		return FutureKey, nil
 	}
 	if c := s.claims[key]; c != nil {
-		return c.again(sum, r, now)
+		return c.decideAgain(fingerprint, r, now)
 	}
-	if !minted.After(s.start) || !minted.After(now.Add(-Kept)) {
-		return MayRun, nil
+	if !created.After(s.start) || !created.After(now.Add(-Retention)) {
+		return MayHaveRun, nil
 	}
-	s.add(key, &claimed{sum: sum, request: r, at: now})
+	s.add(key, &claim{fingerprint: fingerprint, request: r, claimedAt: now})
 	return Run, nil
 }
 
-func (c *claimed) again(sum [32]byte, r ident.Request, now time.Time) (Verdict, *proto.Answer) {
+func (c *claim) decideAgain(fingerprint [32]byte, r ident.Request, now time.Time) (Verdict, *proto.Answer) {
 	switch {
-	case c.sum != sum:
+	case c.fingerprint != fingerprint:
 		return Mismatch, nil
 	case c.request == r && !c.done:
-		return Run, nil // the same request asks again, since it heard no answer
-	case !c.done && now.Sub(c.at) < runLimit:
+		return Run, nil // the same request claims the key again, having got no response
+	case !c.done && now.Sub(c.claimedAt) < lostAfter:
 		return Running, nil
-	case c.answer != nil:
-		return Replay, c.answer
+	case c.response != nil:
+		return Replay, c.response
 	default:
-		return MayRun, nil
+		return MayHaveRun, nil
 	}
 }
 
-func (s *Shard) add(key string, c *claimed) {
+func (s *Shard) add(key string, c *claim) {
 	s.claims[key] = c
-	s.order = append(s.order, key)
+	s.byArrival = append(s.byArrival, key)
 }
 
-// Finish notes the end of a request. One that provably did not run gives the
-// key back.
-func (s *Shard) Finish(key string, r ident.Request, ran bool, answer *proto.Answer) {
+// Finish records the end of a request. If ran is false, the request provably did not
+// run, and the key is released.
+func (s *Shard) Finish(key string, r ident.Request, ran bool, response *proto.Answer) {
 	c := s.claims[key]
 	if c == nil || c.request != r || c.done {
 		return
@@ -107,62 +110,62 @@
 		return
 	}
 	c.done = true
-	if len(answer.GetBody()) <= maxAnswer {
-		c.answer = answer
+	if len(response.GetBody()) <= maxResponse {
+		c.response = response
 	}
 }
 
-// forget drops claims whose keys are too old to be let run again.
-func (s *Shard) forget(now time.Time) {
-	for len(s.order) > 0 {
-		c := s.claims[s.order[0]]
-		if c != nil && now.Sub(c.at) < Kept+2*Margin {
+// evictExpired removes claims whose keys are too old to be granted again.
+func (s *Shard) evictExpired(now time.Time) {
+	for len(s.byArrival) > 0 {
+		c := s.claims[s.byArrival[0]]
+		if c != nil && now.Sub(c.claimedAt) < Retention+2*Margin {
 			return
 		}
-		delete(s.claims, s.order[0])
-		s.order = s.order[1:]
+		delete(s.claims, s.byArrival[0])
+		s.byArrival = s.byArrival[1:]
 	}
 }
 
-// Begun reports whether a key minted at now is inside the term.
+// Started reports whether a key created at now falls into the term.
 func (s *Shard) Begun(now time.Time) bool { return now.After(s.start) }
 
-// Len returns how many claims are remembered.
+// Len returns the number of claims.
 func (s *Shard) Len() int { return len(s.claims) }
 
-// Export returns the term and its claims for the next holder.
+// Export returns the start of the term and its claims for the next lease holder.
 func (s *Shard) Export() (time.Time, []*proto.Claim) {
 	out := make([]*proto.Claim, 0, len(s.claims))
-	for _, key := range s.order {
+	for _, key := range s.byArrival {
 		c := s.claims[key]
 		if c == nil {
 			continue
 		}
 		out = append(out, &proto.Claim{
 			Key:         key,
-			Fingerprint: c.sum[:],
+			Fingerprint: c.fingerprint[:],
 			Request:     string(c.request),
 			Done:        c.done,
-			Answer:      c.answer,
-			AtMs:        c.at.UnixMilli(),
+			Answer:      c.response,
+			AtMs:        c.claimedAt.UnixMilli(),
 		})
 	}
 	return s.start, out
 }
 
-// Import continues the term of the holder before, which will let no key run
-// any more.
+// Import continues the term of the previous lease holder, which must not grant any
+// more keys.
 func Import(start time.Time, claims []*proto.Claim) *Shard {
-	s := &Shard{start: start, claims: make(map[string]*claimed, len(claims))}
-	for _, w := range claims {
-		c := &claimed{
-			request: ident.Request(w.GetRequest()),
-			done:    w.GetDone(),
-			answer:  w.GetAnswer(),
-			at:      time.UnixMilli(w.GetAtMs()),
+	s := &Shard{start: start, claims: make(map[string]*claim, len(claims))}
+	for _, p := range claims {
+		c := &claim{
+			request:   ident.Request(p.GetRequest()),
+			done:      p.GetDone(),
+			response:  p.GetAnswer(),
+			claimedAt: time.UnixMilli(p.GetAtMs()),
 		}
-		copy(c.sum[:], w.GetFingerprint())
-		s.add(w.GetKey(), c)
+		copy(c.fingerprint[:], p.GetFingerprint())
+		s.add(p.GetKey(), c)
 	}
 	return s
 }
