--- a/internal/state/claim/claims.go
+++ b/internal/state/claim/claims.go
@@ -17,83 +17,84 @@
 )
 
 const (
-	askTries = 3
-	askPause = 100 * time.Millisecond
-	askTime  = 700 * time.Millisecond
+	maxAttempts = 3
+	retryPause  = 100 * time.Millisecond
+	callTimeout = 700 * time.Millisecond
 )
 
-// Asker asks the VM that holds a shard.
-type Asker interface {
+// HolderClient calls the VM that holds a shard.
+type HolderClient interface {
 	Claim(ctx context.Context, to member.Member, shard int, key string, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error)
 	Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, answer *proto.Answer) error
 }
 
-// Claims takes each key the way that suits it: one that tells its age through
-// the holder of its shard, any other through the store.
+// Claims claims each key that contains its creation time at the lease holder of its
+// shard, and any other key in the store.
 type Claims struct {
 	vm     ident.VM
 	fleet  keeper.Fleet
 	keeper *keeper.Keeper
 	direct *direct.Claims
-	asker  Asker
+	client HolderClient
 }
 
-// New makes the claims of a VM.
-func New(vm ident.VM, f keeper.Fleet, k *keeper.Keeper, d *direct.Claims, a Asker) *Claims {
-	return &Claims{vm: vm, fleet: f, keeper: k, direct: d, asker: a}
+// New returns the Claims of a VM.
+func New(vm ident.VM, f keeper.Fleet, k *keeper.Keeper, d *direct.Claims, a HolderClient) *Claims {
+	return &Claims{vm: vm, fleet: f, keeper: k, direct: d, client: a}
 }
 
-// full returns the key as holders know it: keys of two workspaces never meet.
-func full(w ident.Workspace, key string) string { return string(w) + "/" + key }
+// scopedKey returns the key prefixed with its workspace, so that equal keys of two
+// workspaces differ.
+func scopedKey(w ident.Workspace, key string) string { return string(w) + "/" + key }
 
 func shardOf(key string) int { return int(xxhash.Sum64String(key) % keeper.Shards) }
 
-// Claim lets the request run the key, or returns the answer of the call that
-// had it before, or the refusal.
+// Claim claims the key for the request. It returns nil and nil if the request may run,
+// the response if an earlier call with the key completed, or a refusal.
 func (c *Claims) Claim(ctx context.Context, w ident.Workspace, key string, sum [32]byte, r ident.Request) (*proto.Answer, *refuse.Refusal) {
-	minted, ok := ident.Minted(key)
+	created, ok := ident.Minted(key)
 	if !ok {
 		return nil, c.direct.Claim(ctx, w, key, r)
 	}
-	k := full(w, key)
-	why := ""
-	for try := range askTries {
-		if try > 0 {
-			time.Sleep(askPause)
+	scoped := scopedKey(w, key)
+	reason := ""
+	for attempt := range maxAttempts {
+		if attempt > 0 {
+			time.Sleep(retryPause)
 		}
-		v, answer, err := c.ask(ctx, k, minted, sum, r)
+		d, response, err := c.claimOnce(ctx, scoped, created, sum, r)
 		switch {
 		case err != nil:
-			why = trace.UserMessage(err)
-		case v == term.NotHolder:
-			why = "the shard's lease is just changing hands, or the store that keeps it is down"
+			reason = trace.UserMessage(err)
+		case d == term.NotHolder:
+			reason = "the shard's lease is just changing hands, or the store that keeps it is down"
 		default:
-			return judge(v, answer)
+			return resultOf(d, response)
 		}
 	}
-	return nil, direct.Down(why)
+	return nil, direct.Down(reason)
 }
 
-// ask asks the shard's home. Asking again is safe: a holder knows a request
-// that it let run.
-func (c *Claims) ask(ctx context.Context, key string, minted time.Time, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
+// claimOnce claims the key once at the VM that owns its shard. It is safe to repeat: a
+// lease holder grants a key again to the request that has it.
+func (c *Claims) claimOnce(ctx context.Context, key string, created time.Time, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
 	shard := shardOf(key)
-	home, ok := keeper.HomeOf(shard, c.fleet.View().Live)
-	if !ok || home.Name == c.vm {
-		v, answer := c.keeper.Claim(shard, key, minted, sum, r)
-		return v, answer, nil
+	owner, ok := keeper.HomeOf(shard, c.fleet.View().Live)
+	if !ok || owner.Name == c.vm {
+		d, response := c.keeper.Claim(shard, key, created, sum, r)
+		return d, response, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.asker.Claim(ctx, home, shard, key, sum, r)
+	return c.client.Claim(ctx, owner, shard, key, sum, r)
 }
 
-func judge(v term.Verdict, answer *proto.Answer) (*proto.Answer, *refuse.Refusal) {
-	switch v {
+func resultOf(d term.Verdict, response *proto.Answer) (*proto.Answer, *refuse.Refusal) {
+	switch d {
 	case term.Run:
 		return nil, nil
 	case term.Replay:
-		return answer, nil
+		return response, nil
 	case term.Running:
 		return nil, refuse.New(refuse.InProgress, "an earlier call with this key has not ended").
 			With(refuse.RanMaybe).After(direct.ComeAgain)
@@ -107,24 +108,24 @@
 	}
 }
 
-// Finish tells the holder the end of a request that Claim let run.
-func (c *Claims) Finish(ctx context.Context, w ident.Workspace, key string, r ident.Request, ran bool, answer *proto.Answer) {
+// Finish reports to the lease holder the end of a request that Claim granted.
+func (c *Claims) Finish(ctx context.Context, w ident.Workspace, key string, r ident.Request, ran bool, response *proto.Answer) {
 	if _, ok := ident.Minted(key); !ok {
 		if !ran {
 			_ = c.direct.Release(ctx, w, key, r)
 		}
 		return
 	}
-	k := full(w, key)
-	shard := shardOf(k)
-	home, ok := keeper.HomeOf(shard, c.fleet.View().Live)
-	if !ok || home.Name == c.vm {
-		c.keeper.Finish(shard, k, r, ran, answer)
+	scoped := scopedKey(w, key)
+	shard := shardOf(scoped)
+	owner, ok := keeper.HomeOf(shard, c.fleet.View().Live)
+	if !ok || owner.Name == c.vm {
+		c.keeper.Finish(shard, scoped, r, ran, response)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// A holder that does not hear of the end answers that the call may have
-	// run, which stays true.
-	_ = c.asker.Finish(ctx, home, shard, k, r, ran, answer)
+	// If this report is lost, later requests with the key are told that the call may
+	// have run, which remains correct.
+	_ = c.client.Finish(ctx, owner, shard, scoped, r, ran, response)
 }
--- a/internal/state/quota/quota.go
+++ b/internal/state/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota finds what settings promise beyond what there is: reserves and
-// limits that add up to more than the backend servers can give, and services
-// that name a class or model that is not there.
+// Package quota finds settings that exceed what is available: reserves and rate
+// limits that add up to more than the backend servers provide, and services that
+// refer to a class or model that does not exist.
 package quota
 
 import (
@@ -11,40 +11,40 @@
 	"umberladder/internal/state/config"
 )
 
-// mostReserved is the share of an engine's memory that reserves may take
-// together before lower classes are left without any to speak of.
-const mostReserved = 0.9
+// maxReserved is the share of an engine's memory that the reserves of all classes may
+// take together. More would leave the lower classes with almost none.
+const maxReserved = 0.9
 
-// Check returns a line for each promise that can't be kept, in order, which
-// begins with the path of the document and member.
+// Check returns a line for each problem in the settings, sorted. A line begins with the
+// path of the document and of the member in it.
 func Check(s *config.Snapshot) []string {
 	if s.System == nil {
 		return nil
 	}
 	var out []string
-	out = append(out, reserves(s.System)...)
-	out = append(out, rates(s)...)
+	out = append(out, checkReserves(s.System)...)
+	out = append(out, checkRates(s)...)
 	for _, w := range s.All() {
-		out = append(out, missing(s.System, w)...)
+		out = append(out, checkReferences(s.System, w)...)
 	}
 	slices.Sort(out)
 	return out
 }
 
-func reserves(s *config.System) []string {
+func checkReserves(s *config.System) []string {
 	sum := 0.0
 	for _, c := range s.Classes {
 		sum += c.Reserve
 	}
-	if sum <= mostReserved {
+	if sum <= maxReserved {
 		return nil
 	}
 	return []string{fmt.Sprintf("%s/classes: the reserves add up to %.2f of each engine's memory", config.SystemPath, sum)}
 }
 
-// capacity returns what all servers of the model generate, in tokens a second.
-// It is false unless every server tells.
-func capacity(m *config.Model) (int, bool) {
+// generationRate returns how many tokens a second all servers of the model generate
+// together. It returns false unless the settings state the rate of every server.
+func generationRate(m *config.Model) (int, bool) {
 	sum := 0
 	for i := range m.Servers {
 		if m.Servers[i].TokensPerSecond == 0 {
@@ -55,44 +55,44 @@
 	return sum, len(m.Servers) > 0
 }
 
-// rates adds up the rates that workspaces are allowed on each set of models
-// that they share. A workspace may spend its whole rate on any one of its
-// models, so each model is held against all workspaces that use it.
-func rates(s *config.Snapshot) []string {
+// checkRates compares the token rate of each model's servers with the sum of the rate
+// limits of the workspaces that use the model. A workspace may spend its whole rate on
+// any one of its models, so its full limit counts for each of them.
+func checkRates(s *config.Snapshot) []string {
 	var out []string
 	for i := range s.System.Models {
 		m := &s.System.Models[i]
-		most, known := capacity(m)
+		available, known := generationRate(m)
 		if !known {
 			continue
 		}
-		sum, open := rateOf(s, m)
+		allowed, unlimited := allowedRate(s, m)
 		switch {
-		case len(open) > 0:
+		case len(unlimited) > 0:
 			out = append(out, fmt.Sprintf("%s/models/%d: its servers generate %d tokens a second, and these workspaces have no limit: %s",
-				config.SystemPath, i, most, strings.Join(open, ", ")))
-		case sum > most:
+				config.SystemPath, i, available, strings.Join(unlimited, ", ")))
+		case allowed > available:
 			out = append(out, fmt.Sprintf("%s/models/%d: workspaces may use %d tokens a second, and its servers generate %d",
-				config.SystemPath, i, sum, most))
+				config.SystemPath, i, allowed, available))
 		}
 	}
 	return out
 }
 
-// rateOf adds up the rates of the workspaces that use a model, and names those
-// without a limit.
-func rateOf(s *config.Snapshot, m *config.Model) (sum int, open []string) {
+// allowedRate returns the sum of the rate limits of the workspaces that use a model, and
+// the names of those without a limit.
+func allowedRate(s *config.Snapshot, m *config.Model) (sum int, unlimited []string) {
 	for _, w := range s.All() {
 		if !uses(w, m) {
 			continue
 		}
 		sum += w.Limits.TokensPerSecond
 		if w.Limits.TokensPerSecond == 0 {
-			open = append(open, string(w.Name))
+			unlimited = append(unlimited, string(w.Name))
 		}
 	}
-	slices.Sort(open)
-	return sum, open
+	slices.Sort(unlimited)
+	return sum, unlimited
 }
 
 func uses(w *config.Workspace, m *config.Model) bool {
@@ -101,18 +101,18 @@
 	})
 }
 
-// missing names the classes and models that a workspace's services name and
-// the system does not have.
-func missing(s *config.System, w *config.Workspace) []string {
+// checkReferences reports the classes and models that a workspace's services refer to
+// and that do not exist.
+func checkReferences(s *config.System, w *config.Workspace) []string {
 	var out []string
 	for i := range w.Services {
-		v := &w.Services[i]
-		at := fmt.Sprintf("%s/services/%d", config.WorkspacePath(w.Name), i)
-		if s.Class(v.Class) == nil {
-			out = append(out, fmt.Sprintf("%s/class: the system has no class %q", at, v.Class))
+		svc := &w.Services[i]
+		path := fmt.Sprintf("%s/services/%d", config.WorkspacePath(w.Name), i)
+		if s.Class(svc.Class) == nil {
+			out = append(out, fmt.Sprintf("%s/class: the system has no class %q", path, svc.Class))
 		}
-		if v.Kind == config.ModelService && s.Model(v.Model) == nil {
-			out = append(out, fmt.Sprintf("%s/model: the system has no model %q", at, v.Model))
+		if svc.Kind == config.ModelService && s.Model(svc.Model) == nil {
+			out = append(out, fmt.Sprintf("%s/model: the system has no model %q", path, svc.Model))
 		}
 	}
 	return out
--- a/internal/state/quota/quota_test.go
+++ b/internal/state/quota/quota_test.go
@@ -24,17 +24,17 @@
 func doc(s string) []byte { return []byte(strings.ReplaceAll(s, "KEY", strings.Repeat("ab", 32))) }
 
 func TestCheck(t *testing.T) {
-	rated := strings.Replace(system, `"failure-domain"`, `"tokens-per-second": 100, "failure-domain"`, 1)
+	withRate := strings.Replace(system, `"failure-domain"`, `"tokens-per-second": 100, "failure-domain"`, 1)
 	limited := strings.Replace(workspace, `"concurrency": 5`, `"concurrency": 5, "tokens-per-second": 60`, 1)
 	for name, c := range map[string]struct {
 		system     string
 		workspaces []string
 		want       []string
 	}{
-		"kept":             {rated, []string{limited}, nil},
-		"nothing is told":  {system, []string{workspace, workspace}, nil},
-		"rates add up":     {rated, []string{limited, limited}, []string{"/system/models/0: workspaces may use 120 tokens a second, and its servers generate 100"}},
-		"one has no limit": {rated, []string{limited, workspace}, []string{"/system/models/0: its servers generate 100 tokens a second, and these workspaces have no limit: w1"}},
+		"within limits":        {withRate, []string{limited}, nil},
+		"rates are not stated": {system, []string{workspace, workspace}, nil},
+		"rates add up":         {withRate, []string{limited, limited}, []string{"/system/models/0: workspaces may use 120 tokens a second, and its servers generate 100"}},
+		"one has no limit":     {withRate, []string{limited, workspace}, []string{"/system/models/0: its servers generate 100 tokens a second, and these workspaces have no limit: w1"}},
 		"reserves": {
 			strings.Replace(system, `"reserve": 0.1}`, `"reserve": 0.6}, {"name": "b", "rank": 1, "reserve": 0.5}`, 1), nil,
 			[]string{"/system/classes: the reserves add up to 1.10 of each engine's memory"},
