--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -199,8 +199,8 @@
 	return n
 }
 
-// EndDiscovery ends the search for other VMs at once, although none has sent a message:
-// the caller knows that there is none.
+// EndDiscovery ends the search for other VMs at once, although none has sent a message. It
+// is called when too few VMs are registered in the store to wait for.
 func (h *Hubs) EndDiscovery(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/state/names/doc.go
+++ b/internal/state/names/doc.go
@@ -1,6 +1,6 @@
-// Package names keeps the names of hubs in the store, where VMs that know nobody find
-// them, and learns by reading them whether the store is in reach.
+// Package hubreg registers hubs in the store, where isolated VMs find them, and
+// finds out whether the store is reachable by reading the registrations.
 //
-// Among VMs that start together and find no names, those of most capacity write theirs
-// first, and the others find these.
+// Among VMs that start together and find no registrations, those of the highest
+// capacity register first, and the others find them.
 package names
--- a/internal/state/names/names.go
+++ b/internal/state/names/names.go
@@ -15,95 +15,99 @@
 )
 
 const (
-	// leaseTTL is how long a hub's name outlives it. VMs that start after the loss of
-	// all others find them at the same addresses.
+	// leaseTTL is how long a hub's registration outlives the hub. After the loss of all
+	// VMs, those that start find each other at the same addresses.
 	leaseTTL = 2 * time.Minute
-	// renewEvery leaves three renewals to fail before the lease ends.
-	renewEvery = 30 * time.Second
-	// readEvery is how often the names are read: by the answer a VM knows that the
-	// store is in reach.
-	readEvery = 4 * time.Second
-	// firstRead is the pause between readings while nobody is heard.
-	firstRead = 300 * time.Millisecond
-	// retryName is the pause after a failed call. Where the store turns a VM away, the
-	// next ones are as far apart as other readings.
-	retryName = 1200 * time.Millisecond
-	// TouchTime is how long after an answer a VM counts as reaching the store: a
-	// reading and one more try.
-	TouchTime = readEvery + retryName + 300*time.Millisecond
-	// staleTime is how old the names may be that are read.
-	staleTime = 8 * time.Second
-	// standbyTime is how long the first hub may take to write what all hubs know.
-	standbyTime = 10 * time.Second
-	// callTime bounds one call to the store.
-	callTime = time.Second
-	// firstDelay spreads VMs that start together, and capacityDelay lets those of
-	// less capacity begin later: a few that come first write their names, and the
-	// others find them.
-	firstDelay    = 400 * time.Millisecond
-	capacityDelay = 100 * time.Millisecond
-	// noDelay is the capacity from which a VM need not wait.
-	noDelay hubs.Capacity = 16
+	// renewInterval is how often the lease is renewed. Three renewals may fail before
+	// it expires.
+	renewInterval = 30 * time.Second
+	// readInterval is how often the registrations are read. The response also shows
+	// that the store is reachable.
+	readInterval = 4 * time.Second
+	// isolatedReadInterval is the pause between reads while a starting VM is isolated.
+	isolatedReadInterval = 300 * time.Millisecond
+	// retryPause is the pause after a first failed call. If the next call fails too, as
+	// when the store refuses a VM, the pause is the usual one.
+	retryPause = 1200 * time.Millisecond
+	// ReachableTime is how long after a response the store counts as reachable for a VM.
+	// It covers one read and one retry.
+	TouchTime = readInterval + retryPause + 300*time.Millisecond
+	// maxStaleness bounds the age of the registrations that a read returns.
+	maxStaleness = 8 * time.Second
+	// standbyDelay is how long hubs other than the one that leads the watch wait before
+	// they store quarantined requests that it should have stored.
+	standbyDelay = 10 * time.Second
+	// callTimeout bounds the calls to the store of one step.
+	callTimeout = time.Second
+	// maxJitter bounds the random delay before a VM registers, which spreads VMs that
+	// start together. delayPerCapacity is added for each step of capacity below
+	// noDelayCapacity. So a few VMs of high capacity register first, and the others
+	// find them.
+	maxJitter        = 400 * time.Millisecond
+	delayPerCapacity = 100 * time.Millisecond
+	// noDelayCapacity is the capacity from which only the random delay applies.
+	noDelayCapacity hubs.Capacity = 16
 )
 
-// ErrLapsed says that a lease has ended.
-var ErrLapsed = errors.New("names: the lease has ended")
+// ErrLeaseExpired is returned for a lease that has expired.
+var ErrLapsed = errors.New("hubreg: lease expired")
 
 // Lease identifies a lease in the store.
 type Lease uint64
 
-// Registry is where the hubs' names are kept.
+// Registry stores the registrations of hubs.
 type Registry interface {
-	// Announce writes this VM's name and address under a new lease.
+	// Register writes this VM's name and address under a new lease.
 	Announce(ctx context.Context, vm ident.VM, addr netip.AddrPort, ttl time.Duration) (Lease, error)
-	// Renew prolongs a lease; ErrLapsed says that it has ended.
+	// Renew renews a lease. It returns ErrLeaseExpired if the lease has expired.
 	Renew(ctx context.Context, l Lease) error
-	// Read returns what VMs have written. It may be seconds old, unless it has to be
-	// fresh.
+	// Read returns what VMs have written. The result may be up to maxStaleness old,
+	// unless fresh is set.
 	Read(ctx context.Context, fresh bool) (Records, error)
-	// Quarantine writes that a request is quarantined.
+	// Quarantine stores a quarantined request.
 	Quarantine(ctx context.Context, e poison.Entry) error
 }
 
 // Records are what VMs have written to the store.
 type Records struct {
-	VMs         map[ident.VM]netip.AddrPort // addresses of those that have announced themselves
+	VMs         map[ident.VM]netip.AddrPort // addresses of registered VMs
 	Quarantined []poison.Entry
 }
 
-// Quarantine holds the quarantined requests, which the store keeps for the case that all
-// VMs are lost.
+// Quarantine holds the quarantined requests. They are also written to the store, so that
+// they survive the loss of all VMs.
 type Quarantine interface {
-	// Stored takes those that the store holds.
+	// Stored records which requests the store holds.
 	Stored(list []poison.Entry, now time.Time)
-	// Unstored returns those that were quarantined longer than age ago and that the
-	// store has not been known to hold for a time.
-	Unstored(age, unseen time.Duration, now time.Time) []poison.Entry
+	// Unstored returns the requests that were quarantined longer than age ago and that
+	// the store has not been known to hold for the duration unconfirmed.
+	Unstored(age, unconfirmed time.Duration, now time.Time) []poison.Entry
 }
 
-// Keeper reads the names in the store, and keeps this VM's there while it is a hub.
+// Registrar reads the registrations in the store, and maintains this VM's while it is a
+// hub.
 type Keeper struct {
-	own   hubs.Candidate
-	start time.Time
-	hubs  *hubs.Hubs
-	reg   Registry
-	held  Quarantine
-	wake  chan struct{}
-	found func()
-	log   *zap.Logger
-	lease Lease // zero: there is none
-	until time.Time
-	wrote time.Time // when the name was written
-	fails int       // calls that failed in a row
+	self         hubs.Candidate
+	startedAt    time.Time
+	hubs         *hubs.Hubs
+	registry     Registry
+	quarantined  Quarantine
+	wake         chan struct{}
+	onRead       func()
+	log          *zap.Logger
+	lease        Lease // zero if there is none
+	renewAt      time.Time
+	registeredAt time.Time // when the registration was written
+	failures     int       // consecutive failed steps
 }
 
-// New makes the keeper of a VM's name, which starts at a moment. It calls found once
-// it has read names while no other VM is heard.
-func New(own hubs.Candidate, start time.Time, h *hubs.Hubs, reg Registry, held Quarantine, found func(), log *zap.Logger) *Keeper {
-	return &Keeper{own: own, start: start, hubs: h, reg: reg, held: held, wake: make(chan struct{}, 1), found: found, log: log}
+// New returns the Registrar of a VM that started at startedAt. It calls onRead after each
+// read of the registrations while the VM is isolated.
+func New(self hubs.Candidate, startedAt time.Time, h *hubs.Hubs, registry Registry, quarantined Quarantine, onRead func(), log *zap.Logger) *Keeper {
+	return &Keeper{self: self, startedAt: startedAt, hubs: h, registry: registry, quarantined: quarantined, wake: make(chan struct{}, 1), onRead: onRead, log: log}
 }
 
-// Wake has a hub write at once what it has to.
+// Wake makes a hub perform the next step at once, so that it stores quarantined requests.
 func (k *Keeper) Wake() {
 	select {
 	case k.wake <- struct{}{}:
@@ -111,26 +115,26 @@
 	}
 }
 
-// Run keeps and reads names until ctx ends.
+// Run maintains and reads registrations until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
-	open := time.Now().Add(delay(k.own.Capacity))
+	earliest := time.Now().Add(startDelay(k.self.Capacity))
 	for ctx.Err() == nil {
-		err := k.step(ctx, open)
-		k.fails++
+		err := k.step(ctx, earliest)
+		k.failures++
 		if err == nil {
-			k.fails = 0
+			k.failures = 0
 		} else {
 			k.log.Info("names of VMs not kept or read in the store", zap.Error(err))
 		}
-		k.rest(ctx, k.pause(err, time.Now()))
+		k.wait(ctx, k.pause(err, time.Now()))
 	}
 }
 
-// rest waits until the next step. Hubs alone are woken before it, and not while the
-// store fails.
-func (k *Keeper) rest(ctx context.Context, d time.Duration) {
+// wait waits for d. Wake ends the wait early on a hub, unless the last call to the store
+// failed.
+func (k *Keeper) wait(ctx context.Context, d time.Duration) {
 	wake := k.wake
-	if k.fails > 0 || !k.hubs.Hub(time.Now()) {
+	if k.failures > 0 || !k.hubs.Hub(time.Now()) {
 		wake = nil
 	}
 	t := time.NewTimer(d)
@@ -142,106 +146,107 @@
 	}
 }
 
-// delay returns how long a VM that starts waits before it writes its name.
-func delay(c hubs.Capacity) time.Duration {
-	return time.Duration(noDelay-min(c, noDelay))*capacityDelay + rand.N(firstDelay)
+// startDelay returns how long a starting VM waits before it registers.
+func startDelay(c hubs.Capacity) time.Duration {
+	return time.Duration(noDelayCapacity-min(c, noDelayCapacity))*delayPerCapacity + rand.N(maxJitter)
 }
 
 func (k *Keeper) pause(err error, now time.Time) time.Duration {
 	switch {
-	case err != nil && k.fails == 1:
-		return retryName
-	case k.hubs.Heard(now) == 0 && now.Sub(k.start) < TouchTime:
-		return firstRead
+	case err != nil && k.failures == 1:
+		return retryPause
+	case k.hubs.Heard(now) == 0 && now.Sub(k.startedAt) < TouchTime:
+		return isolatedReadInterval
 	default:
-		return readEvery
+		return readInterval
 	}
 }
 
-// step reads the names once, and writes this VM's if it has to be found by others.
-func (k *Keeper) step(ctx context.Context, open time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// step reads the registrations once, stores quarantined requests, and registers this VM
+// or renews its lease if it is a hub. A VM does not register before earliest.
+func (k *Keeper) step(ctx context.Context, earliest time.Time) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	names, err := k.read(ctx, false)
+	registered, err := k.read(ctx, false)
 	if err != nil {
 		return err
 	}
-	if err := k.quarantine(ctx, time.Now()); err != nil {
+	if err := k.storeQuarantined(ctx, time.Now()); err != nil {
 		return err
 	}
 	now := time.Now()
-	if _, there := names[k.own.VM]; !there && now.Sub(k.wrote) > staleTime {
-		k.lease = 0 // the store has lost it
+	if _, there := registered[k.self.VM]; !there && now.Sub(k.registeredAt) > maxStaleness {
+		k.lease = 0 // the store has lost the registration
 	}
 	if k.lease != 0 {
 		return k.renew(ctx, now)
 	}
-	if now.Before(open) || !k.hubs.Hub(now) {
+	if now.Before(earliest) || !k.hubs.Hub(now) {
 		return nil
 	}
 	if k.hubs.Heard(now) == 0 {
-		// Those that began to look at the same time may have written theirs.
-		if names, err = k.read(ctx, true); err != nil || k.hubs.CountResponding(names, time.Now()) >= hubs.Count {
+		// VMs that started at the same time may have registered meanwhile.
+		if registered, err = k.read(ctx, true); err != nil || k.hubs.CountResponding(registered, time.Now()) >= hubs.Count {
 			return err
 		}
 		k.hubs.EndDiscovery(now)
 	}
-	lease, err := k.reg.Announce(ctx, k.own.VM, k.own.Addr, leaseTTL)
+	lease, err := k.registry.Announce(ctx, k.self.VM, k.self.Addr, leaseTTL)
 	if err != nil {
 		return err
 	}
-	k.lease, k.until, k.wrote = lease, now.Add(renewEvery), now
+	k.lease, k.renewAt, k.registeredAt = lease, now.Add(renewInterval), now
 	return nil
 }
 
 func (k *Keeper) read(ctx context.Context, fresh bool) (map[ident.VM]netip.AddrPort, error) {
-	records, err := k.reg.Read(ctx, fresh)
+	records, err := k.registry.Read(ctx, fresh)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	k.hubs.SetRegistered(records.VMs, now)
-	k.held.Stored(records.Quarantined, now)
+	k.quarantined.Stored(records.Quarantined, now)
 	if k.hubs.Heard(now) == 0 {
-		k.found()
+		k.onRead()
 	}
 	return records.VMs, nil
 }
 
-// quarantine writes the requests that the store does not hold. The VM that asks the
-// store before all others does so at once, other hubs once it has had the time.
-func (k *Keeper) quarantine(ctx context.Context, now time.Time) error {
+// storeQuarantined writes the quarantined requests that the store does not hold. The hub
+// that leads the watch does so at once, other hubs after standbyDelay.
+func (k *Keeper) storeQuarantined(ctx context.Context, now time.Time) error {
 	if !k.hubs.Hub(now) {
 		return nil
 	}
-	age := standbyTime
+	age := standbyDelay
 	if k.hubs.Lead(now) {
 		age = 0
 	}
-	for _, e := range k.held.Unstored(age, staleTime, now) {
-		if err := k.reg.Quarantine(ctx, e); err != nil {
+	for _, e := range k.quarantined.Unstored(age, maxStaleness, now) {
+		if err := k.registry.Quarantine(ctx, e); err != nil {
 			return err
 		}
-		k.held.Stored([]poison.Entry{e}, now)
+		k.quarantined.Stored([]poison.Entry{e}, now)
 	}
 	return nil
 }
 
-// renew prolongs the lease, or lets it end once others are the hubs.
+// renew renews the lease when it is due, or lets it expire if this VM is no longer a hub.
 func (k *Keeper) renew(ctx context.Context, now time.Time) error {
-	if now.Before(k.until) {
+	if now.Before(k.renewAt) {
 		return nil
 	}
 	if !k.hubs.Hub(now) {
 		k.lease = 0
 		return nil
 	}
-	err := k.reg.Renew(ctx, k.lease)
+	err := k.registry.Renew(ctx, k.lease)
 	if errors.Is(err, ErrLapsed) {
 		k.lease = 0
 	}
 	if err == nil {
-		k.until = now.Add(renewEvery)
+		k.renewAt = now.Add(renewInterval)
 	}
 	return err
 }
--- a/internal/state/names/names_test.go
+++ b/internal/state/names/names_test.go
@@ -25,93 +25,93 @@
 	return hubs.Candidate{VM: ident.VM(fmt.Sprint("vm-", n)), Addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1+n)), Capacity: 12}
 }
 
-// registry is a store of names that may be away, or lose them.
-type registry struct {
-	mu     sync.Mutex
-	away   bool
-	lost   bool
-	broken bool // names can't be written, though leases are granted
-	names  map[ident.VM]netip.AddrPort
-	held   []poison.Entry
-	writes int
-	fresh  int
+// fakeRegistry is a Registry in memory that can be unreachable or have expired leases.
+type fakeRegistry struct {
+	mu          sync.Mutex
+	unreachable bool
+	expired     bool
+	writesFail  bool // registrations can't be written, though leases are granted
+	registered  map[ident.VM]netip.AddrPort
+	quarantined []poison.Entry
+	writes      int
+	freshReads  int
 }
 
-// none is a VM that knows of no requests to quarantine.
-type none struct{}
+// noQuarantine is a Quarantine without any quarantined requests.
+type noQuarantine struct{}
 
-func (none) Stored([]poison.Entry, time.Time)                                {}
-func (none) Unstored(time.Duration, time.Duration, time.Time) []poison.Entry { return nil }
+func (noQuarantine) Stored([]poison.Entry, time.Time)                                {}
+func (noQuarantine) Unstored(time.Duration, time.Duration, time.Time) []poison.Entry { return nil }
 
-var errAway = errors.New("away")
+var errUnreachable = errors.New("unreachable")
 
-func (r *registry) Announce(_ context.Context, vm ident.VM, a netip.AddrPort, _ time.Duration) (Lease, error) {
+func (r *fakeRegistry) Announce(_ context.Context, vm ident.VM, a netip.AddrPort, _ time.Duration) (Lease, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writes++
-	if r.broken {
-		return Lease(r.writes), errAway
+	if r.writesFail {
+		return Lease(r.writes), errUnreachable
 	}
-	r.names[vm] = a
+	r.registered[vm] = a
 	return Lease(r.writes), nil
 }
 
-func (r *registry) Renew(context.Context, Lease) error {
+func (r *fakeRegistry) Renew(context.Context, Lease) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lost {
+	if r.expired {
 		return ErrLapsed
 	}
 	return nil
 }
 
-func (r *registry) Quarantine(_ context.Context, e poison.Entry) error {
+func (r *fakeRegistry) Quarantine(_ context.Context, e poison.Entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.broken {
-		return errAway
+	if r.writesFail {
+		return errUnreachable
 	}
-	r.held = append(r.held, e)
+	r.quarantined = append(r.quarantined, e)
 	return nil
 }
 
-func (r *registry) Read(_ context.Context, fresh bool) (Records, error) {
+func (r *fakeRegistry) Read(_ context.Context, fresh bool) (Records, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.away {
-		return Records{}, errAway
+	if r.unreachable {
+		return Records{}, errUnreachable
 	}
 	if fresh {
-		r.fresh++
+		r.freshReads++
 	}
-	return Records{VMs: maps.Clone(r.names), Quarantined: slices.Clone(r.held)}, nil
+	return Records{VMs: maps.Clone(r.registered), Quarantined: slices.Clone(r.quarantined)}, nil
 }
 
-// change changes what the store holds.
-func (r *registry) change(f func()) {
+// change calls f, which changes the registry, with its lock held.
+func (r *fakeRegistry) change(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// wrote returns how often names were written.
-func (r *registry) wrote() int {
+// writeCount returns how often registrations were written.
+func (r *fakeRegistry) writeCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.writes
 }
 
 func TestNames(t *testing.T) {
-	run := func(t *testing.T, r *registry, f func(h *hubs.Hubs)) {
+	run := func(t *testing.T, r *fakeRegistry, f func(h *hubs.Hubs)) {
 		synctest.Test(t, func(t *testing.T) {
-			if r.names == nil {
-				r.names = make(map[ident.VM]netip.AddrPort)
+			if r.registered == nil {
+				r.registered = make(map[ident.VM]netip.AddrPort)
 			}
 			h := hubs.New(candidate(1), nil, time.Now())
 			ctx, cancel := context.WithCancel(t.Context())
 			var g errgroup.Group
 			g.Go(func() error {
-				New(candidate(1), time.Now(), h, r, none{}, func() {}, zap.NewNop()).Run(ctx)
+				New(candidate(1), time.Now(), h, r, noQuarantine{}, func() {}, zap.NewNop()).Run(ctx)
 				return nil
 			})
 			f(h)
@@ -119,51 +119,51 @@
 			assert.NilError(t, g.Wait())
 		})
 	}
-	t.Run("a VM that finds nobody can be found", func(t *testing.T) {
-		r := &registry{}
+	t.Run("a VM that finds no others registers", func(t *testing.T) {
+		r := &fakeRegistry{}
 		run(t, r, func(h *hubs.Hubs) {
 			time.Sleep(hubs.DiscoveryTimeout)
-			assert.Equal(t, r.wrote(), 1)
+			assert.Equal(t, r.writeCount(), 1)
 			assert.Assert(t, h.Asks(time.Now()))
-			r.change(func() { r.names, r.lost = make(map[ident.VM]netip.AddrPort), true })
-			time.Sleep(staleTime + readEvery + retryName)
-			assert.Equal(t, r.wrote(), 2, "a name that the store has lost is written again")
+			r.change(func() { r.registered, r.expired = make(map[ident.VM]netip.AddrPort), true })
+			time.Sleep(maxStaleness + readInterval + retryPause)
+			assert.Equal(t, r.writeCount(), 2, "a registration that the store has lost is written again")
 		})
 	})
-	t.Run("a name that could not be written is written soon", func(t *testing.T) {
-		r := &registry{broken: true}
+	t.Run("a registration that failed is retried soon", func(t *testing.T) {
+		r := &fakeRegistry{writesFail: true}
 		run(t, r, func(*hubs.Hubs) {
 			time.Sleep(hubs.DiscoveryTimeout)
-			r.change(func() { r.broken = false })
-			time.Sleep(readEvery)
-			names, err := r.Read(t.Context(), false)
+			r.change(func() { r.writesFail = false })
+			time.Sleep(readInterval)
+			records, err := r.Read(t.Context(), false)
 			assert.NilError(t, err)
-			assert.Equal(t, len(names.VMs), 1)
+			assert.Equal(t, len(records.VMs), 1)
 		})
 	})
-	t.Run("one that finds enough others need not be found", func(t *testing.T) {
-		r := &registry{names: make(map[ident.VM]netip.AddrPort)}
+	t.Run("a VM that finds enough others does not register", func(t *testing.T) {
+		r := &fakeRegistry{registered: make(map[ident.VM]netip.AddrPort)}
 		for n := range hubs.Count {
-			r.names[candidate(10+n).VM] = candidate(10 + n).Addr
+			r.registered[candidate(10+n).VM] = candidate(10 + n).Addr
 		}
 		run(t, r, func(*hubs.Hubs) {
 			time.Sleep(hubs.DiscoveryTimeout)
-			assert.Equal(t, r.wrote(), 0)
+			assert.Equal(t, r.writeCount(), 0)
 		})
 	})
-	t.Run("a VM knows whether the store is in reach", func(t *testing.T) {
-		r := &registry{}
+	t.Run("a VM knows whether the store is reachable", func(t *testing.T) {
+		r := &fakeRegistry{}
 		run(t, r, func(h *hubs.Hubs) {
 			time.Sleep(time.Second)
 			for range 20 {
 				time.Sleep(time.Second)
 				assert.Assert(t, h.Touch(TouchTime, time.Now()))
 			}
-			r.change(func() { r.away = true })
+			r.change(func() { r.unreachable = true })
 			time.Sleep(TouchTime + time.Second)
 			assert.Assert(t, !h.Touch(TouchTime, time.Now()))
-			r.change(func() { r.away = false })
-			time.Sleep(readEvery + time.Millisecond)
+			r.change(func() { r.unreachable = false })
+			time.Sleep(readInterval + time.Millisecond)
 			assert.Assert(t, h.Touch(TouchTime, time.Now()))
 		})
 	})
