--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs the membership of one VM: it drives the state machine of
-// package member with datagrams, time and the platform's list, and offers the
-// live VMs to the request path as one atomic read.
+// Package fleet runs the membership protocol of one VM. It drives the state machine of
+// package member with datagrams, time and the platform's VM list, and lets the request
+// path read the live VMs without a lock.
 package fleet
 
 import (
@@ -16,80 +16,82 @@
 )
 
 const (
-	tick      = 50 * time.Millisecond
-	listEvery = 5 * time.Second
-	listFirst = 500 * time.Millisecond // until the list was read once
+	tickInterval      = 50 * time.Millisecond
+	listInterval      = 5 * time.Second
+	firstListInterval = 500 * time.Millisecond // until the list has been read once
 )
 
-// Transport carries packets between VMs.
+// Transport carries packets between VMs. Run calls handle for each received packet until
+// ctx is done.
 type Transport interface {
 	Send(to netip.AddrPort, p *member.Packet) error
-	Run(ctx context.Context, take func(member.Packet)) error
+	Run(ctx context.Context, handle func(member.Packet)) error
 }
 
-// Lister reads the platform's list of VMs. Leaving VMs are not on it.
+// Lister reads the platform's VM list, which does not contain VMs that are shutting down.
 type Lister interface {
 	Members(ctx context.Context) ([]member.Member, error)
 }
 
-// View is the membership at one moment. It is immutable.
+// View is the membership at one point in time. It is immutable.
 type View struct {
 	Self member.Member
-	Live []member.Member // by name
-	Rank int             // of this VM among the live ones, 0 if it leaves
+	Live []member.Member // sorted by name
+	Rank int             // index of this VM in Live, or 0 if it is shutting down
 }
 
-// Fleet is the membership of one VM. It is safe for use by several
+// Membership maintains the membership list of one VM. It is safe for use by several
 // goroutines.
 type Fleet struct {
 	transport Transport
 	lister    Lister
-	mark      func() member.Mark
-	heard     func(member.Member, member.Mark)
+	settings  func() member.Mark
+	onReceive func(member.Member, member.Mark)
 
-	mu    sync.Mutex
-	table *member.Table
-	shown uint64 // the version that view shows
-	view  atomic.Pointer[View]
-	last  atomic.Int64 // when something was last heard, in Unix nanoseconds
+	mu               sync.Mutex
+	table            *member.Table
+	publishedVersion uint64 // version of the table that view shows
+	view             atomic.Pointer[View]
+	lastSeen         atomic.Int64 // when the last packet arrived, in Unix nanoseconds
 }
 
-// New makes the membership. mark tells which settings this VM has in force; heard
-// is told the same of each VM heard from, and must not block.
-func New(table *member.Table, t Transport, l Lister, mark func() member.Mark, heard func(member.Member, member.Mark)) *Fleet {
-	f := &Fleet{transport: t, lister: l, mark: mark, heard: heard, table: table}
+// New returns a Membership. settings returns the version of the settings that this VM has
+// in force. onReceive is called with the sender of each packet and the version that the
+// sender has in force, and must not block.
+func New(table *member.Table, t Transport, l Lister, settings func() member.Mark, onReceive func(member.Member, member.Mark)) *Fleet {
+	f := &Fleet{transport: t, lister: l, settings: settings, onReceive: onReceive, table: table}
 	f.publish()
 	return f
 }
 
-// View returns the present membership.
+// View returns the current view.
 func (f *Fleet) View() *View { return f.view.Load() }
 
-// Rank returns this VM's number among the n live ones.
+// Rank returns the index of this VM among the live ones, and their number.
 func (f *Fleet) Rank() (int, int) {
 	v := f.View()
 	return v.Rank, max(len(v.Live), 1)
 }
 
-// Heard returns when another VM was last heard.
-func (f *Fleet) Heard() time.Time { return time.Unix(0, f.last.Load()) }
+// LastSeen returns when the last packet from another VM arrived.
+func (f *Fleet) Heard() time.Time { return time.Unix(0, f.lastSeen.Load()) }
 
-// Removals returns how many times this VM took another for dead.
+// Removals returns how many times this VM has declared another dead.
 func (f *Fleet) Removals() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Removals()
 }
 
-// All returns every VM known, dead ones too.
+// All returns every known VM, including dead ones.
 func (f *Fleet) All() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.All()
 }
 
-// publish makes the table's view the present one. The caller holds mu, or is
-// New.
+// publish makes the table's state the current view. Except in New, the caller must hold
+// mu.
 func (f *Fleet) publish() {
 	v := &View{Self: f.table.Self(), Live: f.table.Live()}
 	for i, m := range v.Live {
@@ -100,37 +102,37 @@
 	f.view.Store(v)
 }
 
-// Run keeps the membership until ctx ends.
+// Run pings other VMs and updates the membership until ctx is done.
 func (f *Fleet) Run(ctx context.Context) error {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			f.send(f.step(func() []member.Outbound { return f.table.Tick(now) }))
+			f.send(f.update(func() []member.Outbound { return f.table.Tick(now) }))
 		}
 	}
 }
 
-// Receive takes other VMs' packets until ctx ends.
+// Receive handles packets from other VMs until ctx is done.
 func (f *Fleet) Receive(ctx context.Context) error {
 	return f.transport.Run(ctx, func(p member.Packet) {
-		f.last.Store(time.Now().UnixNano())
-		f.send(f.step(func() []member.Outbound { return f.table.Receive(p, time.Now()) }))
-		f.heard(p.From, p.Mark)
+		f.lastSeen.Store(time.Now().UnixNano())
+		f.send(f.update(func() []member.Outbound { return f.table.Receive(p, time.Now()) }))
+		f.onReceive(p.From, p.Mark)
 	})
 }
 
-// Follow reads the platform's list now and then until ctx ends.
+// PollList reads the platform's VM list at intervals until ctx is done.
 func (f *Fleet) Follow(ctx context.Context) error {
-	wait := listFirst
+	wait := firstListInterval
 	for ctx.Err() == nil {
 		list, err := f.lister.Members(ctx)
 		if err == nil {
-			wait = listEvery
-			f.step(func() []member.Outbound {
+			wait = listInterval
+			f.update(func() []member.Outbound {
 				f.table.List(list, time.Now())
 				return nil
 			})
@@ -140,23 +142,24 @@
 	return nil
 }
 
-// Leave announces that this VM leaves.
+// Leave announces that this VM is shutting down.
 func (f *Fleet) Leave() {
-	f.send(f.step(func() []member.Outbound { return f.table.Leave(time.Now()) }))
+	f.send(f.update(func() []member.Outbound { return f.table.Leave(time.Now()) }))
 }
 
-// Notify tells VMs at once what this one would tell them in time.
+// SendUpdates sends the queued updates and the settings version to the given VMs at once,
+// instead of with the next pings and acks.
 func (f *Fleet) Notify(to []member.Member) {
-	f.send(f.step(func() []member.Outbound { return f.table.Announce(to) }))
+	f.send(f.update(func() []member.Outbound { return f.table.Announce(to) }))
 }
 
-func (f *Fleet) step(do func() []member.Outbound) []member.Outbound {
+func (f *Fleet) update(apply func() []member.Outbound) []member.Outbound {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.SetSettings(f.mark())
-	out := do()
-	if v := f.table.Version(); v != f.shown {
-		f.shown = v
+	f.table.SetSettings(f.settings())
+	out := apply()
+	if v := f.table.Version(); v != f.publishedVersion {
+		f.publishedVersion = v
 		f.publish()
 	}
 	return out
@@ -164,12 +167,12 @@
 
 func (f *Fleet) send(out []member.Outbound) {
 	for i := range out {
-		// A datagram that was not sent is one that was lost.
+		// The protocol tolerates lost datagrams, so a send error needs no handling.
 		_ = f.transport.Send(out[i].To, &out[i].Packet)
 	}
 }
 
-// Domain returns the live VMs of a failure domain.
+// InDomain returns the live VMs of a failure domain.
 func (v *View) Domain(d ident.Domain) []member.Member {
 	var out []member.Member
 	for _, m := range v.Live {
--- a/internal/state/loop/doc.go
+++ b/internal/state/loop/doc.go
@@ -1,5 +1,5 @@
-// Package loop follows a part of the store: it reads everything once, and then waits
-// for changes for as long as no other VM tells of them.
+// Package watch watches a part of the store. It reads everything once and then waits
+// for changes, except while other VMs report them.
 //
-// After any failure it reads everything again, because a change may have passed unseen.
+// After any failure it reads everything again, because it may have missed a change.
 package loop
--- a/internal/state/loop/loop.go
+++ b/internal/state/loop/loop.go
@@ -12,191 +12,202 @@
 )
 
 const (
-	// ReadLimit bounds a read as a whole, so that none goes on for ever. What ends
-	// one that makes no progress is the source's limit on silence: how long a read
-	// takes depends on how much there is to read, and on the VM's link.
+	// ReadTimeout bounds a read as a whole, so that none lasts forever. A read that
+	// makes no progress is ended sooner by the source's idle timeout. The duration of
+	// a read depends on the amount of data and on the VM's link.
 	ReadLimit = 15 * time.Second
-	// firstPause is the pause after the first failed read.
-	firstPause = 50 * time.Millisecond
-	// LastPause is the longest pause between failed reads. It keeps the return of a
-	// store within a third of the 2 s in which a change has to be in force.
+	// minBackoff is the pause after the first failed read, and after a failed wait for
+	// changes.
+	minBackoff = 50 * time.Millisecond
+	// MaxBackoff is the longest pause between failed reads. It keeps the time until a
+	// recovered store is found within a third of the 2 s in which a change must be in
+	// force.
 	LastPause = 400 * time.Millisecond
-	// slowPause is the least pause of VMs that leave it to the first ones to find
-	// out that the store is back.
-	slowPause = 1500 * time.Millisecond
-	// toldPause is how often a VM that is told of changes looks whether it still is.
-	toldPause = 100 * time.Millisecond
-	// lackPause is the same for a VM that knows nothing yet.
-	lackPause = 20 * time.Millisecond
-	// startTime is how long a VM that is told, and knows nothing yet, waits for other
-	// VMs before it reads the store itself.
-	startTime = 3 * time.Second
+	// standbyBackoff is the shortest pause between failed reads of VMs for which
+	// Source.ProbesStore is false. Others find out that the store has recovered.
+	standbyBackoff = 1500 * time.Millisecond
+	// checkInterval is how often a VM that receives changes from peers checks whether
+	// it still does.
+	checkInterval = 100 * time.Millisecond
+	// emptyCheckInterval replaces checkInterval while nothing is known.
+	emptyCheckInterval = 20 * time.Millisecond
+	// peerTimeout is how long a VM that receives changes from peers, but knows nothing
+	// yet, waits for its peers before it reads the store itself.
+	peerTimeout = 3 * time.Second
 )
 
-// Source is the part of the store that a loop follows, with revisions of its changes;
-// the zero revision stands for none.
+// Source is the part of the store that is watched. R is the type of the revisions of its
+// changes; the zero revision means that there is none.
 type Source[R comparable] struct {
 	Name string
-	Wait time.Duration // how long the store holds a wait without changes
-	// Rest returns the pause after a change, so that several come in one answer.
+	Wait time.Duration // how long the store holds a watch open if there are no changes
+	// Pause returns how long to wait after a change, so that the next response contains
+	// several changes.
 	Rest func() time.Duration
-	// Adopt takes everything from another VM; false if that is not possible.
+	// CopyFromPeer copies everything from another VM and reports whether it succeeded.
 	Adopt func(ctx context.Context) bool
-	// Read takes everything.
+	// Read reads everything from the store and returns its revision.
 	Read func(ctx context.Context) (R, error)
-	// Await takes the changes after a revision.
+	// Watch waits for changes after a revision, applies them, and returns the new
+	// revision.
 	Await func(ctx context.Context, after R, wait time.Duration) (R, error)
-	Lost  func(now time.Time)
-	Back  func(now time.Time)
-	// Known returns the revision up to which everything is known; zero: all has
-	// to be read.
+	// OnLost is called after each failed call to the store.
+	Lost func(now time.Time)
+	// OnRecovered is called after the first successful read after a failure.
+	Back func(now time.Time)
+	// Revision returns the revision up to which everything is known, or zero if
+	// everything has to be read.
 	Known func() R
-	// Empty reports whether nothing is known that this VM could go on with while it
-	// is told.
+	// Empty reports whether too little is known for this VM to work with while it
+	// receives changes from peers.
 	Empty func() bool
-	// Told reports whether other VMs tell what changes, so that the store need
-	// not be asked.
+	// Informed reports whether this VM receives changes from peers and need not watch
+	// the store.
 	Told func() bool
-	// First reports whether this VM is to find out soon that the store is back.
+	// ProbesStore reports whether this VM has to find out soon that the store has
+	// recovered.
 	First func() bool
 }
 
-// Loop follows a source.
+// Watcher watches a source.
 type Loop[R comparable] struct {
 	src  Source[R]
 	log  *zap.Logger
 	down bool
-	// lacking is since when nothing is known; zero: something is.
-	lacking time.Time
+	// emptySince is when the source was first found to be empty; zero if it is not.
+	emptySince time.Time
 }
 
-// New makes a loop over a source.
+// New returns a Watcher of a source.
 func New[R comparable](src Source[R], log *zap.Logger) *Loop[R] {
 	return &Loop[R]{src: src, log: log}
 }
 
-// Run follows the source until ctx ends.
-func (l *Loop[R]) Run(ctx context.Context) {
+// Run watches the source until ctx is done.
+func (w *Loop[R]) Run(ctx context.Context) {
 	var none R
-	for n := 0; ctx.Err() == nil; n++ {
-		if l.leave(ctx) {
-			pause := toldPause
-			if l.src.Empty() {
-				pause = lackPause
+	for rounds := 0; ctx.Err() == nil; rounds++ {
+		if w.deferToPeers(ctx) {
+			pause := checkInterval
+			if w.src.Empty() {
+				pause = emptyCheckInterval
 			}
 			retry.Pause(ctx, pause)
 			continue
 		}
-		if l.src.Known() == none && l.src.Adopt(ctx) {
+		if w.src.Known() == none && w.src.Adopt(ctx) {
 			continue
 		}
-		_, err := l.read(ctx)
+		_, err := w.read(ctx)
 		if err != nil {
-			l.failed(ctx, "read", err)
-			l.rest(ctx, n)
+			w.recordFailure(ctx, "read", err)
+			w.backOff(ctx, rounds)
 			continue
 		}
-		n = 0
-		l.recovered()
-		err = l.follow(ctx)
-		if !errors.Is(err, errGap) {
-			l.failed(ctx, "wait", err)
-			retry.Pause(ctx, firstPause)
+		rounds = 0
+		w.recordRecovery()
+		err = w.watch(ctx)
+		if !errors.Is(err, errIncomplete) {
+			w.recordFailure(ctx, "wait", err)
+			retry.Pause(ctx, minBackoff)
 		}
 	}
 }
 
-// leave reports whether this VM leaves it to others to ask the store. What it lacks
-// it takes from them.
-func (l *Loop[R]) leave(ctx context.Context) bool {
-	if !l.src.Empty() {
-		l.lacking = time.Time{}
-		return l.src.Told()
+// deferToPeers reports whether this VM does not call the store because it receives
+// changes from peers. If it knows nothing yet, it copies everything from a peer.
+func (w *Loop[R]) deferToPeers(ctx context.Context) bool {
+	if !w.src.Empty() {
+		w.emptySince = time.Time{}
+		return w.src.Told()
 	}
 	now := time.Now()
-	if l.lacking.IsZero() {
-		l.lacking = now
+	if w.emptySince.IsZero() {
+		w.emptySince = now
 	}
-	if !l.src.Told() || now.Sub(l.lacking) > startTime {
+	if !w.src.Told() || now.Sub(w.emptySince) > peerTimeout {
 		return false
 	}
-	l.src.Adopt(ctx)
+	w.src.Adopt(ctx)
 	return true
 }
 
-// errGap says that changes were told of which some are missing.
-var errGap = errors.New("loop: some changes were not told")
+// errIncomplete is returned if some changes were not received from peers, so that
+// everything has to be copied or read anew.
+var errIncomplete = errors.New("watch: some changes were not received from other VMs")
 
-// rest pauses after failed read n. What others tell ends it.
-func (l *Loop[R]) rest(ctx context.Context, n int) {
-	d := min(firstPause<<min(n, 8), LastPause)
-	if n > 0 && !l.src.First() {
-		d = slowPause + rand.N(slowPause)
+// backOff waits after a failed read. rounds is the number of rounds of Run since the last
+// successful read. The wait ends early once this VM receives changes from peers.
+func (w *Loop[R]) backOff(ctx context.Context, rounds int) {
+	d := min(minBackoff<<min(rounds, 8), LastPause)
+	if rounds > 0 && !w.src.First() {
+		d = standbyBackoff + rand.N(standbyBackoff)
 	}
 	for end := time.Now().Add(d); ctx.Err() == nil && time.Now().Before(end); {
-		if l.src.Told() {
+		if w.src.Told() {
 			return
 		}
-		retry.Pause(ctx, min(toldPause, time.Until(end)))
+		retry.Pause(ctx, min(checkInterval, time.Until(end)))
 	}
 }
 
-func (l *Loop[R]) read(ctx context.Context) (R, error) {
+func (w *Loop[R]) read(ctx context.Context) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, ReadLimit)
 	defer cancel()
-	return l.src.Read(ctx)
+	return w.src.Read(ctx)
 }
 
-// follow waits for changes until something fails.
-func (l *Loop[R]) follow(ctx context.Context) error {
+// watch waits for changes until a call fails, or until everything has to be read or copied
+// anew, in which case it returns errIncomplete.
+func (w *Loop[R]) watch(ctx context.Context) error {
 	var none R
 	for ctx.Err() == nil {
-		if l.src.Told() {
-			if l.src.Empty() {
-				return errGap
+		if w.src.Told() {
+			if w.src.Empty() {
+				return errIncomplete
 			}
-			retry.Pause(ctx, toldPause)
+			retry.Pause(ctx, checkInterval)
 			continue
 		}
-		rev := l.src.Known()
+		rev := w.src.Known()
 		if rev == none {
-			return errGap
+			return errIncomplete
 		}
-		next, err := l.await(ctx, rev)
+		next, err := w.await(ctx, rev)
 		if err != nil {
 			return err
 		}
 		if next != rev {
-			retry.Pause(ctx, l.src.Rest())
+			retry.Pause(ctx, w.src.Rest())
 		}
 	}
 	return ctx.Err()
 }
 
-func (l *Loop[R]) await(ctx context.Context, rev R) (R, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.src.Wait+ReadLimit)
+func (w *Loop[R]) await(ctx context.Context, rev R) (R, error) {
+	ctx, cancel := context.WithTimeout(ctx, w.src.Wait+ReadLimit)
 	defer cancel()
-	return l.src.Await(ctx, rev, l.src.Wait)
+	return w.src.Await(ctx, rev, w.src.Wait)
 }
 
-// failed notes a failure; the first of several in a row is a dependency lost.
-func (l *Loop[R]) failed(ctx context.Context, call string, err error) {
+// recordFailure records a failed call to the store and logs the first of several in a row.
+func (w *Loop[R]) recordFailure(ctx context.Context, call string, err error) {
 	if ctx.Err() != nil || err == nil {
 		return
 	}
-	l.src.Lost(time.Now())
-	if l.down {
+	w.src.Lost(time.Now())
+	if w.down {
 		return
 	}
-	l.down = true
-	l.log.Warn("store lost", zap.String("source", l.src.Name), zap.String("call", call), zap.Error(err))
+	w.down = true
+	w.log.Warn("store lost", zap.String("source", w.src.Name), zap.String("call", call), zap.Error(err))
 }
 
-func (l *Loop[R]) recovered() {
-	if !l.down {
+func (w *Loop[R]) recordRecovery() {
+	if !w.down {
 		return
 	}
-	l.down = false
-	l.src.Back(time.Now())
-	l.log.Info("store back", zap.String("source", l.src.Name))
+	w.down = false
+	w.src.Back(time.Now())
+	w.log.Info("store back", zap.String("source", w.src.Name))
 }
