--- a/internal/state/claim/claims.go
+++ b/internal/state/claim/claims.go
@@ -24,8 +24,8 @@
 
 // HolderClient calls the VM that holds a shard.
 type HolderClient interface {
-	Claim(ctx context.Context, to member.Member, shard int, key string, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error)
-	Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, answer *proto.Answer) error
+	Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error)
+	Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error
 }
 
 // Claims claims each key that contains its creation time at the lease holder of its
@@ -39,8 +39,8 @@
 }
 
 // New returns the Claims of a VM.
-func New(vm ident.VM, f keeper.Fleet, k *keeper.Keeper, d *direct.Claims, a HolderClient) *Claims {
-	return &Claims{vm: vm, fleet: f, keeper: k, direct: d, client: a}
+func New(vm ident.VM, f keeper.Fleet, k *keeper.Keeper, d *direct.Claims, client HolderClient) *Claims {
+	return &Claims{vm: vm, fleet: f, keeper: k, direct: d, client: client}
 }
 
 // scopedKey returns the key prefixed with its workspace, so that equal keys of two
@@ -51,7 +51,7 @@
 
 // Claim claims the key for the request. It returns nil and nil if the request may run,
 // the response if an earlier call with the key completed, or a refusal.
-func (c *Claims) Claim(ctx context.Context, w ident.Workspace, key string, sum [32]byte, r ident.Request) (*proto.Answer, *refuse.Refusal) {
+func (c *Claims) Claim(ctx context.Context, w ident.Workspace, key string, fingerprint [32]byte, r ident.Request) (*proto.Answer, *refuse.Refusal) {
 	created, ok := ident.Minted(key)
 	if !ok {
 		return nil, c.direct.Claim(ctx, w, key, r)
@@ -62,7 +62,7 @@
 		if attempt > 0 {
 			time.Sleep(retryPause)
 		}
-		d, response, err := c.claimOnce(ctx, scoped, created, sum, r)
+		d, response, err := c.claimOnce(ctx, scoped, created, fingerprint, r)
 		switch {
 		case err != nil:
 			reason = trace.UserMessage(err)
@@ -77,16 +77,16 @@
 
 // claimOnce claims the key once at the VM that owns its shard. It is safe to repeat: a
 // lease holder grants a key again to the request that has it.
-func (c *Claims) claimOnce(ctx context.Context, key string, created time.Time, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
+func (c *Claims) claimOnce(ctx context.Context, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
 	shard := shardOf(key)
 	owner, ok := keeper.HomeOf(shard, c.fleet.View().Live)
 	if !ok || owner.Name == c.vm {
-		d, response := c.keeper.Claim(shard, key, created, sum, r)
+		d, response := c.keeper.Claim(shard, key, created, fingerprint, r)
 		return d, response, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.client.Claim(ctx, owner, shard, key, sum, r)
+	return c.client.Claim(ctx, owner, shard, key, fingerprint, r)
 }
 
 func resultOf(d term.Verdict, response *proto.Answer) (*proto.Answer, *refuse.Refusal) {
--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -495,13 +495,14 @@
 	return n
 }
 
-// Coordinator is a VM that may coordinate a service, that is, place its calls.
+// CoordinatorCandidate is a VM that may coordinate a service, that is, decide the placement
+// of its calls.
 type Rank struct {
 	VM   ident.VM
 	Addr netip.AddrPort // not valid: this VM
 }
 
-// Coordinators returns the first n hubs in the order in which they take over the
+// CoordinatorOrder returns the first n hubs in the order in which they take over the
 // coordination of a service. Logs and metrics call the coordinator the home.
 func (h *Hubs) Order(service ident.Service, n int, now time.Time) []Rank {
 	h.mu.Lock()
--- a/internal/state/hubs/hubs_test.go
+++ b/internal/state/hubs/hubs_test.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// TestTargets checks which VMs one VM reports to as a hub lists candidates, one of them
-// stops responding, and it comes back.
+// TestTargets checks which VMs one VM reports to after a hub has listed candidates, one of
+// them stops responding, and it comes back.
 func TestTargets(t *testing.T) {
 	now := time.Now()
 	h := New(candidate(99, 12), nil, now)
--- a/internal/state/hubs/watch.go
+++ b/internal/state/hubs/watch.go
@@ -10,8 +10,8 @@
 	// If there were only one, its loss would be noticed only after watcherTimeout.
 	watcherCount = 2
 	// watcherTimeout is how long after the last message of a hub that watches the next
-	// hub replaces it. Hubs report each 500 ms, and a server that leaves must get no
-	// call 2 s later.
+	// hub replaces it. Hubs report each 500 ms, and a server that retires must get
+	// no call 2 s later.
 	watcherTimeout = 800 * time.Millisecond
 	// maxResponseAge is how long ago the store may have responded to a hub that watches for
 	// its watch to count as working. Servers' heartbeats are changes, so the store
@@ -33,11 +33,11 @@
 	if h.joining(now) {
 		return false
 	}
-	fresh := h.watchersBefore(now)
+	watching := h.watchersBefore(now)
 	if h.rank >= Count {
 		return now.Sub(h.storeResponded) < reachableTime && h.peerDataAge(now) > staleTimeout
 	}
-	return fresh < watcherCount
+	return watching < watcherCount
 }
 
 // joining reports whether this VM is still starting and looks for other VMs.
@@ -55,7 +55,7 @@
 }
 
 // watchersBefore returns how many VMs before this one in the order watch the store and
-// gets responses.
+// get responses.
 func (h *Hubs) watchersBefore(now time.Time) int {
 	n := 0
 	for _, c := range h.topCandidates(now)[:h.rank] {
@@ -113,11 +113,11 @@
 }
 
 func (h *Hubs) peerDataAge(now time.Time) time.Duration {
-	quiet := forgetAfter
+	age := forgetAfter
 	for _, p := range h.peers {
-		quiet = min(quiet, p.status.Age+now.Sub(p.lastSeen))
+		age = min(age, p.status.Age+now.Sub(p.lastSeen))
 	}
-	return quiet
+	return age
 }
 
 // PeersReachStore reports whether the store responds to another VM that watches it.
