--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -43,10 +43,10 @@
 // Membership maintains the membership list of one VM. It is safe for use by several
 // goroutines.
 type Fleet struct {
-	transport Transport
-	lister    Lister
-	settings  func() member.Mark
-	onReceive func(member.Member, member.Mark)
+	transport       Transport
+	lister          Lister
+	settingsVersion func() member.Mark
+	onReceive       func(member.Member, member.Mark)
 
 	mu               sync.Mutex
 	table            *member.Table
@@ -55,11 +55,11 @@
 	lastSeen         atomic.Int64 // when the last packet arrived, in Unix nanoseconds
 }
 
-// New returns a Membership. settings returns the version of the settings that this VM has
-// in force. onReceive is called with the sender of each packet and the version that the
-// sender has in force, and must not block.
-func New(table *member.Table, t Transport, l Lister, settings func() member.Mark, onReceive func(member.Member, member.Mark)) *Fleet {
-	f := &Fleet{transport: t, lister: l, settings: settings, onReceive: onReceive, table: table}
+// New returns a Membership. settingsVersion returns the version of the settings that this
+// VM has in force. onReceive is called with the sender of each packet and the version that
+// the sender has in force, and must not block.
+func New(table *member.Table, t Transport, l Lister, settingsVersion func() member.Mark, onReceive func(member.Member, member.Mark)) *Fleet {
+	f := &Fleet{transport: t, lister: l, settingsVersion: settingsVersion, onReceive: onReceive, table: table}
 	f.publish()
 	return f
 }
@@ -156,7 +156,7 @@
 func (f *Fleet) update(apply func() []member.Outbound) []member.Outbound {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.SetSettings(f.settings())
+	f.table.SetSettingsVersion(f.settingsVersion())
 	out := apply()
 	if v := f.table.Version(); v != f.publishedVersion {
 		f.publishedVersion = v
--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -171,9 +171,9 @@
 
 // SetRegistered records the VMs that are registered in the store, and that the store
 // responded at now.
-func (h *Hubs) SetRegistered(names map[ident.VM]netip.AddrPort, now time.Time) {
-	list := make([]Candidate, 0, len(names))
-	for name, addr := range names {
+func (h *Hubs) SetRegistered(registered map[ident.VM]netip.AddrPort, now time.Time) {
+	list := make([]Candidate, 0, len(registered))
+	for name, addr := range registered {
 		if name != h.self.VM {
 			list = append(list, Candidate{VM: name, Addr: addr})
 		}
@@ -185,13 +185,13 @@
 	h.topAt = time.Time{}
 }
 
-// CountResponding returns how many of the other VMs registered in the store do not count
-// as not responding.
-func (h *Hubs) CountResponding(names map[ident.VM]netip.AddrPort, now time.Time) int {
+// CountResponding counts the other VMs registered in the store, except those that are not
+// responding.
+func (h *Hubs) CountResponding(registered map[ident.VM]netip.AddrPort, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for name := range names {
+	for name := range registered {
 		if name != h.self.VM && !h.peers[name].notResponding(now) {
 			n++
 		}
@@ -232,9 +232,9 @@
 func (p *peer) live(now time.Time) bool { return p != nil && now.Sub(p.lastSeen) < Silence }
 
 // topCandidates returns the top of the order and computes it anew once it is older than
-// orderTTL. The order contains the live VMs and those that hubs list and that are not
-// not responding. The VMs registered in the store are used while there is no list of a
-// hub with a VM that may respond.
+// orderTTL. The order contains the live VMs and those on hub lists, except VMs that are
+// not responding. The VMs registered in the store replace the hub lists while these
+// contain no VM that may respond.
 func (h *Hubs) topCandidates(now time.Time) []Candidate {
 	if now.Sub(h.topAt) < orderTTL {
 		return h.top
@@ -272,25 +272,25 @@
 }
 
 // firstHubs returns the hubs, the first Count candidates.
-func firstHubs(first []Candidate) []Candidate { return first[:min(len(first), Count)] }
+func firstHubs(list []Candidate) []Candidate { return list[:min(len(list), Count)] }
 
 // currentCandidates returns the candidates of all hub lists that are less than
 // PeerTimeout older than the newest one. When all hubs are lost, no newer list arrives,
 // and the candidates that they listed last replace them.
 func (h *Hubs) currentCandidates(now time.Time) []Candidate {
 	var newest time.Time
-	for by, n := range h.listings {
-		if by != storeSource && n.at.After(newest) {
-			newest = n.at
+	for by, l := range h.listings {
+		if by != storeSource && l.at.After(newest) {
+			newest = l.at
 		}
 	}
 	if newest.IsZero() {
 		return h.listings[storeSource].list
 	}
 	var out []Candidate
-	for by, n := range h.listings {
-		if by != storeSource && newest.Sub(n.at) < Silence {
-			out = append(out, n.list...)
+	for by, l := range h.listings {
+		if by != storeSource && newest.Sub(l.at) < Silence {
+			out = append(out, l.list...)
 		}
 	}
 	if h.noneRespond(out, now) {
@@ -434,9 +434,9 @@
 // lists; other VMs probe only VMs on hub lists that are not responding.
 func (h *Hubs) probeCandidate(targets []Candidate, now time.Time) (Candidate, bool) {
 	var list []Candidate
-	for by, n := range h.listings {
+	for by, l := range h.listings {
 		if by != storeSource || h.rank < Count {
-			list = append(list, n.list...)
+			list = append(list, l.list...)
 		}
 	}
 	for _, c := range list {
@@ -506,12 +506,12 @@
 // coordination of a service. Logs and metrics call the coordinator the home.
 func (h *Hubs) Order(service ident.Service, n int, now time.Time) []Rank {
 	h.mu.Lock()
-	first := slices.Clone(h.topCandidates(now))
+	hubs := slices.Clone(h.topCandidates(now))
 	h.mu.Unlock()
-	first = firstHubs(first)
-	sortForService(service, first)
+	hubs = firstHubs(hubs)
+	sortForService(service, hubs)
 	out := make([]Rank, 0, n)
-	for _, c := range first[:min(len(first), n)] {
+	for _, c := range hubs[:min(len(hubs), n)] {
 		r := Rank{VM: c.VM, Addr: c.Addr}
 		if c.VM == h.self.VM {
 			r.Addr = netip.AddrPort{}
--- a/internal/state/hubs/order.go
+++ b/internal/state/hubs/order.go
@@ -26,7 +26,7 @@
 )
 
 // CapacityOf returns the capacity of a VM with a number of processor cores, which may be
-// a fraction, and a link rate in bits a second. The scarcer of the two decides.
+// a fraction, and a link rate in bits a second. The lower of the two limits applies.
 func CapacityOf(cores, link float64) Capacity {
 	n := min(cores*messagesPerCore, link/messageBits)
 	return min(Capacity(bits.Len64(uint64(max(n, 0)))), maxCapacity)
@@ -82,8 +82,8 @@
 	return n
 }
 
-// homeHash returns the key by which VMs are ordered as coordinators of a service.
-func homeHash(service ident.Service, vm ident.VM) uint64 {
+// coordinatorHash returns the key by which VMs are ordered as coordinators of a service.
+func coordinatorHash(service ident.Service, vm ident.VM) uint64 {
 	return xxhash.Sum64String(string(service) + "/" + string(vm))
 }
 
@@ -91,7 +91,7 @@
 // of a service.
 func sortForService(service ident.Service, list []Candidate) {
 	slices.SortFunc(list, func(a, b Candidate) int {
-		return cmp.Compare(homeHash(service, a.VM), homeHash(service, b.VM))
+		return cmp.Compare(coordinatorHash(service, a.VM), coordinatorHash(service, b.VM))
 	})
 }
 
--- a/internal/state/member/table.go
+++ b/internal/state/member/table.go
@@ -17,21 +17,21 @@
 // Table is the membership list of one VM. It is not safe for use by several
 // goroutines. The VM itself is always alive in it, until Leave is called.
 type Table struct {
-	cfg       Config
-	rng       *rand.Rand
-	self      Member
-	others    map[ident.VM]*entry
-	pingOrder []ident.VM // targets of pings, reshuffled each round
-	nextIndex int
-	updates   []*queuedUpdate
-	sequence  uint64
-	probes    map[uint64]*probe
-	lastTick  time.Time
-	nextPing  time.Time
-	pings     int
-	settings  Mark
-	version   uint64
-	removals  uint64 // how often this VM has declared another dead
+	cfg             Config
+	rng             *rand.Rand
+	self            Member
+	others          map[ident.VM]*entry
+	pingOrder       []ident.VM // targets of pings, reshuffled each round
+	nextIndex       int
+	updates         []*queuedUpdate
+	sequence        uint64
+	probes          map[uint64]*probe
+	lastTick        time.Time
+	nextPing        time.Time
+	pings           int
+	settingsVersion Mark
+	version         uint64
+	removals        uint64 // how often this VM has declared another dead
 }
 
 type entry struct {
@@ -73,8 +73,8 @@
 // Self returns this VM.
 func (t *Table) Self() Member { return t.self }
 
-// SetSettings sets the version of the settings in force that packets report.
-func (t *Table) SetSettings(m Mark) { t.settings = m }
+// SetSettingsVersion sets the version of the settings in force that packets report.
+func (t *Table) SetSettingsVersion(v Mark) { t.settingsVersion = v }
 
 // Removals returns how many times this VM itself has declared another dead.
 func (t *Table) Removals() uint64 { return t.removals }
@@ -268,7 +268,7 @@
 
 // newPacket returns a packet with the updates that were sent the fewest times.
 func (t *Table) newPacket(k Kind, seq uint64) Packet {
-	p := Packet{Kind: k, Sequence: seq, From: t.self, Mark: t.settings}
+	p := Packet{Kind: k, Sequence: seq, From: t.self, Mark: t.settingsVersion}
 	slices.SortStableFunc(t.updates, func(a, b *queuedUpdate) int { return cmp.Compare(a.sends, b.sends) })
 	limit := retransmitFactor * (bits.Len(uint(len(t.others)+1)) + 1)
 	for _, u := range t.updates[:min(len(t.updates), t.cfg.MaxUpdates)] {
