--- a/internal/state/backs/doc.go
+++ b/internal/state/backs/doc.go
@@ -1,7 +1,7 @@
-// Package backs knows the backend servers: which take work, which are leaving
-// and which are gone.
+// Package server tracks the backend servers: which accept new work, which are
+// leaving, and which are gone.
 //
-// Entries that lapse while the store can't be reached say nothing of their
-// servers, so they stay usable until a servers' own writes had time to bring
-// them back.
+// An entry that expires while the store is unreachable does not mean that its
+// server is gone, because the server could not renew it. Such a server stays
+// usable until it has had time to write its entry again.
 package backs
--- a/internal/state/backs/drain.go
+++ b/internal/state/backs/drain.go
@@ -8,55 +8,56 @@
 )
 
 const (
-	// drainTime is how long the drain of a start is remembered, and announceTime how long
-	// it is announced at most while no entry confirms it. An outage of the store may last
-	// for minutes, and the start ends sooner.
-	drainTime    = 10 * time.Minute
-	announceTime = time.Minute
-	// mostAnnounced bounds the drains in one message.
-	mostAnnounced = 100
+	// drainRetention is how long the drain of a server start is remembered, and
+	// drainAnnounceTime is the longest time for which it is announced while no entry
+	// confirms it. A store outage may last for minutes; a draining start ends before that.
+	drainRetention    = 10 * time.Minute
+	drainAnnounceTime = time.Minute
+	// maxAnnounced bounds the number of drains in one message.
+	maxAnnounced = 100
 )
 
-// drain is a start of a server that drains.
+// drain records that a start of a server is draining.
 type drain struct {
 	at        time.Time
-	confirmed bool // the entry says so, or is gone: others learn it from there
+	confirmed bool // the entry in the store says so or is gone, so other VMs learn it from the store
 	announce  bool
 }
 
-// drained returns the drain of a start, which begins now unless it is known.
-func (t *Table) drained(id ident.Server, now time.Time) *drain {
+// recordDrain returns the drain of a server start, and records one that begins now if
+// there is none. It also removes drains older than drainRetention.
+func (t *Table) recordDrain(id ident.Server, now time.Time) *drain {
 	d := t.drains[id]
 	if d == nil {
 		d = &drain{at: now}
 		t.drains[id] = d
 	}
 	for other, o := range t.drains {
-		if now.Sub(o.at) > drainTime {
+		if now.Sub(o.at) > drainRetention {
 			delete(t.drains, other)
 		}
 	}
 	return d
 }
 
-// Drain notes that a server has said itself that it drains. It reports whether that is
-// news.
+// MarkDraining records that a server has reported that it is draining. It reports whether
+// the drain was unknown before.
 func (t *Table) Drain(id ident.Server, now time.Time) bool {
 	return len(t.Drains([]ident.Server{id}, true, now)) > 0
 }
 
-// Drains notes that servers have said that they drain, and returns those of which that
-// is news. With announce other VMs are to learn of it from this one.
+// MarkAllDraining records that servers are draining and returns those whose drain was
+// unknown before. If announce is set, this VM announces the drains to other VMs.
 func (t *Table) Drains(ids []ident.Server, announce bool, now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []ident.Server
 	for _, id := range ids {
 		known := t.drains[id] != nil
-		d := t.drained(id, now)
+		d := t.recordDrain(id, now)
 		if announce && !d.announce {
 			d.announce = true
-			t.onLeave()
+			t.onRetire()
 		}
 		if known {
 			continue
@@ -70,30 +71,31 @@
 	return out
 }
 
-// retire takes a server out of use that still serves what it has.
+// retire stops new work to a server, which continues to serve the calls that it has.
 func (t *Table) retire(id ident.Server) {
-	old := t.all[id]
+	old := t.servers[id]
 	if old == nil || old.Leaving {
 		return
 	}
-	s := &Server{Entry: old.Entry, leave: old.leave}
+	s := &Server{Entry: old.Entry, retired: old.retired}
 	s.Leaving = true
-	t.all[id] = s
-	close(s.leave)
+	t.servers[id] = s
+	close(s.retired)
 }
 
-// Draining returns the servers whose drain this VM announces: those that it learnt of
-// from themselves or, as a hub, from others, until their entries say so.
+// DrainsToAnnounce returns the servers whose drain this VM announces, latest first. It
+// learned of these drains from the servers or, as a hub, from other VMs. A drain is
+// announced until the server's entry confirms it.
 func (t *Table) Draining(now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []ident.Server
 	for id, d := range t.drains {
 		age := now.Sub(d.at)
-		if d.announce && (age <= newsTime || !d.confirmed && age <= announceTime) {
+		if d.announce && (age <= retireAnnounceTime || !d.confirmed && age <= drainAnnounceTime) {
 			out = append(out, id)
 		}
 	}
 	slices.SortFunc(out, func(a, b ident.Server) int { return t.drains[b].at.Compare(t.drains[a].at) })
-	return out[:min(len(out), mostAnnounced)]
+	return out[:min(len(out), maxAnnounced)]
 }
--- a/internal/state/backs/table.go
+++ b/internal/state/backs/table.go
@@ -10,11 +10,11 @@
 	"umberladder/internal/core/ident"
 )
 
-// ReturnTime is how long a live server may need to write its entry again after
-// an outage of the store in which it lapsed; the platform states 2 s.
+// ReregisterTime is the longest time that a live server needs to write its entry
+// again after a store outage in which the entry expired. The platform specifies 2 s.
 const ReturnTime = 2 * time.Second
 
-// Entry is what a server says of itself.
+// Entry is a server's registration in the store.
 type Entry struct {
 	ID      ident.Server
 	Service ident.Service
@@ -24,39 +24,39 @@
 	Leaving bool
 }
 
-// Server is one start of a backend server. Its fields never change; a changed
-// entry makes a new Server that shares the channel.
+// Server is one start of a backend server. It is immutable; a changed entry
+// creates a new Server that shares the channel.
 type Server struct {
 	Entry
-	leave chan struct{}
+	retired chan struct{}
 }
 
-// Leave returns a channel that is closed once the server takes no new work.
-func (s *Server) Leave() <-chan struct{} { return s.leave }
+// Retired returns a channel that is closed once the server accepts no new work.
+func (s *Server) Leave() <-chan struct{} { return s.retired }
 
-// Left reports whether the server takes no new work.
+// IsRetired reports whether the server accepts no new work.
 func (s *Server) Left() bool {
 	select {
-	case <-s.leave:
+	case <-s.retired:
 		return true
 	default:
 		return false
 	}
 }
 
-// View is the set of servers at a moment. It never changes.
+// View is an immutable snapshot of the known servers.
 type View struct {
 	servers  map[ident.Server]*Server
 	services map[ident.Service][]*Server
 }
 
-// Service returns the servers of a service that take new work.
+// Service returns the servers of a service that accept new work.
 func (v *View) Service(name ident.Service) []*Server { return v.services[name] }
 
-// Server returns a server that is known, or nil; it may be leaving.
+// Server returns a known server, which may be leaving, or nil.
 func (v *View) Server(id ident.Server) *Server { return v.servers[id] }
 
-// All returns the entries of all servers that are known.
+// All returns the entries of all known servers.
 func (v *View) All() []Entry {
 	out := make([]Entry, 0, len(v.servers))
 	for _, s := range v.servers {
@@ -65,45 +65,46 @@
 	return out
 }
 
-// Len returns how many servers are known.
+// Len returns the number of known servers.
 func (v *View) Len() int { return len(v.servers) }
 
-// newsTime is how long a server that leaves is announced to other VMs: three of
-// their messages may be lost.
-const newsTime = 1500 * time.Millisecond
+// retireAnnounceTime is how long a retired server is announced to other VMs. It
+// tolerates the loss of three messages.
+const retireAnnounceTime = 1500 * time.Millisecond
 
-// Table follows the servers' entries. Reads take no lock.
+// Table tracks the servers' entries. Reads take no lock.
 type Table struct {
-	onLeave func()
+	onRetire func()
 
-	mu     sync.Mutex
-	all    map[ident.Server]*Server
-	names  map[string]ident.Server    // the latest start of each name
-	lapsed map[ident.Server]time.Time // entries that lapsed in an outage: when they count as gone
-	news   map[ident.Server]time.Time // servers seen to leave, and when
-	drains map[ident.Server]*drain    // starts that have begun to drain, whatever entries say
-	view   atomic.Pointer[View]
+	mu      sync.Mutex
+	servers map[ident.Server]*Server
+	latest  map[string]ident.Server    // the latest start under each name
+	expired map[ident.Server]time.Time // entries that expired in a store outage, and when they count as gone
+	retired map[ident.Server]time.Time // servers that this VM has seen leave, and when
+	drains  map[ident.Server]*drain    // starts known to drain, even if their entries do not say so
+	view    atomic.Pointer[View]
 }
 
-// NewTable makes an empty table. It calls onLeave once a server is seen to leave.
-func NewTable(onLeave func()) *Table {
+// NewTable returns an empty table. It calls onRetire each time there is a retired
+// or draining server to announce.
+func NewTable(onRetire func()) *Table {
 	t := &Table{
-		onLeave: onLeave,
-		all:     make(map[ident.Server]*Server),
-		names:   make(map[string]ident.Server),
-		lapsed:  make(map[ident.Server]time.Time),
-		news:    make(map[ident.Server]time.Time),
-		drains:  make(map[ident.Server]*drain),
+		onRetire: onRetire,
+		servers:  make(map[ident.Server]*Server),
+		latest:   make(map[string]ident.Server),
+		expired:  make(map[ident.Server]time.Time),
+		retired:  make(map[ident.Server]time.Time),
+		drains:   make(map[ident.Server]*drain),
 	}
 	t.publish()
 	return t
 }
 
-// View returns the servers known now.
+// View returns the current view.
 func (t *Table) View() *View { return t.view.Load() }
 
-// Put takes a server's entry. It reports whether what is known of the server
-// changed, or its entry had lapsed.
+// Put applies a server's entry. It reports whether the entry differs from the known
+// one or replaces an expired one.
 func (t *Table) Put(e Entry) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,60 +116,62 @@
 }
 
 func (t *Table) put(e Entry) bool {
-	if !t.succeeds(e.ID) {
+	if !t.supersede(e.ID) {
 		return false
 	}
-	_, lapsed := t.lapsed[e.ID]
-	delete(t.lapsed, e.ID)
+	_, expired := t.expired[e.ID]
+	delete(t.expired, e.ID)
 	if e.Leaving {
-		t.drained(e.ID, time.Now()).confirmed = true
+		t.recordDrain(e.ID, time.Now()).confirmed = true
 	}
-	// A start that drains does not change its mind: an entry that says so is older.
+	// A draining start never returns to service, so an entry that shows it as ready
+	// is outdated.
 	e.Leaving = t.drains[e.ID] != nil
-	old := t.all[e.ID]
+	old := t.servers[e.ID]
 	if old != nil && old.Entry == e {
-		return lapsed
+		return expired
 	}
-	s := &Server{Entry: e, leave: make(chan struct{})}
+	s := &Server{Entry: e, retired: make(chan struct{})}
 	if old != nil {
-		s.leave = old.leave
+		s.retired = old.retired
 	}
 	if s.Leaving && (old == nil || !old.Leaving) {
-		close(s.leave)
+		close(s.retired)
 		t.announce(e.ID)
 	}
-	t.all[e.ID] = s
-	t.names[e.ID.Name()] = e.ID
+	t.servers[e.ID] = s
+	t.latest[e.ID.Name()] = e.ID
 	return true
 }
 
-// succeeds ends the earlier start of the server's name, if there is one. It
-// reports false if a later one is known: what is told of id comes late.
-func (t *Table) succeeds(id ident.Server) bool {
-	known, ok := t.names[id.Name()]
+// supersede drops the earlier start under the server's name, if there is one. It
+// reports false if a later start is known, which means that id is outdated.
+func (t *Table) supersede(id ident.Server) bool {
+	known, ok := t.latest[id.Name()]
 	if !ok || known == id {
 		return true
 	}
 	if id.Born().Before(known.Born()) {
 		return false
 	}
-	t.end(known)
+	t.dropAndAnnounce(known)
 	return true
 }
 
-// Remove takes the end of the entry of a name. Within an outage of the store, or
-// until ReturnTime after it, the server stays usable until then. It reports
-// whether a server was known by that name. The server is not announced by Leaving:
-// announcements have no revision, so one could undo a later entry at other VMs.
+// Remove applies the removal of the entry under a name. If now is before until, a
+// store outage may have caused the removal, and the server stays usable until then.
+// It reports whether a server was known by that name. RetiredToAnnounce does not
+// return the server: announcements have no revision, so one could override a later
+// entry at other VMs.
 func (t *Table) Remove(name string, until time.Time, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	id, ok := t.names[name]
+	id, ok := t.latest[name]
 	if !ok {
 		return false
 	}
 	if now.Before(until) {
-		t.lapsed[id] = until
+		t.expired[id] = until
 		return true
 	}
 	t.drop(id)
@@ -176,20 +179,21 @@
 	return true
 }
 
-// Receive takes servers that another VM reports as leaving, and returns those of which
-// that is news. With pass they are announced to others as if this VM had seen it itself.
-func (t *Table) Receive(ids []ident.Server, pass bool) []ident.Server {
+// ApplyRetired drops servers that another VM reports as retired, and returns those that
+// were in use here. If forward is set, they are announced to other VMs as if this VM had
+// seen them leave.
+func (t *Table) Receive(ids []ident.Server, forward bool) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var left []ident.Server
 	for _, id := range ids {
-		s := t.all[id]
+		s := t.servers[id]
 		if s == nil || s.Leaving {
 			continue
 		}
 		t.drop(id)
 		left = append(left, id)
-		if pass {
+		if forward {
 			t.announce(id)
 		}
 	}
@@ -199,28 +203,29 @@
 	return left
 }
 
-// Left notes that a server is gone: another one answers at its address. It reports
-// whether that is news.
+// MarkReplaced drops a server at whose address another server answers. It reports
+// whether the server was in use here.
 func (t *Table) Left(id ident.Server) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.all[id]; s == nil || s.Leaving {
+	if s := t.servers[id]; s == nil || s.Leaving {
 		return false
 	}
-	t.drained(id, time.Now()).confirmed = true
-	t.end(id)
+	t.recordDrain(id, time.Now()).confirmed = true
+	t.dropAndAnnounce(id)
 	t.publish()
 	return true
 }
 
-// Leaving returns the servers that this VM itself saw to leave lately.
+// RetiredToAnnounce returns the servers that this VM announces as retired: those that it
+// has recently seen leave or, as a hub, learned of from other VMs.
 func (t *Table) Leaving(now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []ident.Server
-	for id, at := range t.news {
-		if now.Sub(at) > newsTime {
-			delete(t.news, id)
+	for id, at := range t.retired {
+		if now.Sub(at) > retireAnnounceTime {
+			delete(t.retired, id)
 			continue
 		}
 		out = append(out, id)
@@ -228,19 +233,19 @@
 	return out
 }
 
-// end ends a server that this VM itself saw to leave.
-func (t *Table) end(id ident.Server) {
+// dropAndAnnounce drops a server that this VM has seen leave.
+func (t *Table) dropAndAnnounce(id ident.Server) {
 	t.drop(id)
 	t.announce(id)
 }
 
 func (t *Table) announce(id ident.Server) {
-	t.news[id] = time.Now()
-	t.onLeave()
+	t.retired[id] = time.Now()
+	t.onRetire()
 }
 
-// Replace takes the whole list of entries. Servers that are missing from it
-// are removed as by Remove. It returns the entries that changed, and the servers
+// Replace applies the complete list of entries. Servers that are missing from it
+// are removed as by Remove. It returns the entries that changed and the servers
 // that were missing.
 func (t *Table) Replace(list []Entry, until time.Time, now time.Time) (changed []Entry, missing []ident.Server) {
 	t.mu.Lock()
@@ -252,13 +257,13 @@
 			changed = append(changed, e)
 		}
 	}
-	for id := range t.all {
+	for id := range t.servers {
 		if _, ok := seen[id.Name()]; ok {
 			continue
 		}
 		missing = append(missing, id)
 		if now.Before(until) {
-			t.lapsed[id] = until
+			t.expired[id] = until
 			continue
 		}
 		t.drop(id)
@@ -267,13 +272,13 @@
 	return changed, missing
 }
 
-// Expire drops the servers whose entries lapsed in an outage and did not come
-// back in time, and returns them.
+// Expire drops the servers whose entries expired in a store outage and were not
+// written again in time, and returns them.
 func (t *Table) Expire(now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var gone []ident.Server
-	for id, until := range t.lapsed {
+	for id, until := range t.expired {
 		if now.Before(until) {
 			continue
 		}
@@ -286,34 +291,34 @@
 	return gone
 }
 
-// Lapses returns the servers whose entries lapsed in an outage, and how long
-// they still count.
-func (t *Table) Lapses(now time.Time) map[ident.Server]time.Duration {
+// RemainingGrace returns the servers whose entries expired in a store outage, each
+// with the time for which it stays usable.
+func (t *Table) RemainingGrace(now time.Time) map[ident.Server]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[ident.Server]time.Duration, len(t.lapsed))
-	for id, until := range t.lapsed {
+	out := make(map[ident.Server]time.Duration, len(t.expired))
+	for id, until := range t.expired {
 		out[id] = max(until.Sub(now), 1)
 	}
 	return out
 }
 
 func (t *Table) drop(id ident.Server) {
-	delete(t.lapsed, id)
+	delete(t.expired, id)
 	if d := t.drains[id]; d != nil {
 		d.confirmed = true
 	}
-	s := t.all[id]
-	delete(t.all, id)
-	delete(t.names, id.Name())
+	s := t.servers[id]
+	delete(t.servers, id)
+	delete(t.latest, id.Name())
 	if s != nil && !s.Leaving {
-		close(s.leave)
+		close(s.retired)
 	}
 }
 
 func (t *Table) publish() {
-	v := &View{servers: maps.Clone(t.all), services: make(map[ident.Service][]*Server)}
-	for _, s := range t.all {
+	v := &View{servers: maps.Clone(t.servers), services: make(map[ident.Service][]*Server)}
+	for _, s := range t.servers {
 		if !s.Leaving {
 			v.services[s.Service] = append(v.services[s.Service], s)
 		}
--- a/internal/state/backs/table_test.go
+++ b/internal/state/backs/table_test.go
@@ -11,8 +11,8 @@
 
 func server(id string) Entry { return Entry{ID: ident.Server(id), Service: "s", Slots: 6} }
 
-// usable fails the test unless the servers that take work are just these.
-func usable(t *testing.T, tab *Table, want ...string) {
+// assertUsable fails the test unless exactly the given servers accept new work.
+func assertUsable(t *testing.T, tab *Table, want ...string) {
 	t.Helper()
 	got := map[ident.Server]bool{}
 	for _, s := range tab.View().Service("s") {
@@ -20,11 +20,11 @@
 	}
 	assert.Equal(t, len(got), len(want), "%v", got)
 	for _, id := range want {
-		assert.Assert(t, got[ident.Server(id)], "%s takes no work", id)
+		assert.Assert(t, got[ident.Server(id)], "%s accepts no work", id)
 	}
 }
 
-func left(s *Server) bool {
+func isRetired(s *Server) bool {
 	select {
 	case <-s.Leave():
 		return true
@@ -35,195 +35,196 @@
 
 func TestTable(t *testing.T) {
 	now := time.Now()
-	told := 0
-	full := func() *Table {
-		told = 0
-		tab := NewTable(func() { told++ })
+	announced := 0
+	newTable := func() *Table {
+		announced = 0
+		tab := NewTable(func() { announced++ })
 		tab.Put(server("a"))
 		tab.Put(server("b"))
 		return tab
 	}
-	t.Run("a heartbeat changes nothing", func(t *testing.T) {
-		assert.Assert(t, !full().Put(server("a")))
+	t.Run("an unchanged entry is not reported as a change", func(t *testing.T) {
+		assert.Assert(t, !newTable().Put(server("a")))
 	})
-	t.Run("a leaving server takes no work and never comes back", func(t *testing.T) {
-		tab := full()
+	t.Run("a leaving server accepts no new work and does not return", func(t *testing.T) {
+		tab := newTable()
 		s := tab.View().Server("a")
 		e := server("a")
 		e.Leaving = true
 		tab.Put(e)
 		tab.Put(server("a"))
-		usable(t, tab, "b")
-		assert.Assert(t, left(s))
-		assert.Equal(t, told, 1)
+		assertUsable(t, tab, "b")
+		assert.Assert(t, isRetired(s))
+		assert.Equal(t, announced, 1)
 		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{"a"})
 		assert.Equal(t, len(tab.Leaving(now.Add(time.Minute))), 0)
 	})
-	t.Run("a removed entry ends its server", func(t *testing.T) {
-		tab := full()
+	t.Run("removing an entry retires its server", func(t *testing.T) {
+		tab := newTable()
 		s := tab.View().Server("a")
 		tab.Remove("a", time.Time{}, now)
-		usable(t, tab, "b")
-		assert.Assert(t, left(s))
+		assertUsable(t, tab, "b")
+		assert.Assert(t, isRetired(s))
 	})
-	t.Run("an entry that lapses in an outage says nothing for a while", func(t *testing.T) {
-		tab := full()
+	t.Run("a server stays usable for the grace period after its entry expires in an outage", func(t *testing.T) {
+		tab := newTable()
 		until := now.Add(ReturnTime)
 		tab.Remove("a", until, now)
-		usable(t, tab, "a", "b")
+		assertUsable(t, tab, "a", "b")
 		assert.Equal(t, len(tab.Expire(until.Add(-1))), 0)
 		assert.DeepEqual(t, tab.Expire(until), []ident.Server{"a"})
-		usable(t, tab, "b")
-		assert.Equal(t, told, 0, "a lapsed entry is no news for others")
+		assertUsable(t, tab, "b")
+		assert.Equal(t, announced, 0, "an expired entry is not announced to other VMs")
 	})
-	t.Run("an entry that lapsed comes back", func(t *testing.T) {
-		tab := full()
+	t.Run("an expired entry is written again", func(t *testing.T) {
+		tab := newTable()
 		until := now.Add(ReturnTime)
 		tab.Replace([]Entry{server("b")}, until, now)
 		tab.Put(server("a"))
 		assert.Equal(t, len(tab.Expire(until)), 0)
-		usable(t, tab, "a", "b")
+		assertUsable(t, tab, "a", "b")
 	})
-	t.Run("a list without outage removes what is missing", func(t *testing.T) {
-		tab := full()
+	t.Run("a list read without an outage removes the missing servers", func(t *testing.T) {
+		tab := newTable()
 		tab.Replace([]Entry{server("b"), server("c")}, time.Time{}, now)
-		usable(t, tab, "b", "c")
+		assertUsable(t, tab, "b", "c")
 	})
-	t.Run("a removal seen by another VM does not undo a later entry", func(t *testing.T) {
-		other, tab := full(), full()
+	t.Run("a removal seen by another VM does not override a later entry", func(t *testing.T) {
+		other, tab := newTable(), newTable()
 		other.Remove("a", time.Time{}, now)
 		tab.Remove("a", now.Add(ReturnTime), now)
 		tab.Put(server("a"))
 		tab.Receive(other.Leaving(now), true)
-		usable(t, tab, "a", "b")
+		assertUsable(t, tab, "a", "b")
 	})
-	t.Run("another VM's word", func(t *testing.T) {
-		tab := full()
+	t.Run("retired servers reported by another VM", func(t *testing.T) {
+		tab := newTable()
 		assert.DeepEqual(t, tab.Receive([]ident.Server{"a", "unknown"}, false), []ident.Server{"a"})
-		usable(t, tab, "b")
-		assert.Equal(t, len(tab.Leaving(now)), 0, "hearsay is not told on")
+		assertUsable(t, tab, "b")
+		assert.Equal(t, len(tab.Leaving(now)), 0, "reports are not forwarded")
 		tab.Receive([]ident.Server{"b"}, true)
-		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{"b"}) // but by a hub
+		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{"b"}) // a hub forwards them
 	})
 }
 
-// start is the entry of one start of the server a.
-func start(ms int64) Entry {
+// startEntry returns the entry of server a started at the given Unix time in ms.
+func startEntry(ms int64) Entry {
 	return Entry{ID: ident.NewServer("a", time.UnixMilli(ms)), Service: "s", Slots: 6}
 }
 
 func TestStartsUnderOneName(t *testing.T) {
 	now := time.Now()
-	first, second := start(1000), start(2000)
-	full := func() (*Table, *Server) {
+	first, second := startEntry(1000), startEntry(2000)
+	newTable := func() (*Table, *Server) {
 		tab := NewTable(func() {})
 		tab.Put(first)
 		return tab, tab.View().Server(first.ID)
 	}
-	t.Run("a later start ends the earlier one", func(t *testing.T) {
-		tab, old := full()
+	t.Run("a later start replaces the earlier one", func(t *testing.T) {
+		tab, old := newTable()
 		assert.Assert(t, tab.Put(second))
-		usable(t, tab, string(second.ID))
-		assert.Assert(t, left(old), "runs at the earlier start are over")
-		assert.Assert(t, !left(tab.View().Server(second.ID)))
+		assertUsable(t, tab, string(second.ID))
+		assert.Assert(t, isRetired(old), "calls running on the earlier start have ended")
+		assert.Assert(t, !isRetired(tab.View().Server(second.ID)))
 		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{first.ID})
 	})
-	t.Run("news of the earlier start come late", func(t *testing.T) {
-		tab, _ := full()
+	t.Run("late updates about the earlier start are ignored", func(t *testing.T) {
+		tab, _ := newTable()
 		tab.Put(second)
 		assert.Assert(t, !tab.Put(first))
 		tab.Receive([]ident.Server{first.ID}, false)
 		tab.Replace([]Entry{first}, time.Time{}, now)
-		usable(t, tab, string(second.ID))
+		assertUsable(t, tab, string(second.ID))
 	})
 	t.Run("a server that was leaving starts again", func(t *testing.T) {
-		tab, _ := full()
+		tab, _ := newTable()
 		e := first
 		e.Leaving = true
 		tab.Put(e)
-		usable(t, tab)
+		assertUsable(t, tab)
 		tab.Put(second)
-		usable(t, tab, string(second.ID))
+		assertUsable(t, tab, string(second.ID))
 	})
-	t.Run("an entry lapses in an outage and comes back with a later start", func(t *testing.T) {
-		tab, old := full()
+	t.Run("an entry that expired in an outage is written again by a later start", func(t *testing.T) {
+		tab, old := newTable()
 		until := now.Add(ReturnTime)
 		tab.Remove("a", until, now)
 		tab.Put(second)
 		assert.Equal(t, len(tab.Expire(until)), 0)
-		usable(t, tab, string(second.ID))
-		assert.Assert(t, left(old))
+		assertUsable(t, tab, string(second.ID))
+		assert.Assert(t, isRetired(old))
 	})
-	t.Run("the entry is removed whatever the start", func(t *testing.T) {
-		tab, _ := full()
+	t.Run("removal by name applies to any start", func(t *testing.T) {
+		tab, _ := newTable()
 		tab.Put(second)
 		tab.Remove("a", time.Time{}, now)
-		usable(t, tab)
+		assertUsable(t, tab)
 	})
 }
 
-// TestDrains has servers announce themselves that they drain, while entries say for a
-// while, or again, that they are ready.
+// TestDrains guards against a draining server being used again because of an outdated
+// entry. Servers report their drain themselves, while their entries still show them as
+// ready.
 func TestDrains(t *testing.T) {
 	now := time.Now()
 	ready := func(id ident.Server) Entry { return Entry{ID: id, Service: "s"} }
-	setup := func() *Table {
+	newTable := func() *Table {
 		table := NewTable(func() {})
 		table.Put(ready("a"))
 		table.Put(ready("b"))
 		return table
 	}
-	inUse := func(t *testing.T, table *Table, want int) {
+	assertInUse := func(t *testing.T, table *Table, want int) {
 		t.Helper()
 		assert.Equal(t, len(table.View().Service("s")), want)
 	}
-	t.Run("its entry does not bring it back", func(t *testing.T) {
-		table := setup()
+	t.Run("an entry that shows it as ready does not return it to service", func(t *testing.T) {
+		table := newTable()
 		leave := table.View().Server("a").Leave()
 		assert.Assert(t, table.Drain("a", now))
-		assert.Assert(t, !table.Drain("a", now), "it is known")
+		assert.Assert(t, !table.Drain("a", now), "the drain is already known")
 		<-leave
-		inUse(t, table, 1)
+		assertInUse(t, table, 1)
 		table.Put(ready("a"))
 		table.Replace([]Entry{ready("a"), ready("b")}, time.Time{}, now)
-		inUse(t, table, 1)
+		assertInUse(t, table, 1)
 		table.Remove("a", time.Time{}, now)
 		table.Put(ready("a"))
-		inUse(t, table, 1)
+		assertInUse(t, table, 1)
 	})
-	t.Run("nor does an older entry once a later one said so", func(t *testing.T) {
-		table := setup()
+	t.Run("an outdated entry does not override one that marked it as leaving", func(t *testing.T) {
+		table := newTable()
 		table.Put(Entry{ID: "a", Service: "s", Leaving: true})
 		table.Remove("a", time.Time{}, now)
 		table.Put(ready("a"))
-		inUse(t, table, 1)
+		assertInUse(t, table, 1)
 	})
-	t.Run("one whose entry lapsed comes back", func(t *testing.T) {
-		table := setup()
+	t.Run("a server whose entry expired returns to service", func(t *testing.T) {
+		table := newTable()
 		table.Remove("a", time.Time{}, now)
 		table.Put(ready("a"))
-		inUse(t, table, 2)
+		assertInUse(t, table, 2)
 	})
-	t.Run("it is announced until its entry says so", func(t *testing.T) {
-		table := setup()
+	t.Run("a drain is announced until the entry confirms it", func(t *testing.T) {
+		table := newTable()
 		table.Drain("a", now)
-		later := now.Add(10 * newsTime)
+		later := now.Add(10 * retireAnnounceTime)
 		assert.DeepEqual(t, table.Draining(later), []ident.Server{"a"})
 		table.Put(Entry{ID: "a", Service: "s", Leaving: true})
 		assert.Equal(t, len(table.Draining(later)), 0)
 	})
-	t.Run("what another VM reports is passed on if asked for", func(t *testing.T) {
-		table := setup()
+	t.Run("a reported drain is forwarded on request", func(t *testing.T) {
+		table := newTable()
 		assert.DeepEqual(t, table.Drains([]ident.Server{"a"}, false, now), []ident.Server{"a"})
-		inUse(t, table, 1)
+		assertInUse(t, table, 1)
 		assert.Equal(t, len(table.Draining(now)), 0)
 		assert.Equal(t, len(table.Drains([]ident.Server{"a"}, true, now)), 0)
 		assert.DeepEqual(t, table.Draining(now), []ident.Server{"a"})
 	})
-	t.Run("one that is not known yet", func(t *testing.T) {
-		table := setup()
+	t.Run("a drain reported before the server is known", func(t *testing.T) {
+		table := newTable()
 		table.Drains([]ident.Server{"c"}, false, now)
 		table.Put(ready("c"))
-		inUse(t, table, 2)
+		assertInUse(t, table, 2)
 	})
 }
--- a/internal/state/follow/servers.go
+++ b/internal/state/follow/servers.go
@@ -361,7 +361,7 @@
 	// The table calls back into this follower under its own lock, so that this
 	// one's is not held. What is newer than the revision is told again.
 	n := News{Rev: rev, Age: age}
-	lapses := s.table.Lapses(time.Now())
+	lapses := s.table.RemainingGrace(time.Now())
 	for _, e := range s.table.View().All() {
 		n.Changes = append(n.Changes, Change{Rev: rev, Entry: e, Lapse: lapses[e.ID]})
 	}
