--- a/internal/state/backs/doc.go
+++ b/internal/state/backs/doc.go
@@ -1,4 +1,4 @@
-// Package server tracks the backend servers: which accept new work, which are
+// Package srvtab tracks the backend servers: which accept new work, which are
 // leaving, and which are gone.
 //
 // An entry that expires while the store is unreachable does not mean that its
--- a/internal/state/follow/follow_test.go
+++ b/internal/state/follow/follow_test.go
@@ -23,15 +23,15 @@
 	"umberladder/internal/state/routes"
 )
 
-// store is the platform's store in virtual time.
+// store is a fake of the platform's store that runs in virtual time.
 type store struct {
 	mu      sync.Mutex
 	down    bool
 	rev     Revision
 	version uint64
 	servers map[ident.Server]backs.Entry
-	log     []Change
-	from    Revision // oldest revision of the history
+	changes []Change
+	oldest  Revision // oldest revision in the history
 	calls   atomic.Int64
 	changed chan struct{}
 }
@@ -57,35 +57,35 @@
 func (s *store) put(e backs.Entry) {
 	s.change(func() {
 		s.servers[e.ID] = e
-		s.log = append(s.log, Change{Rev: s.rev, Entry: e})
+		s.changes = append(s.changes, Change{Rev: s.rev, Entry: e})
 	})
 }
 
 func (s *store) remove(e backs.Entry) {
 	s.change(func() {
 		delete(s.servers, e.ID)
-		s.log = append(s.log, Change{Rev: s.rev, Gone: true, Entry: backs.Entry{ID: e.ID}})
+		s.changes = append(s.changes, Change{Rev: s.rev, Gone: true, Entry: backs.Entry{ID: e.ID}})
 	})
 }
 
-// copied is what a copy of the store holds.
-type copied struct {
+// backup is the content of a backup copy of the store.
+type backup struct {
 	rev     Revision
 	version uint64
 	servers map[ident.Server]backs.Entry
 }
 
-func (s *store) copied() copied {
+func (s *store) backup() backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return copied{rev: s.rev, version: s.version, servers: maps.Clone(s.servers)}
+	return backup{rev: s.rev, version: s.version, servers: maps.Clone(s.servers)}
 }
 
-// restore has the store come back from a copy.
-func (s *store) restore(c copied) {
+// restore replaces the store's content with a backup copy, in a new era.
+func (s *store) restore(c backup) {
 	s.change(func() {
 		s.rev = NewRevision(s.rev.Era()+1, c.rev.Count())
-		s.version, s.servers, s.log = c.version, maps.Clone(c.servers), nil
+		s.version, s.servers, s.changes = c.version, maps.Clone(c.servers), nil
 	})
 }
 
@@ -128,16 +128,16 @@
 	return out, rev, err
 }
 
-// hold waits for a change after a revision.
-func (s *store) hold(ctx context.Context, after Revision, wait time.Duration) (Revision, uint64, error) {
+// awaitChange waits for a change after a revision, for the duration of wait.
+func (s *store) awaitChange(ctx context.Context, after Revision, wait time.Duration) (Revision, uint64, error) {
 	end := time.After(wait)
 	for {
 		rev, version, err := s.state()
 		s.mu.Lock()
-		ch, gone := s.changed, after < s.from
+		changed, compacted := s.changed, after < s.oldest
 		s.mu.Unlock()
 		switch {
-		case gone:
+		case compacted:
 			return 0, 0, errHistory
 		case rev.Era() > after.Era():
 			return 0, 0, ErrEra
@@ -145,7 +145,7 @@
 			return rev, version, err
 		}
 		select {
-		case <-ch:
+		case <-changed:
 		case <-end:
 			return rev, version, nil
 		case <-ctx.Done():
@@ -155,7 +155,7 @@
 }
 
 func (s *store) AwaitSettings(ctx context.Context, after Revision, wait time.Duration) (*routes.Snapshot, Revision, error) {
-	rev, version, err := s.hold(ctx, after, wait)
+	rev, version, err := s.awaitChange(ctx, after, wait)
 	if err != nil || rev == after {
 		return nil, rev, err
 	}
@@ -163,11 +163,11 @@
 }
 
 func (s *store) AwaitServers(ctx context.Context, after Revision, wait time.Duration) ([]Change, Revision, error) {
-	rev, _, err := s.hold(ctx, after, wait)
+	rev, _, err := s.awaitChange(ctx, after, wait)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Change
-	for _, c := range s.log {
+	for _, c := range s.changes {
 		if c.Rev > after {
 			out = append(out, c)
 		}
@@ -175,41 +175,41 @@
 	return out, rev, err
 }
 
-// vm follows a store.
+// vm is a VM whose followers track a store.
 type vm struct {
-	book     *routes.Book
-	table    *backs.Table
-	settings *Settings
-	servers  *Servers
-	told     atomic.Bool
-	news     atomic.Int64
-	other    atomic.Pointer[News] // what another VM knows of the servers
-	clock    awake.Clock
-	slept    atomic.Int64 // how long the VM was suspended, which other clocks do not count
+	current     *routes.Book
+	table       *backs.Table
+	settings    *Settings
+	servers     *Servers
+	peersUpdate atomic.Bool
+	changes     atomic.Int64
+	peerData    atomic.Pointer[News] // servers that another VM provides; nil: there is none
+	clock       awake.Clock
+	suspended   atomic.Int64 // suspended time, which only clock includes
 }
 
-func (v *vm) ask(context.Context) (News, error) {
-	if n := v.other.Load(); n != nil {
+func (v *vm) fetch(context.Context) (News, error) {
+	if n := v.peerData.Load(); n != nil {
 		return *n, nil
 	}
 	return News{}, ErrNobody
 }
 
-func follow(t *testing.T, s *store, f func(v *vm)) {
+func runFollowers(t *testing.T, s *store, f func(v *vm)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s.changed = make(chan struct{}) // of the bubble, so that its time goes on
+		s.changed = make(chan struct{}) // must belong to the synctest bubble, so that its virtual time advances
 		start := time.Now()
 		v := &vm{}
 		v.clock = func() awake.Instant {
-			return awake.Instant(time.Since(start) + time.Hour + time.Duration(v.slept.Load()))
+			return awake.Instant(time.Since(start) + time.Hour + time.Duration(v.suspended.Load()))
 		}
-		v.book = routes.NewBook(v.clock)
+		v.current = routes.NewBook(v.clock)
 		v.table = backs.NewTable(func() {})
-		told := v.told.Load
-		first := func() bool { return true }
-		v.settings = NewSettings(s, v.book, v.clock, told, first, func() { v.news.Add(1) }, zap.NewNop())
-		v.servers = NewServers(s, v.table, v.clock, told, first, first, func() { v.news.Add(1) }, v.ask, zap.NewNop())
+		peersUpdate := v.peersUpdate.Load
+		always := func() bool { return true }
+		v.settings = NewSettings(s, v.current, v.clock, peersUpdate, always, func() { v.changes.Add(1) }, zap.NewNop())
+		v.servers = NewServers(s, v.table, v.clock, peersUpdate, always, always, func() { v.changes.Add(1) }, v.fetch, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var g errgroup.Group
@@ -226,8 +226,8 @@
 	})
 }
 
-// packed returns a document as VMs share it.
-func packed(t *testing.T, text string) []byte {
+// compressed returns a document in the form in which VMs share it.
+func compressed(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := routes.NewDocument([]byte(text)).Packed()
 	assert.NilError(t, err)
@@ -238,49 +238,49 @@
 	return backs.Entry{ID: ident.Server(fmt.Sprint(n)), Service: "s", Slots: 1}
 }
 
-// knows fails the test unless so many servers take work.
-func (v *vm) knows(t *testing.T, n int, what string) {
+// assertUsable fails the test unless exactly n servers accept new work.
+func (v *vm) assertUsable(t *testing.T, n int, what string) {
 	t.Helper()
 	assert.Equal(t, len(v.table.View().Service("s")), n, what)
 }
 
 func TestFollow(t *testing.T) {
-	t.Run("changes are in force at once", func(t *testing.T) {
+	t.Run("changes take effect immediately", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			s.put(entry(1))
 			s.change(func() { s.version = 7 })
-			time.Sleep(serversRest + time.Millisecond)
-			v.knows(t, 1, "a server came")
-			assert.Equal(t, v.news.Load(), int64(3), "there is something to tell others: the first settings, a server, newer settings")
-			assert.Equal(t, v.book.Load().Version, uint64(7))
+			time.Sleep(leadBatchDelay + time.Millisecond)
+			v.assertUsable(t, 1, "the server is added")
+			assert.Equal(t, v.changes.Load(), int64(3), "three changes to send: the first settings, a server, newer settings")
+			assert.Equal(t, v.current.Load().Version, uint64(7))
 			e := entry(1)
 			e.Leaving = true
 			s.put(e)
-			time.Sleep(serversRest + time.Millisecond)
-			v.knows(t, 0, "it leaves")
+			time.Sleep(leadBatchDelay + time.Millisecond)
+			v.assertUsable(t, 0, "the server is leaving")
 		})
 	})
-	t.Run("the settings' age stays under their wait", func(t *testing.T) {
+	t.Run("the settings' age stays below the duration of a wait", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			for range 50 {
 				time.Sleep(100 * time.Millisecond)
-				assert.Assert(t, v.book.Age() <= settingsWait+100*time.Millisecond, "%s", v.book.Age())
+				assert.Assert(t, v.current.Age() <= settingsWait+100*time.Millisecond, "%s", v.current.Age())
 			}
 			s.setDown(true)
 			time.Sleep(5 * time.Second)
-			assert.Assert(t, v.book.Age() >= 5*time.Second, "nothing is known of a store that is down")
+			assert.Assert(t, v.current.Age() >= 5*time.Second, "a store that is down confirms no settings")
 			s.setDown(false)
 			time.Sleep(loop.LastPause + time.Millisecond)
-			assert.Assert(t, v.book.Age() <= loop.LastPause)
+			assert.Assert(t, v.current.Age() <= loop.LastPause)
 		})
 	})
-	t.Run("entries that lapse in an outage stay until 2 s after it", func(t *testing.T) {
+	t.Run("entries that expire in an outage stay until 2 s after it", func(t *testing.T) {
 		s := newStore()
 		s.put(entry(1))
 		s.put(entry(2))
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			s.setDown(true)
 			time.Sleep(3 * time.Second)
 			s.mu.Lock()
@@ -288,242 +288,245 @@
 			s.mu.Unlock()
 			s.setDown(false)
 			time.Sleep(loop.LastPause + 100*time.Millisecond)
-			v.knows(t, 2, "the store has just come back")
+			v.assertUsable(t, 2, "the store has just recovered")
 			s.put(entry(1))
 			time.Sleep(backs.ReturnTime)
-			v.knows(t, 1, "one came back, one is gone")
+			v.assertUsable(t, 1, "one entry was written again, the other server is gone")
 		})
 	})
-	t.Run("entries that lapsed in an outage that this VM did not notice stay until 2 s after it", func(t *testing.T) {
+	t.Run("entries that expired in an unnoticed outage stay until 2 s after it", func(t *testing.T) {
 		s := newStore()
 		s.put(entry(1))
 		s.put(entry(2))
-		follow(t, s, func(v *vm) {
-			v.told.Store(true) // other VMs read the store for this one
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true) // other VMs read the store for this one
 			time.Sleep(time.Second)
 			s.setDown(true)
 			time.Sleep(4 * time.Second)
 			s.setDown(false)
 			s.remove(entry(1))
 			s.remove(entry(2))
-			v.told.Store(false)
-			time.Sleep(serversRest)
-			v.knows(t, 2, "the store has just come back")
+			v.peersUpdate.Store(false)
+			time.Sleep(leadBatchDelay)
+			v.assertUsable(t, 2, "the store has just recovered")
 			n, ok := v.servers.News(time.Now())
 			assert.Assert(t, ok && len(n.Changes) == 2, "%+v", n)
 			for _, c := range n.Changes {
-				assert.Assert(t, c.Lapse > 0, "the change must tell other VMs that the entry may have lapsed: %+v", c)
+				assert.Assert(t, c.Lapse > 0, "the change must tell other VMs that the entry may have expired: %+v", c)
 			}
 			s.put(entry(1))
 			time.Sleep(backs.ReturnTime)
-			v.knows(t, 1, "one came back, one is gone")
+			v.assertUsable(t, 1, "one entry was written again, the other server is gone")
 			s.remove(entry(1))
-			time.Sleep(serversRest + time.Millisecond)
-			v.knows(t, 0, "later removals take effect at once")
+			time.Sleep(leadBatchDelay + time.Millisecond)
+			v.assertUsable(t, 0, "later removals take effect immediately")
 		})
 	})
-	t.Run("a lost history is read anew", func(t *testing.T) {
+	t.Run("everything is read again if the store's history was compacted", func(t *testing.T) {
 		s := newStore()
 		s.put(entry(1))
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			s.change(func() {
-				s.from = s.rev
+				s.oldest = s.rev
 				s.servers = map[ident.Server]backs.Entry{"2": entry(2)}
 			})
 			time.Sleep(3 * time.Second)
-			v.knows(t, 1, "the server that was missed")
+			v.assertUsable(t, 1, "the server whose change was missed")
 			assert.Assert(t, v.table.View().Server("2") != nil)
 		})
 	})
 }
 
-// TestEra has the store come back from a copy, in a drill: what was written since is
-// lost until operators and servers write it again.
+// TestEra guards against outdated data taking effect after the store is restored from a
+// backup copy. Changes made after the copy are lost until operators and servers write
+// them again.
 func TestEra(t *testing.T) {
-	drill := func(t *testing.T, f func(s *store, v *vm)) {
+	withRestore := func(t *testing.T, f func(s *store, v *vm)) {
 		s := newStore()
 		s.put(entry(1))
 		s.put(entry(2))
-		follow(t, s, func(v *vm) {
-			c := s.copied()
+		runFollowers(t, s, func(v *vm) {
+			c := s.backup()
 			s.remove(entry(1))
 			s.put(entry(3))
 			s.change(func() { s.version = 9 })
 			time.Sleep(time.Second)
-			assert.Equal(t, v.book.Load().Version, uint64(9))
+			assert.Equal(t, v.current.Load().Version, uint64(9))
 			s.restore(c)
 			f(s, v)
 		})
 	}
-	t.Run("servers that had gone stay away, and those that live stay", func(t *testing.T) {
-		drill(t, func(s *store, v *vm) {
+	t.Run("servers that had ended are not used, and running servers stay", func(t *testing.T) {
+		withRestore(t, func(s *store, v *vm) {
 			time.Sleep(time.Second)
-			v.knows(t, 2, "the one that the copy lacks may write its entry again")
-			assert.Assert(t, v.table.View().Server("1") == nil, "its entry of the copy says nothing")
+			v.assertUsable(t, 2, "the server missing from the copy may write its entry again")
+			assert.Assert(t, v.table.View().Server("1") == nil, "its entry in the copy is outdated")
 			s.put(entry(2))
 			s.put(entry(3))
 			time.Sleep(backs.ReturnTime + time.Second)
-			v.knows(t, 2, "both wrote theirs again")
+			v.assertUsable(t, 2, "both wrote their entries again")
 		})
 	})
 	t.Run("a server that does not write its entry again is gone", func(t *testing.T) {
-		drill(t, func(s *store, v *vm) {
+		withRestore(t, func(s *store, v *vm) {
 			s.put(entry(2))
 			time.Sleep(backs.ReturnTime + time.Second)
-			v.knows(t, 1, "the other has ended")
+			v.assertUsable(t, 1, "the other server has ended")
 		})
 	})
-	t.Run("a server that had gone and starts again is used", func(t *testing.T) {
-		drill(t, func(s *store, v *vm) {
+	t.Run("a server that had ended and starts again is used", func(t *testing.T) {
+		withRestore(t, func(s *store, v *vm) {
 			time.Sleep(time.Second)
 			s.put(entry(1))
 			time.Sleep(time.Second)
 			assert.Assert(t, v.table.View().Server("1") != nil)
 		})
 	})
-	t.Run("settings do not go back, nor are old ones confirmed", func(t *testing.T) {
-		drill(t, func(s *store, v *vm) {
+	t.Run("settings are neither reverted nor confirmed by an older version", func(t *testing.T) {
+		withRestore(t, func(s *store, v *vm) {
 			time.Sleep(backs.ReturnTime + 2*time.Second)
-			assert.Equal(t, v.book.Load().Version, uint64(9))
-			assert.Assert(t, v.book.Age() > backs.ReturnTime, "the store does not hold the newest")
+			assert.Equal(t, v.current.Load().Version, uint64(9))
+			assert.Assert(t, v.current.Age() > backs.ReturnTime, "the store does not hold the latest settings")
 			s.change(func() { s.version = 9 })
 			time.Sleep(time.Second)
-			assert.Assert(t, v.book.Age() <= settingsWait+100*time.Millisecond, "%s", v.book.Age())
+			assert.Assert(t, v.current.Age() <= settingsWait+100*time.Millisecond, "%s", v.current.Age())
 		})
 	})
-	t.Run("settings that another version may follow are not confirmed at once", func(t *testing.T) {
+	t.Run("settings are not confirmed while a lost version may be written again", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
-			s.restore(s.copied()) // nothing was lost that this VM knows of
+		runFollowers(t, s, func(v *vm) {
+			s.restore(s.backup()) // nothing that this VM knows was lost
 			time.Sleep(backs.ReturnTime - 100*time.Millisecond)
-			assert.Assert(t, v.book.Age() >= backs.ReturnTime-200*time.Millisecond, "%s", v.book.Age())
+			assert.Assert(t, v.current.Age() >= backs.ReturnTime-200*time.Millisecond, "%s", v.current.Age())
 			time.Sleep(time.Second)
-			assert.Assert(t, v.book.Age() <= settingsWait+100*time.Millisecond, "%s", v.book.Age())
+			assert.Assert(t, v.current.Age() <= settingsWait+100*time.Millisecond, "%s", v.current.Age())
 		})
 	})
-	t.Run("VMs that are told take the list of the new era", func(t *testing.T) {
+	t.Run("VMs that receive updates copy the list of the new era", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
-			v.told.Store(true)
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true)
 			time.Sleep(time.Second)
 			rev := NewRevision(1, 1)
-			assert.Assert(t, rev > v.servers.known(), "a later era's revisions are higher")
-			v.other.Store(&News{Rev: rev, Changes: []Change{{Rev: rev, Entry: entry(5)}}})
+			assert.Assert(t, rev > v.servers.known(), "revisions of a later era are higher")
+			v.peerData.Store(&News{Rev: rev, Changes: []Change{{Rev: rev, Entry: entry(5)}}})
 			v.servers.Learn(News{Base: rev, Rev: rev}, time.Now())
 			time.Sleep(time.Second)
 			assert.Equal(t, v.servers.known(), rev)
 			v.servers.Learn(News{Rev: NewRevision(0, 99), Changes: []Change{{Rev: NewRevision(0, 99), Entry: entry(6)}}}, time.Now())
-			v.knows(t, 1, "what is told of the era before says nothing")
+			v.assertUsable(t, 1, "updates of an earlier era are ignored")
 		})
 	})
 }
 
-// TestWakes has a VM wake that was suspended for some seconds, before it has spoken
-// with anybody: it does not take what it knew for new, nor tell it to others as new.
+// TestWakes guards against outdated data being treated as current after a suspension. A
+// VM resumes after some seconds and has not yet communicated with the store or other VMs;
+// the age of its data, also in its updates, must include the suspension.
 func TestWakes(t *testing.T) {
-	const sleep = 4 * time.Second
+	const suspension = 4 * time.Second
 	s := newStore()
 	s.put(entry(1))
-	follow(t, s, func(v *vm) {
-		told := NewServers(s, backs.NewTable(func() {}), v.clock, func() bool { return true }, nil, nil, func() {}, nil, zap.NewNop())
-		told.rev = 1
-		v.slept.Store(int64(sleep))
-		assert.Assert(t, v.book.Age() >= sleep, "%s", v.book.Age())
-		assert.Assert(t, v.servers.Age() >= sleep, "%s", v.servers.Age())
+	runFollowers(t, s, func(v *vm) {
+		follower := NewServers(s, backs.NewTable(func() {}), v.clock, func() bool { return true }, nil, nil, func() {}, nil, zap.NewNop())
+		follower.rev = 1
+		v.suspended.Store(int64(suspension))
+		assert.Assert(t, v.current.Age() >= suspension, "%s", v.current.Age())
+		assert.Assert(t, v.servers.Age() >= suspension, "%s", v.servers.Age())
 		n, ok := v.servers.News(time.Now())
-		assert.Assert(t, ok && n.Age >= sleep, "%s", n.Age)
-		told.Learn(n, time.Now())
-		assert.Assert(t, told.Age() >= sleep, "%s", told.Age())
+		assert.Assert(t, ok && n.Age >= suspension, "%s", n.Age)
+		follower.Learn(n, time.Now())
+		assert.Assert(t, follower.Age() >= suspension, "%s", follower.Age())
 		time.Sleep(2*settingsWait + 100*time.Millisecond)
-		assert.Assert(t, v.book.Age() < sleep && v.servers.Age() < sleep, "the store has answered since")
+		assert.Assert(t, v.current.Age() < suspension && v.servers.Age() < suspension, "the store has responded since")
 	})
 }
 
-// TestNoSettings has a VM wait for the first settings, rather than read on and on.
+// TestNoSettings guards against a VM reading the store continuously while it holds no
+// settings. The VM must wait for the first settings instead.
 func TestNoSettings(t *testing.T) {
 	s := newStore()
 	s.version = 0
-	follow(t, s, func(v *vm) {
+	runFollowers(t, s, func(v *vm) {
 		before := s.calls.Load()
 		time.Sleep(10 * time.Second)
-		most := int64(2*10*time.Second/settingsWait) + 2 // both followers wait
-		assert.Assert(t, s.calls.Load()-before <= 2*most, "%d calls", s.calls.Load()-before)
-		assert.Assert(t, v.book.Load() == nil)
+		maxCalls := int64(2*10*time.Second/settingsWait) + 2 // both followers wait
+		assert.Assert(t, s.calls.Load()-before <= 2*maxCalls, "%d calls", s.calls.Load()-before)
+		assert.Assert(t, v.current.Load() == nil)
 		s.change(func() { s.version = 3 })
 		time.Sleep(time.Millisecond)
-		assert.Equal(t, v.book.Load().Version, uint64(3))
+		assert.Equal(t, v.current.Load().Version, uint64(3))
 	})
 }
 
 func TestTold(t *testing.T) {
-	t.Run("a VM that is told asks nothing", func(t *testing.T) {
+	t.Run("a VM that receives updates does not call the store", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
-			v.told.Store(true)
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			calls := s.calls.Load()
 			time.Sleep(10 * time.Second)
 			assert.Equal(t, s.calls.Load(), calls)
 		})
 	})
-	t.Run("news are applied once, with what they cover", func(t *testing.T) {
+	t.Run("each change of overlapping updates is applied once", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
-			v.told.Store(true)
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			base := v.servers.known()
 			n := News{Base: base, Rev: base + 2, Changes: []Change{
 				{Rev: base + 1, Entry: entry(1)}, {Rev: base + 2, Entry: entry(2)},
 			}}
 			v.servers.Learn(n, time.Now())
-			v.knows(t, 2, "both came")
+			v.assertUsable(t, 2, "both servers are added")
 			n = News{Base: base, Rev: base + 3, Changes: append(n.Changes, Change{Rev: base + 3, Gone: true, Entry: backs.Entry{ID: "1"}})}
 			v.servers.Learn(n, time.Now())
-			v.knows(t, 1, "one left, and what was told before is not told anew")
+			v.assertUsable(t, 1, "one server is removed, and known changes are not applied again")
 			v.servers.Learn(News{Base: base, Rev: base + 2, Changes: n.Changes[:1]}, time.Now())
-			v.knows(t, 1, "late news change nothing")
+			v.assertUsable(t, 1, "a late update is ignored")
 		})
 	})
 	t.Run("a store response does not override later changes reported by other VMs", func(t *testing.T) {
 		s := newStore()
 		s.put(entry(1))
-		follow(t, s, func(v *vm) {
-			v.told.Store(true)
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			base := v.servers.known()
 			written := Change{Rev: base + 2, Entry: entry(1)}
 			removed := Change{Rev: base + 1, Gone: true, Entry: backs.Entry{ID: "1"}}
 			v.servers.Learn(News{Base: base, Rev: base + 2, Changes: []Change{removed, written}}, time.Now())
 			v.servers.applyChanges([]Change{removed}, base+1, v.clock())
-			v.knows(t, 1, "an older change is ignored")
+			v.assertUsable(t, 1, "an older change is ignored")
 			v.servers.applyList(nil, base+1, v.clock())
-			v.knows(t, 1, "an older list is ignored")
+			v.assertUsable(t, 1, "an older list is ignored")
 			assert.Equal(t, v.servers.known(), base+2)
 		})
 	})
-	t.Run("missed news make it read", func(t *testing.T) {
+	t.Run("after a gap in the updates the store is read", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
-			v.told.Store(true)
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			s.put(entry(5))
 			v.servers.Learn(News{Base: 50, Rev: 60}, time.Now())
-			v.told.Store(false)
+			v.peersUpdate.Store(false)
 			time.Sleep(time.Second)
-			v.knows(t, 1, "read from the store")
+			v.assertUsable(t, 1, "read from the store")
 		})
 	})
-	t.Run("missed news are taken from another VM", func(t *testing.T) {
+	t.Run("after a gap in the updates the list is copied from another VM", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
-			v.told.Store(true)
+		runFollowers(t, s, func(v *vm) {
+			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			calls := s.calls.Load()
-			v.other.Store(&News{Rev: 60, Changes: []Change{{Rev: 60, Entry: entry(5)}}})
+			v.peerData.Store(&News{Rev: 60, Changes: []Change{{Rev: 60, Entry: entry(5)}}})
 			v.servers.Learn(News{Base: 50, Rev: 60}, time.Now())
 			time.Sleep(time.Second)
-			v.knows(t, 1, "taken from the other VM")
-			assert.Equal(t, s.calls.Load(), calls, "the store was not asked")
+			v.assertUsable(t, 1, "copied from the other VM")
+			assert.Equal(t, s.calls.Load(), calls, "the store was not called")
 			n, ok := v.servers.All()
 			assert.Assert(t, ok && n.Rev == 60 && len(n.Changes) == 1, "%+v", n)
 		})
@@ -531,7 +534,7 @@
 	t.Run("an entry that has lapsed for another VM ends here, too", func(t *testing.T) {
 		s := newStore()
 		s.put(entry(1))
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			s.setDown(true)
 			time.Sleep(time.Second)
 			s.mu.Lock()
@@ -541,97 +544,98 @@
 			time.Sleep(loop.LastPause + 100*time.Millisecond)
 			n, ok := v.servers.All()
 			assert.Assert(t, ok && len(n.Changes) == 1 && n.Changes[0].Lapse > 0, "%+v", n)
-			v.told.Store(true)
-			v.other.Store(&n)
+			v.peersUpdate.Store(true)
+			v.peerData.Store(&n)
 			time.Sleep(time.Second)
 			v.servers.Learn(News{Base: n.Rev + 5, Rev: n.Rev + 6}, time.Now())
 			time.Sleep(200 * time.Millisecond)
-			v.knows(t, 1, "taken from the other VM")
+			v.assertUsable(t, 1, "copied from the other VM")
 			time.Sleep(backs.ReturnTime)
-			v.knows(t, 0, "gone with it")
+			v.assertUsable(t, 0, "dropped when the other VM's grace period ends")
 		})
 	})
-	t.Run("a document of another VM is put in force", func(t *testing.T) {
+	t.Run("a document from another VM is put in force", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			at := v.clock()
-			assert.NilError(t, v.settings.Adopt(packed(t, "12"), at))
-			assert.Equal(t, v.book.Load().Version, uint64(12))
-			assert.Equal(t, v.book.Fresh(), at)
-			assert.Assert(t, v.settings.Adopt(packed(t, "x"), at) != nil)
-			assert.Equal(t, v.book.Load().Version, uint64(12), "what can't be read changes nothing")
+			assert.NilError(t, v.settings.Adopt(compressed(t, "12"), at))
+			assert.Equal(t, v.current.Load().Version, uint64(12))
+			assert.Equal(t, v.current.Fresh(), at)
+			assert.Assert(t, v.settings.Adopt(compressed(t, "x"), at) != nil)
+			assert.Equal(t, v.current.Load().Version, uint64(12), "an invalid document changes nothing")
 		})
 	})
-	t.Run("a word of a version confirms or reads it", func(t *testing.T) {
+	t.Run("a reported version confirms the settings or causes a read", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			at := v.clock().Add(time.Minute)
 			v.settings.Learn(context.Background(), 1, at)
-			assert.Equal(t, v.book.Fresh(), at)
+			assert.Equal(t, v.current.Fresh(), at)
 			s.mu.Lock()
 			s.version = 9
 			s.mu.Unlock()
 			v.settings.Learn(context.Background(), 9, 0)
-			assert.Equal(t, v.book.Load().Version, uint64(9))
+			assert.Equal(t, v.current.Load().Version, uint64(9))
 			v.settings.Learn(context.Background(), 3, at.Add(time.Hour))
-			assert.Equal(t, v.book.Fresh(), at, "an old version says nothing")
+			assert.Equal(t, v.current.Fresh(), at, "an old version is ignored")
 		})
 	})
-	t.Run("what is told covers what was seen", func(t *testing.T) {
+	t.Run("updates contain the changes read from the store", func(t *testing.T) {
 		s := newStore()
-		follow(t, s, func(v *vm) {
+		runFollowers(t, s, func(v *vm) {
 			s.put(entry(1))
-			time.Sleep(serversRest + 10*time.Millisecond)
+			time.Sleep(leadBatchDelay + 10*time.Millisecond)
 			n, ok := v.servers.News(time.Now())
 			assert.Assert(t, ok)
 			assert.Equal(t, len(n.Changes), 1)
 			assert.Assert(t, n.Base < n.Changes[0].Rev && n.Changes[0].Rev <= n.Rev)
-			time.Sleep(2 * newsTime)
+			time.Sleep(2 * changeRetention)
 			n, _ = v.servers.News(time.Now())
 			assert.Equal(t, len(n.Changes), 0)
 			s.setDown(true)
 			time.Sleep(time.Second)
 			_, ok = v.servers.News(time.Now())
-			assert.Assert(t, !ok, "a VM that the store does not answer has no news")
+			assert.Assert(t, !ok, "a VM that can't reach the store sends no updates")
 		})
 	})
 }
 
-// TestCallback has the table call back into the follower, as a VM does to see
-// whether it is told, while other VMs ask it for all servers.
-// After an outage the entries of 5,000 servers come back within two seconds. Told
-// all at once they are larger than a datagram, and a VM whose message can't be sent
-// falls silent for all others.
+// TestManyChanges guards against updates that exceed a datagram. After an outage 5,000
+// servers write their entries again within two seconds; an update with all of these
+// changes can't be sent, and other VMs receive nothing from the VM.
 func TestManyChanges(t *testing.T) {
 	s := newStore()
-	follow(t, s, func(v *vm) {
+	runFollowers(t, s, func(v *vm) {
 		for n := range 5000 {
 			s.put(entry(n))
 		}
-		time.Sleep(serversRest + time.Millisecond)
-		v.knows(t, 5000, "all are known here")
+		time.Sleep(leadBatchDelay + time.Millisecond)
+		v.assertUsable(t, 5000, "this VM knows all servers")
 		n, ok := v.servers.News(time.Now())
 		assert.Assert(t, ok)
-		assert.Equal(t, len(n.Changes), toldMost)
-		assert.Equal(t, n.Base, n.Changes[0].Rev-1, "whoever lacks an earlier one takes the list")
-		assert.Equal(t, n.Rev, n.Changes[toldMost-1].Rev)
+		assert.Equal(t, len(n.Changes), maxChanges)
+		assert.Equal(t, n.Base, n.Changes[0].Rev-1, "VMs that lack earlier changes request the list")
+		assert.Equal(t, n.Rev, n.Changes[maxChanges-1].Rev)
 	})
 }
 
+// TestCallback guards against a deadlock between a follower and its table. The table calls
+// the follower under its own lock, as it does to decide whether to announce a change, while
+// other VMs request all servers from the follower.
 func TestCallback(t *testing.T) {
 	var v *Servers
 	table := backs.NewTable(func() { v.Age() })
 	never := func() bool { return false }
 	v = NewServers(newStore(), table, awake.Now, never, never, never, func() {}, nil, zap.NewNop())
 	v.rev = 1
-	var both, wait errgroup.Group
-	both.Go(func() error {
+	var callers, waiter errgroup.Group
+	callers.Go(func() error {
 		for range 20_000 {
 			v.All()
 		}
 		return nil
 	})
-	both.Go(func() error {
+	callers.Go(func() error {
 		for i := range 20_000 {
 			table.Put(entry(i % 10))
 			table.Remove(entry(i%10).ID.Name(), time.Time{}, time.Now())
@@ -639,13 +643,13 @@
 		return nil
 	})
 	done := make(chan struct{})
-	wait.Go(func() error {
+	waiter.Go(func() error {
 		defer close(done)
-		return both.Wait()
+		return callers.Wait()
 	})
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the follower and its table wait for one another")
+		t.Fatal("deadlock between the follower and its table")
 	}
 }
--- a/internal/state/follow/order_test.go
+++ b/internal/state/follow/order_test.go
@@ -18,26 +18,26 @@
 )
 
 // fleet models a store and the VMs that track it. The first VM reads only the store; the
-// others also receive reports, which may be lost, repeated, delayed or reordered.
+// others also receive updates, which may be lost, repeated, delayed or reordered.
 type fleet struct {
 	store   map[ident.Server]backs.Entry
 	changes []Change
 	rev     Revision
 	vms     []*Servers
-	reports []News
+	updates []News
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{store: make(map[ident.Server]backs.Entry), rev: 1}
-	no := func() bool { return false }
-	ask := func(context.Context) (News, error) {
+	never := func() bool { return false }
+	fetch := func(context.Context) (News, error) {
 		if n, ok := f.vms[0].All(); ok {
 			return n, nil
 		}
 		return News{}, ErrNobody
 	}
 	for range n {
-		f.vms = append(f.vms, NewServers(newStore(), backs.NewTable(func() {}), awake.Now, no, no, no, func() {}, ask, zap.NewNop()))
+		f.vms = append(f.vms, NewServers(newStore(), backs.NewTable(func() {}), awake.Now, never, never, never, func() {}, fetch, zap.NewNop()))
 	}
 	for _, v := range f.vms {
 		v.applyList(nil, f.rev, awake.Now())
@@ -81,9 +81,9 @@
 	assert.DeepEqual(t, got, f.store, cmpopts.EquateComparable(netip.AddrPort{}))
 }
 
-// TestReportOrder guards against an older report undoing a newer change. Reports are lost,
-// repeated, delayed and reordered while VMs also read the store and take lists; afterwards,
-// one report from an up-to-date VM must make all VMs agree with the store.
+// TestReportOrder guards against an older update overriding a newer change. Updates are
+// lost, repeated, delayed and reordered while VMs also read the store and copy lists;
+// afterwards, one update from an up-to-date VM must make all VMs agree with the store.
 func TestReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4)
@@ -93,20 +93,20 @@
 			"read":   func(*rapid.T) { f.readChanges(f.vms[0]) },
 			"report": func(t *rapid.T) {
 				if n, ok := f.vms[rapid.IntRange(0, 3).Draw(t, "from")].News(time.Now()); ok {
-					f.reports = append(f.reports, n)
+					f.updates = append(f.updates, n)
 				}
 			},
 			"receive": func(t *rapid.T) {
-				if len(f.reports) == 0 {
-					t.Skip("no reports")
+				if len(f.updates) == 0 {
+					t.Skip("no updates")
 				}
 				v := f.vms[rapid.IntRange(1, 3).Draw(t, "to")]
-				v.Learn(f.reports[rapid.IntRange(0, len(f.reports)-1).Draw(t, "report")], time.Now())
+				v.Learn(f.updates[rapid.IntRange(0, len(f.updates)-1).Draw(t, "report")], time.Now())
 				if v.known() == 0 {
-					v.adopt(ctx)
+					v.copyFromPeer(ctx)
 				}
 			},
-			"take a list": func(t *rapid.T) { f.vms[rapid.IntRange(1, 3).Draw(t, "to")].adopt(ctx) },
+			"take a list": func(t *rapid.T) { f.vms[rapid.IntRange(1, 3).Draw(t, "to")].copyFromPeer(ctx) },
 			"other reads": func(t *rapid.T) { f.readChanges(f.vms[rapid.IntRange(1, 3).Draw(t, "vm")]) },
 		})
 		f.readChanges(f.vms[0])
@@ -115,7 +115,7 @@
 		for _, v := range f.vms {
 			v.Learn(n, time.Now())
 			if v.known() == 0 {
-				assert.Assert(t, v.adopt(ctx))
+				assert.Assert(t, v.copyFromPeer(ctx))
 			}
 			f.assertMatchesStore(t, v)
 		}
--- a/internal/state/follow/revision.go
+++ b/internal/state/follow/revision.go
@@ -2,20 +2,20 @@
 
 import "errors"
 
-// Revision is a count of the store's changes within an era of the store. A store that
-// comes back from a copy begins a new era, in which it gives out again the counts that
-// it has lost; a revision of a later era is higher than all of earlier ones.
+// Revision is the number of changes in the store within an era of the store. A store that
+// is restored from a backup copy begins a new era and assigns the lost counts again. A
+// revision of a later era is higher than all revisions of earlier eras.
 type Revision uint64
 
-// countBits is how many bits of a revision hold the count: at 100,000 changes a second
-// they last for five years.
+// countBits is the number of bits of a revision that hold the count. They last for five
+// years at 100,000 changes per second.
 const countBits = 44
 
-// ErrEra says that the store has begun a new era, so that changes after a revision of
-// an earlier one are not to be had.
-var ErrEra = errors.New("follow: the store has come back from a copy")
+// ErrNewEra is returned if the store has begun a new era, because the changes after a
+// revision of an earlier era are then not available.
+var ErrEra = errors.New("follow: store has a new era after a restore from a backup copy")
 
-// NewRevision returns the revision of a count within an era.
+// NewRevision returns the revision with the given era and count.
 func NewRevision(era, count uint64) Revision {
 	return Revision(era<<countBits | count&(1<<countBits-1))
 }
--- a/internal/state/follow/servers.go
+++ b/internal/state/follow/servers.go
@@ -16,119 +16,121 @@
 )
 
 const (
-	// serversWait is how long a wait for changes of servers is held. Others take
-	// the place of a VM that the store has not answered for 0.9 s.
+	// serversWait is how long the store holds a request for server changes. It must stay
+	// below 0.9 s, after which other VMs replace a VM that gets no response from the store.
 	serversWait = 700 * time.Millisecond
-	// serversRest gathers the servers' heartbeats in one answer. It is the longest
-	// time by which a leaving mark is seen later.
-	serversRest = 200 * time.Millisecond
-	// standbyRest is the same for a VM that watches in case the first one fails.
-	standbyRest = 500 * time.Millisecond
-	// expireEvery is how often lapsed entries are looked through.
-	expireEvery = 100 * time.Millisecond
-	// staleTime is the age of the known servers above which this VM may have missed an
-	// outage of the store. Entries lapse after three heartbeats of 1.2 s, so a shorter
-	// outage lets none lapse.
-	staleTime = 2 * time.Second
+	// leadBatchDelay batches the servers' heartbeats into one response. It is the longest
+	// delay that it adds before a retired server is seen.
+	leadBatchDelay = 200 * time.Millisecond
+	// standbyBatchDelay is the same for a VM that watches the store as a standby.
+	standbyBatchDelay = 500 * time.Millisecond
+	// expireInterval is how often the expired entries are checked.
+	expireInterval = 100 * time.Millisecond
+	// staleAge is the age of the server data above which this VM may have missed a store
+	// outage. Entries expire after three heartbeats of 1.2 s, so none expires in a shorter
+	// outage.
+	staleAge = 2 * time.Second
 )
 
-// Change is one change of the servers' entries.
+// Change is one change of a server's entry.
 type Change struct {
 	Rev   Revision
 	Entry backs.Entry // only the ID, without its start, if Gone
 	Gone  bool
-	Lapse time.Duration // after which an entry that lapsed in an outage counts as gone; zero: it did not
+	Lapse time.Duration // time until a server counts as gone whose entry expired in an outage; zero: not expired
 }
 
-// until returns the moment at which a server whose entry is gone counts as gone.
-func (c *Change) until(grace, now time.Time) time.Time {
+// goneAt returns the time at which a server with a removed entry counts as gone.
+func (c *Change) goneAt(grace, now time.Time) time.Time {
 	if c.Lapse > 0 {
 		return now.Add(c.Lapse)
 	}
 	return grace
 }
 
-// News are the changes in a span of revisions, for VMs that do not ask the store.
+// Update holds the changes in a range of revisions, for VMs that do not watch the store.
 type News struct {
-	Base    Revision      // of which the VM told must know at least
-	Rev     Revision      // up to which the changes are complete
-	Age     time.Duration // since the store answered with the last revision, or with that there is none later
+	Base    Revision      // the receiving VM must know this revision or a later one
+	Rev     Revision      // the changes are complete up to this revision
+	Age     time.Duration // since the store last confirmed that Rev is its latest revision
 	Changes []Change
 }
 
-// ServerSource reads the servers' entries in the store. Its calls fail once the
-// store has been silent for a while, and go on for as long as bytes come.
+// ServerSource reads the servers' entries in the store. Its calls have an idle timeout:
+// they fail if the store sends nothing for some time, and continue while data arrives.
 type ServerSource interface {
 	Servers(ctx context.Context) ([]backs.Entry, Revision, error)
-	// AwaitServers returns the changes after a revision, none if none came
-	// within wait.
+	// AwaitServers returns the changes after a revision, or none if there was no
+	// change within wait, and the revision up to which the changes are complete.
 	AwaitServers(ctx context.Context, after Revision, wait time.Duration) ([]Change, Revision, error)
 }
 
-// Servers keeps a table of servers in step with the store.
+// ServerFollower keeps a table of servers up to date with the store.
 type Servers struct {
 	src   ServerSource
 	table *backs.Table
 	clock awake.Clock
 	log   *zap.Logger
 
-	told   func() bool
-	first  func() bool
-	lead   func() bool
-	onNews func()
-	ask    func(ctx context.Context) (News, error)
+	peersUpdate func() bool
+	probes      func() bool
+	leads       func() bool
+	onChange    func()
+	fetch       func(ctx context.Context) (News, error)
 
 	// applyMu serialises updates of the table, so that they apply in order of revision.
-	// It must be locked before mu, which the table's callbacks take.
+	// It must be locked before mu, which the table's callbacks lock.
 	applyMu sync.Mutex
 
-	mu     sync.Mutex
-	down   bool
-	until  time.Time // entries missing before then may have lapsed in an outage
-	rev    Revision  // up to which everything is known
-	base   Revision  // from which recent is complete
-	recent []dated   // changes that are still told
-	heard  time.Time // when other VMs last told what changed
-	// fresh is when what is known was the newest, by the store or by other VMs; zero:
-	// nothing is known.
-	fresh awake.Instant
+	mu         sync.Mutex
+	storeDown  bool
+	graceEnd   time.Time     // entries that go missing before then may have expired in an outage
+	rev        Revision      // all changes up to this revision are known; zero: none
+	base       Revision      // recent is complete after this revision
+	recent     []timedChange // changes that are still sent to other VMs
+	lastUpdate time.Time     // when another VM last sent a recent update
+	// confirmed is the latest time at which the data was known to be current, according to
+	// the store or other VMs. It is zero while there is no data.
+	confirmed awake.Instant
 }
 
-// dated is a change and when it was seen.
-type dated struct {
+// timedChange is a change and the time at which this VM learned of it.
+type timedChange struct {
 	Change
 	at time.Time
 }
 
 const (
-	// newsTime is how long a change is told: three messages to each VM may be lost.
-	newsTime = 2 * time.Second
-	// toldMost is how many changes are told at once, so that a message stays within
-	// a datagram: 60 KB hold 250 entries of 240 bytes. VMs that lack earlier ones take
-	// the whole list.
-	toldMost = 250
-	// passTime is how long after another VM's news a VM whose store is away has news.
-	passTime = time.Second
+	// changeRetention is how long a change is sent to other VMs. It tolerates the loss of
+	// three messages to each VM.
+	changeRetention = 2 * time.Second
+	// maxChanges bounds the changes in one message, so that it fits into a datagram:
+	// 60 KB hold 250 entries of 240 bytes. VMs that lack earlier changes request the
+	// complete list.
+	maxChanges = 250
+	// relayTime is how long after an update from another VM a VM that can't reach the
+	// store still sends updates itself.
+	relayTime = time.Second
 )
 
-// NewServers makes a follower of the servers. It asks the store while told
-// reports that other VMs do not tell what changes, more often if lead reports that no
-// other VM does; first reports that this VM is to find out soon that the store is back.
-// It calls news once there is something new to tell other VMs. Where it knows no
-// servers, it takes them with ask from another VM, and reads them in the store if there
-// is none.
-func NewServers(src ServerSource, table *backs.Table, clock awake.Clock, told, first, lead func() bool, news func(),
-	ask func(ctx context.Context) (News, error), log *zap.Logger,
+// NewServerFollower returns a follower of the servers. It watches the store while
+// peersUpdate reports false, which means that no updates come from other VMs. It polls
+// more often if leads reports that this VM leads the watch. probes reports whether this VM
+// must quickly detect that the store has recovered. The follower calls onChange when it
+// has new changes to send to other VMs. While it has no data, it copies the servers from
+// another VM with fetch, or reads them in the store if no other VM can provide them.
+func NewServers(src ServerSource, table *backs.Table, clock awake.Clock, peersUpdate, probes, leads func() bool, onChange func(),
+	fetch func(ctx context.Context) (News, error), log *zap.Logger,
 ) *Servers {
-	return &Servers{src: src, table: table, clock: clock, told: told, first: first, lead: lead, onNews: news, ask: ask, log: log}
+	return &Servers{src: src, table: table, clock: clock, peersUpdate: peersUpdate, probes: probes, leads: leads, onChange: onChange, fetch: fetch, log: log}
 }
 
-// News returns what changed lately; nothing if neither the store nor other VMs tell
-// this one.
+// RecentChanges returns the recent changes as an update for other VMs. It returns false
+// if this VM receives changes neither from the store nor from other VMs.
 func (s *Servers) News(now time.Time) (News, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rev == 0 || s.down && now.Sub(s.heard) > passTime {
+	if s.rev == 0 || s.storeDown && now.Sub(s.lastUpdate) > relayTime {
 		return News{}, false
 	}
 	s.prune(now)
@@ -142,39 +144,39 @@
 	return n, true
 }
 
-// prune forgets changes that have been told for long enough, and those that are too
-// many.
+// prune removes the changes that are older than changeRetention or exceed maxChanges.
 func (s *Servers) prune(now time.Time) {
 	old := 0
-	for old < len(s.recent) && (now.Sub(s.recent[old].at) > newsTime || len(s.recent)-old > toldMost) {
+	for old < len(s.recent) && (now.Sub(s.recent[old].at) > changeRetention || len(s.recent)-old > maxChanges) {
 		s.base = s.recent[old].Rev
 		old++
 	}
 	s.recent = s.recent[old:]
 }
 
-// Learn takes another VM's news. If some are missing, everything is read anew.
+// ApplyUpdate applies an update from another VM. If there is a gap before the update,
+// everything is read again.
 func (s *Servers) Learn(n News, now time.Time) {
-	if s.applyNews(n, now) {
-		s.onNews()
+	if s.applyRemote(n, now) {
+		s.onChange()
 	}
 }
 
-// applyNews applies another VM's news and reports whether it removed entries.
-func (s *Servers) applyNews(n News, now time.Time) bool {
+// applyRemote applies an update from another VM and reports whether it removed entries.
+func (s *Servers) applyRemote(n News, now time.Time) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	removed := false
-	for _, c := range s.news(n, now) {
-		s.take(&c, time.Time{}) // the sender has set Lapse if there was an outage
+	for _, c := range s.selectNew(n, now) {
+		s.applyChange(&c, time.Time{}) // the sender has set Grace if there was an outage
 		removed = removed || c.Gone
 	}
 	return removed
 }
 
-// news returns the changes of n that are new, and notes that they are known. They
-// are told on, for VMs that do not hear the one that told them.
-func (s *Servers) news(n News, now time.Time) []Change {
+// selectNew returns the unknown changes of n and records them as known. They are also
+// forwarded, for VMs that do not receive updates from the sender of n.
+func (s *Servers) selectNew(n News, now time.Time) []Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rev == 0 || n.Rev < s.rev {
@@ -189,25 +191,25 @@
 	for _, c := range n.Changes {
 		if c.Rev > s.rev {
 			out = append(out, c)
-			s.recent = append(s.recent, dated{Change: c, at: now})
+			s.recent = append(s.recent, timedChange{Change: c, at: now})
 		}
 	}
 	s.rev = n.Rev
-	s.fresh = max(s.fresh, s.clock().Add(-n.Age))
-	if n.Age < passTime {
-		s.heard = now
+	s.confirmed = max(s.confirmed, s.clock().Add(-n.Age))
+	if n.Age < relayTime {
+		s.lastUpdate = now
 	}
 	return out
 }
 
-// Age returns how long ago what is known of the servers was the newest.
+// Age returns the time since the server data was last known to be current.
 func (s *Servers) Age() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.age()
 }
 
-func (s *Servers) age() time.Duration { return s.clock().Sub(s.fresh) }
+func (s *Servers) age() time.Duration { return s.clock().Sub(s.confirmed) }
 
 func (s *Servers) known() Revision {
 	s.mu.Lock()
@@ -215,35 +217,36 @@
 	return s.rev
 }
 
-// Run follows the servers until ctx ends.
+// Run follows the servers until ctx is done.
 func (s *Servers) Run(ctx context.Context) {
 	l := loop.New(loop.Source[Revision]{
 		Name:  "servers",
 		Wait:  serversWait,
-		Rest:  s.rest,
-		Adopt: s.adopt,
+		Rest:  s.batchDelay,
+		Adopt: s.copyFromPeer,
 		Read:  s.read,
-		Await: s.await,
-		Lost:  s.lost,
-		Back:  s.back,
+		Await: s.awaitChanges,
+		Lost:  s.storeUnreachable,
+		Back:  s.storeRecovered,
 		Known: s.known,
 		Empty: func() bool { return s.known() == 0 },
-		Told:  s.told,
-		First: s.first,
+		Told:  s.peersUpdate,
+		First: s.probes,
 	}, s.log)
 	l.Run(ctx)
 }
 
-func (s *Servers) rest() time.Duration {
-	if s.lead() {
-		return serversRest
+func (s *Servers) batchDelay() time.Duration {
+	if s.leads() {
+		return leadBatchDelay
 	}
-	return standbyRest
+	return standbyBatchDelay
 }
 
-// Expire drops servers whose entries lapsed in an outage, until ctx ends.
+// Expire drops the servers whose entries expired in a store outage and were not written
+// again within the grace period. It runs until ctx is done.
 func (s *Servers) Expire(ctx context.Context) {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -251,60 +254,60 @@
 			return
 		case now := <-t.C:
 			for _, id := range s.table.Expire(now) {
-				s.log.Info("server gone", zap.String("server", string(id)), zap.String("reason", "its entry did not come back after an outage of the store"))
+				s.log.Info("server gone", zap.String("server", string(id)), zap.String("reason", "its entry was not written again after a store outage"))
 			}
 		}
 	}
 }
 
-func (s *Servers) lost(time.Time) {
+func (s *Servers) storeUnreachable(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = true
+	s.storeDown = true
 }
 
-func (s *Servers) back(now time.Time) {
+func (s *Servers) storeRecovered(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = false
-	s.until = now.Add(backs.ReturnTime)
+	s.storeDown = false
+	s.graceEnd = now.Add(backs.ReturnTime)
 }
 
-// grace returns the time until which a missing entry counts as lapsed rather than
+// updateGrace returns the time until which a missing entry counts as expired rather than
 // removed. A VM that does not read the store itself cannot observe an outage, so stale
-// data is treated like one.
-func (s *Servers) grace(now time.Time) time.Time {
+// data is treated as an outage.
+func (s *Servers) updateGrace(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	age := s.age()
-	stale := s.fresh != 0 && age > staleTime
-	if stale && !s.down && now.After(s.until) {
+	stale := s.confirmed != 0 && age > staleAge
+	if stale && !s.storeDown && now.After(s.graceEnd) {
 		s.log.Info("servers are stale, missing entries may have lapsed in a store outage", zap.Duration("age", age))
 	}
-	if s.down || stale {
-		s.until = now.Add(backs.ReturnTime)
+	if s.storeDown || stale {
+		s.graceEnd = now.Add(backs.ReturnTime)
 	}
-	return s.until
+	return s.graceEnd
 }
 
 func (s *Servers) read(ctx context.Context) (Revision, error) {
-	asked := s.clock()
-	s.grace(time.Now())
+	requested := s.clock()
+	s.updateGrace(time.Now())
 	list, rev, err := s.src.Servers(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if s.applyList(list, rev, asked) {
-		s.onNews()
+	if s.applyList(list, rev, requested) {
+		s.onChange()
 	}
 	s.log.Info("servers read", zap.Int("servers", len(list)), zap.Uint64("revision", uint64(rev)))
 	return rev, nil
 }
 
-// applyList replaces the table with the store's list at rev, which was requested at
-// asked. It ignores the list if a later revision is known, and reports whether there are
-// changes to send to other VMs.
-func (s *Servers) applyList(list []backs.Entry, rev Revision, asked awake.Instant) bool {
+// applyList replaces the table with the store's list at rev, which was requested at the
+// given time. It ignores the list if a later revision is known, and reports whether there
+// are changes to send to other VMs.
+func (s *Servers) applyList(list []backs.Entry, rev Revision, requested awake.Instant) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	known := s.known()
@@ -312,45 +315,45 @@
 		return false
 	}
 	now := time.Now()
-	grace := s.grace(now)
+	grace := s.updateGrace(now)
 	if known != 0 && rev.Era() > known.Era() {
-		list = s.confirmedOf(list)
+		list = s.filterKnown(list)
 	}
 	changed, missing := s.table.Replace(list, grace, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told := s.rev != 0
-	if told {
-		s.noteAll(rev, changed, missing, grace, now)
+	wasKnown := s.rev != 0
+	if wasKnown {
+		s.recordAll(rev, changed, missing, grace, now)
 	} else {
 		s.base, s.recent = rev, nil
 	}
-	s.rev, s.fresh = rev, max(s.fresh, asked)
-	return told && len(changed)+len(missing) > 0
+	s.rev, s.confirmed = rev, max(s.confirmed, requested)
+	return wasKnown && len(changed)+len(missing) > 0
 }
 
-// confirmedOf returns the entries of servers that are known. The first list of a new
-// era may hold entries of servers that have gone since the copy was made; those that
-// live write theirs again, and are known then.
-func (s *Servers) confirmedOf(list []backs.Entry) []backs.Entry {
+// filterKnown returns the entries of known servers. The first list of a new era may
+// contain servers that ended after the backup copy was made. Running servers write their
+// entries again and become known then.
+func (s *Servers) filterKnown(list []backs.Entry) []backs.Entry {
 	view := s.table.View()
 	return slices.DeleteFunc(list, func(e backs.Entry) bool { return view.Server(e.ID) == nil })
 }
 
-// noteAll notes what a reading of all servers changed, so that VMs that are told
-// need not take the whole list.
-func (s *Servers) noteAll(rev Revision, changed []backs.Entry, missing []ident.Server, grace, now time.Time) {
+// recordAll records the changes found by reading the complete list, so that VMs that
+// receive updates need not request the list.
+func (s *Servers) recordAll(rev Revision, changed []backs.Entry, missing []ident.Server, grace, now time.Time) {
 	for _, e := range changed {
-		s.recent = append(s.recent, dated{Change: Change{Rev: rev, Entry: e}, at: now})
+		s.recent = append(s.recent, timedChange{Change: Change{Rev: rev, Entry: e}, at: now})
 	}
 	for _, id := range missing {
 		gone := Change{Rev: rev, Gone: true, Entry: backs.Entry{ID: ident.NewServer(id.Name(), time.Time{})}, Lapse: max(grace.Sub(now), 0)}
-		s.recent = append(s.recent, dated{Change: gone, at: now})
+		s.recent = append(s.recent, timedChange{Change: gone, at: now})
 	}
 }
 
-// All returns all servers known, as news for a VM that knows none; false if some
-// are not known.
+// Snapshot returns all servers as an update for a VM that knows none. It returns false if
+// this VM's data is incomplete.
 func (s *Servers) All() (News, bool) {
 	s.mu.Lock()
 	rev, age := s.rev, s.age()
@@ -358,24 +361,25 @@
 	if rev == 0 {
 		return News{}, false
 	}
-	// The table calls back into this follower under its own lock, so that this
-	// one's is not held. What is newer than the revision is told again.
+	// The table calls this follower while holding its own lock, so mu must not be held
+	// here. Changes later than rev may be included already and are sent again later.
 	n := News{Rev: rev, Age: age}
-	lapses := s.table.RemainingGrace(time.Now())
+	grace := s.table.RemainingGrace(time.Now())
 	for _, e := range s.table.View().All() {
-		n.Changes = append(n.Changes, Change{Rev: rev, Entry: e, Lapse: lapses[e.ID]})
+		n.Changes = append(n.Changes, Change{Rev: rev, Entry: e, Lapse: grace[e.ID]})
 	}
 	return n, true
 }
 
-// ErrNobody says that there is no other VM that knows.
-var ErrNobody = errors.New("follow: no other VM knows")
+// ErrNoPeer is returned if there is no other VM to copy the servers from.
+var ErrNobody = errors.New("follow: no other VM to copy the servers from")
 
-// adopt takes all servers that another VM knows, if there is one.
-func (s *Servers) adopt(ctx context.Context) bool {
+// copyFromPeer copies all servers from another VM, unless this VM has newer data. It
+// reports whether this VM has complete data afterwards.
+func (s *Servers) copyFromPeer(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, loop.ReadLimit)
 	defer cancel()
-	n, err := s.ask(ctx)
+	n, err := s.fetch(ctx)
 	if errors.Is(err, ErrNobody) {
 		return false
 	}
@@ -396,28 +400,28 @@
 	s.table.Replace(list, time.Time{}, now)
 	for _, c := range n.Changes {
 		if c.Lapse > 0 {
-			// Nobody tells when it is over.
+			// No later update announces the end of the grace period.
 			s.table.Remove(c.Entry.ID.Name(), now.Add(c.Lapse), now)
 		}
 	}
 	s.mu.Lock()
-	s.rev, s.base, s.recent, s.heard = n.Rev, n.Rev, nil, now
-	s.fresh = max(s.fresh, s.clock().Add(-n.Age))
+	s.rev, s.base, s.recent, s.lastUpdate = n.Rev, n.Rev, nil, now
+	s.confirmed = max(s.confirmed, s.clock().Add(-n.Age))
 	s.mu.Unlock()
 	s.log.Info("servers taken from another VM", zap.Int("servers", len(list)), zap.Uint64("revision", uint64(n.Rev)))
 	return n.Rev != 0
 }
 
-func (s *Servers) await(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
-	asked := s.clock()
-	s.grace(time.Now())
+func (s *Servers) awaitChanges(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
+	requested := s.clock()
+	s.updateGrace(time.Now())
 	changes, rev, err := s.src.AwaitServers(ctx, after, wait)
 	if err != nil {
 		return 0, err
 	}
-	if s.applyChanges(changes, rev, confirmed(s.clock, asked, wait)) {
+	if s.applyChanges(changes, rev, confirmedAt(s.clock, requested, wait)) {
 		// Sent at once, so that other VMs can use new servers without delay.
-		s.onNews()
+		s.onChange()
 	}
 	return rev, nil
 }
@@ -428,38 +432,39 @@
 func (s *Servers) applyChanges(changes []Change, rev Revision, at awake.Instant) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
-	now, known, noted := time.Now(), s.known(), false
+	now, known, changed := time.Now(), s.known(), false
 	for _, c := range changes {
 		if c.Rev <= known {
 			continue
 		}
 		if c.Gone {
-			c.Lapse = max(s.grace(now).Sub(now), 0)
+			c.Lapse = max(s.updateGrace(now).Sub(now), 0)
 		}
-		if s.take(&c, s.grace(now)) {
-			s.note(c, now)
-			noted = true
+		if s.applyChange(&c, s.updateGrace(now)) {
+			s.record(c, now)
+			changed = true
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev, s.fresh = max(s.rev, rev), max(s.fresh, at)
-	return noted
+	s.rev, s.confirmed = max(s.rev, rev), max(s.confirmed, at)
+	return changed
 }
 
-func (s *Servers) note(c Change, now time.Time) {
+func (s *Servers) record(c Change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.recent = append(s.recent, dated{Change: c, at: now})
+	s.recent = append(s.recent, timedChange{Change: c, at: now})
 }
 
-// take applies a change and reports whether it says anything new. Until grace a
-// missing entry says nothing.
-func (s *Servers) take(c *Change, grace time.Time) bool {
+// applyChange applies a change and reports whether it is a removal or changed the entry.
+// A server whose entry was removed stays usable until grace, or for the change's own
+// grace period.
+func (s *Servers) applyChange(c *Change, grace time.Time) bool {
 	id := zap.String("server", string(c.Entry.ID))
 	if c.Gone {
 		now := time.Now()
-		if s.table.Remove(c.Entry.ID.Name(), c.until(grace, now), now) {
+		if s.table.Remove(c.Entry.ID.Name(), c.goneAt(grace, now), now) {
 			s.log.Info("server entry removed", id)
 		}
 		return true
--- a/internal/state/follow/settings.go
+++ b/internal/state/follow/settings.go
@@ -15,68 +15,69 @@
 	"umberladder/internal/state/routes"
 )
 
-// settingsWait is how long a wait for new settings is held. It bounds the age
-// of the knowledge that the settings are the newest: calls that they refuse are
-// refused for good up to 1.3 s, and a revoked key must not be served after 5 s.
+// settingsWait is how long the store holds a request for new settings. It bounds the
+// time since the settings were last known to be current. Calls that the settings refuse
+// are refused finally if that time is at most 1.3 s, and a revoked key must not be
+// served after 5 s.
 const settingsWait = 700 * time.Millisecond
 
-// SettingsSource reads the settings in the store. Its calls fail once the store
-// has been silent for a while, and go on for as long as bytes come.
+// SettingsSource reads the settings in the store. Its calls have an idle timeout: they
+// fail if the store sends nothing for some time, and continue while data arrives.
 type SettingsSource interface {
-	// Settings returns the settings and a revision after which changes are to be
-	// awaited; nil if there are none yet.
+	// Settings returns the settings, or nil if there are none yet, and the revision
+	// after which to wait for changes.
 	Settings(ctx context.Context) (*routes.Snapshot, Revision, error)
-	// AwaitSettings returns the newest settings after a revision, or nil if none
-	// came within wait, and the revision up to which nothing was missed.
+	// AwaitSettings returns the latest settings written after a revision, or nil if
+	// there were none within wait, and the revision up to which no change was missed.
 	AwaitSettings(ctx context.Context, after Revision, wait time.Duration) (*routes.Snapshot, Revision, error)
-	// Decode reads a document as the operators wrote it.
+	// Decode parses a settings document in the form in which operators write it.
 	Decode(data []byte) (*routes.Snapshot, error)
 }
 
-// Settings keeps a book of settings in step with the store.
+// SettingsFollower keeps the settings in force up to date with the store.
 type Settings struct {
-	src   SettingsSource
-	book  *routes.Book
-	clock awake.Clock
-	log   *zap.Logger
-	told  func() bool
-	first func() bool
-	news  func()
-	once  singleflight.Group
-	rev   atomic.Uint64
-	// stored is the version that the store held when it last answered.
-	stored atomic.Uint64
-	// calm is an awake.Instant until which the store, back from a copy, may lack
-	// settings that the operators write again.
-	calm atomic.Int64
-}
-
-// NewSettings makes a follower of the settings. It asks the store while told
-// reports that other VMs do not tell what changes, and first that this VM is to
-// find out soon that the store is back. It calls news once it has read newer
-// settings in the store.
-func NewSettings(src SettingsSource, book *routes.Book, clock awake.Clock, told, first func() bool, news func(), log *zap.Logger) *Settings {
-	return &Settings{src: src, book: book, clock: clock, told: told, first: first, news: news, log: log}
-}
-
-// Learn takes another VM's word that a version was the newest at a moment. A
-// newer version than the one in force is read.
+	src         SettingsSource
+	current     *routes.Book
+	clock       awake.Clock
+	log         *zap.Logger
+	peersUpdate func() bool
+	probes      func() bool
+	onChange    func()
+	reads       singleflight.Group
+	rev         atomic.Uint64
+	// storedVersion is the version in the store as of its last response.
+	storedVersion atomic.Uint64
+	// restoreGraceEnd is the time, by clock, until which a store restored from a backup
+	// copy may lack settings that the operators have yet to write again.
+	restoreGraceEnd atomic.Int64
+}
+
+// NewSettingsFollower returns a follower of the settings. It watches the store while
+// peersUpdate reports false, which means that no updates come from other VMs. probes
+// reports whether this VM must quickly detect that the store has recovered. The follower
+// calls onChange when it has read newer settings in the store.
+func NewSettings(src SettingsSource, current *routes.Book, clock awake.Clock, peersUpdate, probes func() bool, onChange func(), log *zap.Logger) *Settings {
+	return &Settings{src: src, current: current, clock: clock, peersUpdate: peersUpdate, probes: probes, onChange: onChange, log: log}
+}
+
+// HandleVersion processes another VM's report that a version was the latest at the given
+// time. If the version is newer than the one in force, the settings are read.
 func (s *Settings) Learn(ctx context.Context, version uint64, at awake.Instant) {
-	snap := s.book.Load()
+	snap := s.current.Load()
 	switch {
 	case snap == nil || version > snap.Version:
 		if err := s.Refresh(ctx, loop.ReadLimit); err != nil {
 			s.log.Info("newer settings not read", zap.Uint64("version", version), zap.Error(err))
 		}
 	case version == snap.Version:
-		s.book.Confirm(at)
+		s.current.Confirm(at)
 	}
 }
 
-// Adopt puts a document in force that another VM has read, in its compressed form,
-// and that was the newest at a moment.
-func (s *Settings) Adopt(packed []byte, at awake.Instant) error {
-	doc, data, err := routes.Unpack(packed)
+// ApplyCompressed puts a compressed document from another VM in force. The document was
+// the latest at the given time.
+func (s *Settings) Adopt(compressed []byte, at awake.Instant) error {
+	doc, data, err := routes.Unpack(compressed)
 	if err != nil {
 		return err
 	}
@@ -84,53 +85,53 @@
 	if err != nil {
 		return err
 	}
-	snap.Source = doc // not in force yet; compressed, it is passed on as it is
-	s.put(snap, at)
+	snap.Source = doc // not in force yet; it is forwarded in its compressed form
+	s.apply(snap, at)
 	return nil
 }
 
-// Run follows the settings until ctx ends.
+// Run follows the settings until ctx is done.
 func (s *Settings) Run(ctx context.Context) {
 	l := loop.New(loop.Source[Revision]{
 		Name:  "settings",
 		Wait:  settingsWait,
 		Rest:  func() time.Duration { return 0 },
-		Adopt: func(context.Context) bool { return false }, // newer versions are told of
-		Read:  func(ctx context.Context) (Revision, error) { return s.shared(ctx, loop.ReadLimit) },
-		Await: s.await,
+		Adopt: func(context.Context) bool { return false }, // other VMs report newer versions
+		Read:  func(ctx context.Context) (Revision, error) { return s.sharedRead(ctx, loop.ReadLimit) },
+		Await: s.awaitVersion,
 		Lost:  func(time.Time) {},
 		Back:  func(time.Time) {},
 		Known: func() Revision { return Revision(s.rev.Load()) },
-		Empty: func() bool { return s.book.Load() == nil },
-		Told:  s.told,
-		First: s.first,
+		Empty: func() bool { return s.current.Load() == nil },
+		Told:  s.peersUpdate,
+		First: s.probes,
 	}, s.log)
 	l.Run(ctx)
 }
 
-// ErrSlow says that a reading takes longer than was to be waited for.
+// ErrSlow is returned if a read takes longer than the caller's limit.
 var ErrSlow = errors.New("follow: the settings are still being read")
 
-// Refresh reads the settings now and waits up to limit for them. The reading goes
-// on after that, and all calls at the same time share it.
+// Refresh reads the settings now and waits up to limit for them. The read continues
+// after the limit, and concurrent calls share it.
 func (s *Settings) Refresh(ctx context.Context, limit time.Duration) error {
-	_, err := s.shared(ctx, limit)
+	_, err := s.sharedRead(ctx, limit)
 	return err
 }
 
-// shared waits for the one reading that is under way; it begins it if there is
-// none. A reading that each caller cut off at its own limit was begun anew for
-// ever: of 1.1 MB, 0.8 came in the 0.7 s that it was given.
-func (s *Settings) shared(ctx context.Context, limit time.Duration) (Revision, error) {
+// sharedRead waits for the read in progress, or starts one if there is none. A caller's
+// limit does not cancel the read: when it did, each caller started the read over and
+// none completed, because 0.8 MB of 1.1 MB arrived within the limit of 0.7 s.
+func (s *Settings) sharedRead(ctx context.Context, limit time.Duration) (Revision, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, limit, ErrSlow)
 	defer cancel()
-	reading := s.once.DoChan("", func() (any, error) {
+	result := s.reads.DoChan("", func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loop.ReadLimit)
 		defer cancel()
 		return s.read(ctx)
 	})
 	select {
-	case r := <-reading:
+	case r := <-result:
 		rev, _ := r.Val.(Revision) // zero if it failed
 		return rev, r.Err
 	case <-ctx.Done():
@@ -139,36 +140,36 @@
 }
 
 func (s *Settings) read(ctx context.Context) (Revision, error) {
-	sent := s.clock()
+	requested := s.clock()
 	snap, rev, err := s.src.Settings(ctx)
 	if err != nil {
 		return 0, err
 	}
-	s.answered(rev)
-	s.stored.Store(0)
+	s.recordRevision(rev)
+	s.storedVersion.Store(0)
 	if snap != nil {
-		s.takeStored(snap, sent)
+		s.applyStored(snap, requested)
 	}
 	return rev, nil
 }
 
-// takeStored puts settings in force that the store held at a moment.
-func (s *Settings) takeStored(snap *routes.Snapshot, at awake.Instant) {
-	s.stored.Store(snap.Version)
-	if !s.isCalm(at) {
-		at = 0 // newer ones may have been lost
+// applyStored puts settings in force that the store held at the given time.
+func (s *Settings) applyStored(snap *routes.Snapshot, at awake.Instant) {
+	s.storedVersion.Store(snap.Version)
+	if !s.isAuthoritative(at) {
+		at = 0 // newer settings may have been lost
 	}
-	if old := s.book.Load(); old == nil || old.Version < snap.Version {
-		s.pack(snap)
+	if old := s.current.Load(); old == nil || old.Version < snap.Version {
+		s.compress(snap)
 	}
-	if s.put(snap, at) {
-		s.news()
+	if s.apply(snap, at) {
+		s.onChange()
 	}
 }
 
-// pack compresses the settings document before the new version is announced. Other VMs
+// compress compresses the settings document before the new version is announced. Other VMs
 // request it immediately, and their requests time out if compression starts only then.
-func (s *Settings) pack(snap *routes.Snapshot) {
+func (s *Settings) compress(snap *routes.Snapshot) {
 	if snap.Source == nil {
 		return
 	}
@@ -177,49 +178,53 @@
 	}
 }
 
-// answered notes the revision of an answer.
-func (s *Settings) answered(rev Revision) {
+// recordRevision records the revision of a response from the store. A new era starts
+// the grace period in which lost settings are written again.
+func (s *Settings) recordRevision(rev Revision) {
 	old := Revision(s.rev.Swap(uint64(rev)))
 	if old != 0 && rev.Era() > old.Era() {
-		s.calm.Store(int64(s.clock().Add(backs.ReturnTime)))
+		s.restoreGraceEnd.Store(int64(s.clock().Add(backs.ReturnTime)))
 		s.log.Warn("store back from a copy", zap.Uint64("era", rev.Era()))
 	}
 }
 
-// isCalm reports whether the settings that the store held at a moment were the newest.
-func (s *Settings) isCalm(at awake.Instant) bool { return int64(at) >= s.calm.Load() }
+// isAuthoritative reports whether the settings that the store held at the given time
+// were the latest.
+func (s *Settings) isAuthoritative(at awake.Instant) bool {
+	return int64(at) >= s.restoreGraceEnd.Load()
+}
 
-func (s *Settings) await(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
-	sent := s.clock()
+func (s *Settings) awaitVersion(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
+	requested := s.clock()
 	snap, rev, err := s.src.AwaitSettings(ctx, after, wait)
 	if err != nil {
 		return 0, err
 	}
-	s.answered(rev)
+	s.recordRevision(rev)
 	if snap != nil {
-		s.takeStored(snap, sent)
+		s.applyStored(snap, requested)
 		return rev, nil
 	}
-	at := confirmed(s.clock, sent, wait)
-	if now := s.book.Load(); now != nil && s.stored.Load() >= now.Version && s.isCalm(at) {
-		s.book.Confirm(at)
+	at := confirmedAt(s.clock, requested, wait)
+	if now := s.current.Load(); now != nil && s.storedVersion.Load() >= now.Version && s.isAuthoritative(at) {
+		s.current.Confirm(at)
 	}
 	return rev, nil
 }
 
-// confirmed returns the moment at which a wait that brought nothing shows that
-// nothing had changed: the store held it for the whole wait, unless the answer
-// came sooner.
-func confirmed(clock awake.Clock, sent awake.Instant, wait time.Duration) awake.Instant {
-	if clock().Sub(sent) < wait {
-		return sent
+// confirmedAt returns the latest time at which a wait that ended without changes shows
+// that nothing had changed. That is the end of the wait, or its start if the response
+// came earlier.
+func confirmedAt(clock awake.Clock, requested awake.Instant, wait time.Duration) awake.Instant {
+	if clock().Sub(requested) < wait {
+		return requested
 	}
-	return sent.Add(wait)
+	return requested.Add(wait)
 }
 
-// put reports whether the settings are in force now and were not before.
-func (s *Settings) put(snap *routes.Snapshot, at awake.Instant) bool {
-	if !s.book.Put(snap, at) {
+// apply puts settings in force and reports whether they were not in force before.
+func (s *Settings) apply(snap *routes.Snapshot, at awake.Instant) bool {
+	if !s.current.Put(snap, at) {
 		return false
 	}
 	s.log.Info("settings in force", zap.Uint64("version", snap.Version))
