--- /dev/null
+++ b/internal/state/keeper/manager_test.go
@@ -0,0 +1,476 @@
+package keeper
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"go.uber.org/zap"
+	"gotest.tools/v3/assert"
+
+	"umberladder/internal/core/ident"
+	table "umberladder/internal/fake/store"
+	"umberladder/internal/peer/proto"
+	"umberladder/internal/peer/store"
+	"umberladder/internal/state/fleet"
+	"umberladder/internal/state/member"
+	"umberladder/internal/state/term"
+)
+
+// fakeStore is an in-memory store with injected faults.
+type fakeStore struct {
+	table *table.Table
+	fail  func(call string) store.Fault
+	// onCall, if set, is called during each get and put, for a put after it has taken
+	// effect and before its reply.
+	onCall func(call string)
+}
+
+const noFault = store.Fault(255)
+
+func (m *fakeStore) faultOf(call string) error {
+	if f := m.fail(call); f != noFault {
+		return &store.Error{Fault: f, Err: errors.New(call)}
+	}
+	return nil
+}
+
+func (m *fakeStore) delay(call string) {
+	if m.onCall != nil {
+		m.onCall(call)
+	}
+}
+
+func (m *fakeStore) Get(_ context.Context, path string) (store.Item, error) {
+	m.delay("get")
+	it, ok := m.table.Get(path, time.Now())
+	if !ok {
+		return store.Item{}, &store.Error{Fault: store.Missing, Err: errors.New(path)}
+	}
+	return store.Item{Path: path, Revision: it.Revision, Value: it.Value}, m.faultOf("get")
+}
+
+func (m *fakeStore) Put(_ context.Context, path string, value []byte, want, lease uint64) (uint64, error) {
+	fault := m.fail("put")
+	if fault == store.Down || fault == store.Budget {
+		return 0, &store.Error{Fault: fault, Err: errors.New("put")}
+	}
+	rev, ok := m.table.Put(path, value, want, lease, time.Now())
+	if !ok {
+		return 0, &store.Error{Fault: store.Conflict, Err: errors.New(path)}
+	}
+	m.delay("put")
+	if fault != noFault {
+		return 0, &store.Error{Fault: fault, Err: errors.New("put")}
+	}
+	return rev, nil
+}
+
+func (m *fakeStore) Delete(_ context.Context, path string, want uint64) error {
+	if err := m.faultOf("delete"); err != nil {
+		return err
+	}
+	if !m.table.Delete(path, want, time.Now()) {
+		return &store.Error{Fault: store.Conflict, Err: errors.New(path)}
+	}
+	return nil
+}
+
+func (m *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
+	return store.Lease{ID: m.table.Grant(ttl, time.Now()), Now: time.Now()}, m.faultOf("grant")
+}
+
+func (m *fakeStore) Renew(_ context.Context, id uint64) (store.Lease, error) {
+	if err := m.faultOf("renew"); err != nil {
+		return store.Lease{}, err
+	}
+	if !m.table.Renew(id, time.Now()) {
+		return store.Lease{}, &store.Error{Fault: store.Missing, Err: errors.New("lapsed")}
+	}
+	return store.Lease{ID: id, Now: time.Now()}, nil
+}
+
+func (m *fakeStore) Revoke(_ context.Context, id uint64) error {
+	m.table.Revoke(id, time.Now())
+	return nil
+}
+
+// cluster holds the managers of a test, provides their membership and carries handovers.
+type cluster struct {
+	live          []member.Member
+	managers      map[ident.VM]*Keeper
+	handoversFail bool // handovers fail
+}
+
+func (c *cluster) View() *fleet.View { return &fleet.View{Live: c.live} }
+
+func (c *cluster) Handover(ctx context.Context, to member.Member, shard int, rev uint64, start time.Time, claims []*proto.Claim) (bool, error) {
+	if c.handoversFail {
+		return false, errors.New("no answer")
+	}
+	return c.managers[to.Name].Accept(ctx, shard, rev, start, claims)
+}
+
+func newCluster(m *fakeStore, n int) *cluster {
+	c := &cluster{managers: map[ident.VM]*Keeper{}}
+	for i := range n {
+		c.add(m, i)
+	}
+	return c
+}
+
+func (c *cluster) add(m *fakeStore, i int) *Keeper {
+	name := ident.VM(fmt.Sprintf("vm-%d", i))
+	c.live = append(c.live, member.Member{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1")})
+	c.managers[name] = New(name, 10*time.Second, m, c, c, zap.NewNop())
+	return c.managers[name]
+}
+
+func (c *cluster) runRounds(n int) {
+	for range n {
+		for _, m := range c.live {
+			c.managers[m.Name].round(context.Background())
+		}
+		time.Sleep(roundInterval)
+	}
+}
+
+// assertAllHeld fails the test unless the managers hold as many shards as there are.
+func (c *cluster) assertAllHeld(t *testing.T) {
+	t.Helper()
+	total := 0
+	for _, k := range c.managers {
+		n, _ := k.Held()
+		total += n
+	}
+	assert.Equal(t, total, Shards)
+}
+
+// assertStoreNamesHolders fails the test unless the store names each holder at the
+// revision that the holder knows.
+func (c *cluster) assertStoreNamesHolders(t *testing.T, m *fakeStore) {
+	t.Helper()
+	for _, k := range c.managers {
+		for shard, h := range k.held {
+			it, ok := m.table.Get(shardPath(shard), time.Now())
+			assert.Assert(t, ok && it.Revision == h.revision, "shard %d: %v", shard, it)
+		}
+	}
+}
+
+func noFaults(string) store.Fault { return noFault }
+
+// failOnly returns a fail function under which each call of one kind fails.
+func failOnly(kind string, f store.Fault) func(string) store.Fault {
+	return func(call string) store.Fault {
+		if call == kind {
+			return f
+		}
+		return noFault
+	}
+}
+
+func newFakeStore() *fakeStore {
+	return &fakeStore{table: table.NewTable(), fail: noFaults}
+}
+
+func TestKeepers(t *testing.T) {
+	t.Run("distribute the shards", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			c := newCluster(newFakeStore(), 3)
+			c.runRounds(3)
+			c.assertAllHeld(t)
+		})
+	})
+	t.Run("hand over shards with their claims to a VM that joins", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 1)
+			c.runRounds(4)
+			old := c.managers["vm-0"]
+			minted := time.Now()
+			for s := range Shards {
+				v, _ := old.Claim(s, "k", minted, [32]byte{}, "r1")
+				assert.Equal(t, v, term.Run)
+			}
+			joined := c.add(m, 1)
+			joined.round(context.Background())
+			c.runRounds(3)
+			c.assertAllHeld(t)
+			n, claims := joined.Held()
+			assert.Assert(t, n > Shards/4 && claims == n, "%d shards, %d claims", n, claims)
+			for s := range Shards {
+				for _, k := range c.managers {
+					if v, _ := k.Claim(s, "k", minted, [32]byte{}, "r2"); v != term.NotHolder {
+						assert.Equal(t, v, term.Running)
+					}
+				}
+			}
+		})
+	})
+	t.Run("release a shard whose handover failed", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 1)
+			c.runRounds(4)
+			c.add(m, 1)
+			c.handoversFail = true
+			m.fail = failOnly("delete", store.Down)
+			c.runRounds(3)
+			m.fail = noFaults
+			c.runRounds(12) // the handover is retried until handoverTimeout
+			c.assertAllHeld(t)
+		})
+	})
+	t.Run("do not acquire a shard that is yet to be released", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 1)
+			c.runRounds(4)
+			c.add(m, 1)
+			c.handoversFail = true
+			m.fail = failOnly("delete", store.Down)
+			c.runRounds(9) // shards are to be released, and remain in the store
+			c.live = c.live[:1]
+			c.runRounds(6)
+			m.fail = noFaults
+			c.runRounds(8)
+			c.assertStoreNamesHolders(t, m)
+		})
+	})
+	t.Run("hold a shard whose acquisition lost its reply", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			m.fail = failOnly("put", store.Unknown)
+			c := newCluster(m, 2)
+			c.runRounds(8)
+			c.assertAllHeld(t)
+		})
+	})
+	t.Run("release a partly acquired shard whose assigned owner has changed", func(t *testing.T) {
+		for call, lost := range map[string]store.Fault{"renew": store.Budget, "put": store.Unknown} {
+			synctest.Test(t, func(t *testing.T) {
+				m := newFakeStore()
+				c := newCluster(m, 1)
+				m.fail = func(c string) store.Fault {
+					if c == call || c == "get" {
+						return lost
+					}
+					return noFault
+				}
+				c.runRounds(1) // the only VM tries to acquire every shard
+				m.fail = noFaults
+				c.add(m, 1)
+				c.runRounds(12)
+				c.assertAllHeld(t)
+			})
+		}
+	})
+	t.Run("reject claims once the lease may have expired", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 1)
+			c.runRounds(4)
+			k := c.managers["vm-0"]
+			m.fail = func(string) store.Fault { return store.Down }
+			time.Sleep(7 * time.Second)
+			v, _ := k.Claim(0, "before", time.Now(), [32]byte{}, "r")
+			assert.Equal(t, v, term.Run, "an outage shorter than the lease has no effect")
+			time.Sleep(4 * time.Second)
+			v, _ = k.Claim(0, "after", time.Now(), [32]byte{}, "r")
+			assert.Equal(t, v, term.NotHolder)
+			m.fail = noFaults
+			c.runRounds(8)
+			c.assertAllHeld(t)
+			v, _ = k.Claim(0, "before", time.Now(), [32]byte{}, "r2")
+			assert.Equal(t, v, term.Run, "the key was minted in the new term")
+		})
+	})
+	t.Run("a VM that leaves hands over all shards", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			c := newCluster(newFakeStore(), 3)
+			c.runRounds(4)
+			leaving := c.managers["vm-1"]
+			c.live = append(c.live[:1:1], c.live[2:]...)
+			leaving.Leave(context.Background())
+			n, _ := leaving.Held()
+			assert.Equal(t, n, 0)
+			c.assertAllHeld(t)
+		})
+	})
+	t.Run("a VM that leaves waits for the next holder's store budget", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 2)
+			c.runRounds(4)
+			leaving := c.managers["vm-1"]
+			_, minted := leaving.claimAll()
+			used := 0
+			m.fail = func(call string) store.Fault {
+				if call != "put" {
+					return noFault
+				}
+				if used++; used%8 == 0 { // the token bucket is empty
+					return store.Budget
+				}
+				return noFault
+			}
+			c.live = c.live[:1]
+			leaving.Leave(context.Background())
+			for s := range Shards {
+				v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again")
+				assert.Assert(t, v == term.Run || v == term.Running, "shard %d lost its claims: %d", s, v)
+			}
+		})
+	})
+	t.Run("a handover whose write lost its reply keeps the claims", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 2)
+			c.runRounds(4)
+			n, minted := c.managers["vm-1"].claimAll()
+			m.fail = failOnly("put", store.Unknown)
+			leaving := c.managers["vm-1"]
+			c.live = c.live[:1]
+			leaving.Leave(context.Background())
+			kept := 0
+			for s := range Shards {
+				if v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again"); v == term.Running {
+					kept++
+				}
+			}
+			assert.Equal(t, kept, n)
+		})
+	})
+	t.Run("a shard that is acquired while it is handed over", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 1)
+			c.runRounds(4)
+			old := c.managers["vm-0"]
+			joined := c.add(m, 1)
+			assert.NilError(t, joined.renew(context.Background()))
+			shard := joined.assignedShards()[0]
+			handedOver := make(chan struct{})
+			m.onCall = func(call string) {
+				switch call {
+				case "get": // the acquisition has found that the shard is held
+					m.onCall = func(call string) {
+						if call == "put" {
+							time.Sleep(2 * time.Second)
+						}
+					}
+					time.AfterFunc(0, func() {
+						old.startHandover(shard, time.Now().Add(handoverTimeout))
+						old.handOverPending(context.Background())
+						close(handedOver)
+					})
+					time.Sleep(10 * time.Millisecond)
+				}
+			}
+			joined.acquire(context.Background(), shard)
+			time.Sleep(3 * term.Margin)
+			minted := time.Now()
+			before, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r1")
+			<-handedOver
+			after, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r2")
+			assert.Assert(t, before != term.Run || after != term.Run, "the key was allowed to run twice")
+			v, _ := joined.Claim(shard, "new", time.Now(), [32]byte{}, "r3")
+			assert.Equal(t, v, term.Run, "the shard must be handed over in the end")
+		})
+	})
+	t.Run("a shard that is offered again after its next handover started", func(t *testing.T) {
+		for _, step := range []string{"handing over", "releasing"} {
+			synctest.Test(t, func(t *testing.T) {
+				m := newFakeStore()
+				c := newCluster(m, 1)
+				c.runRounds(4)
+				joined := c.add(m, 1)
+				assert.NilError(t, joined.renew(context.Background()))
+				shard := joined.assignedShards()[0]
+				revision := c.managers["vm-0"].held[shard].revision
+				offer := func() bool {
+					taken, err := joined.Accept(context.Background(), shard, revision, time.Now().Add(-time.Hour), nil)
+					return taken && err == nil
+				}
+				assert.Assert(t, offer())
+				minted := time.Now()
+				v, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r1")
+				assert.Equal(t, v, term.Run)
+				assert.Assert(t, offer(), "an offer whose reply was lost is retried")
+				joined.startHandover(shard, time.Now())
+				if step == "releasing" {
+					joined.finishHandover(shard, joined.handingOver[shard], false)
+				}
+				assert.Assert(t, !offer(), "the shard is already being handed over to another VM")
+				v, _ = joined.Claim(shard, "k", minted, [32]byte{}, "r2")
+				assert.Equal(t, v, term.NotHolder)
+			})
+		}
+	})
+	t.Run("a shard that is released while it is handed over", func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			m := newFakeStore()
+			c := newCluster(m, 1)
+			c.runRounds(4)
+			joined := c.add(m, 1)
+			assert.NilError(t, joined.renew(context.Background()))
+			shard := joined.assignedShards()[0]
+			joined.uncertain[shard] = true
+			m.onCall = func(call string) {
+				if call == "put" {
+					time.Sleep(2 * time.Second)
+				}
+			}
+			old := c.managers["vm-0"]
+			accepted := make(chan struct{})
+			time.AfterFunc(0, func() {
+				defer close(accepted)
+				_, _ = joined.Accept(context.Background(), shard, old.held[shard].revision, time.Now(), nil)
+			})
+			time.Sleep(10 * time.Millisecond)
+			joined.resolve(context.Background(), shard)
+			<-accepted
+			joined.releaseAll(context.Background())
+			_, err := joined.ownRevision(context.Background(), shard, joined.valuePrefix(joined.lease))
+			assert.Equal(t, joined.held[shard] != nil, err == nil, "the store must name the holder: %v", err)
+		})
+	})
+}
+
+// claimAll claims one key in each shard that m holds, and returns the number of
+// successful claims and the time at which the keys were minted.
+func (m *Keeper) claimAll() (n int, minted time.Time) {
+	minted = time.Now()
+	for s := range Shards {
+		if v, _ := m.Claim(s, "k", minted, [32]byte{}, "first"); v == term.Run {
+			n++
+		}
+	}
+	return n, minted
+}
+
+// assignedShards returns the shards whose assigned owner is this VM.
+func (m *Keeper) assignedShards() []int {
+	var out []int
+	for s := range Shards {
+		if owner, ok := HomeOf(s, m.fleet.View().Live); ok && owner.Name == m.vm {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+func TestLapseByEitherClock(t *testing.T) {
+	now := time.Now()
+	valid := expiry{at: now.Add(time.Second)}
+	assert.Assert(t, valid.valid(now))
+	assert.Assert(t, !valid.valid(now.Add(2*time.Second)))
+	// While the VM was suspended, its wall clock advanced and its monotonic clock did not.
+	suspended := expiry{at: now.Add(time.Second).Round(0).Add(-time.Hour)}
+	assert.Assert(t, !suspended.valid(now))
+}
