--- a/internal/state/keeper/manager_test.go
+++ b/internal/state/keeper/manager_test.go
@@ -467,9 +467,9 @@
 
 func TestLapseByEitherClock(t *testing.T) {
 	now := time.Now()
-	valid := expiry{at: now.Add(time.Second)}
-	assert.Assert(t, valid.valid(now))
-	assert.Assert(t, !valid.valid(now.Add(2*time.Second)))
+	lease := expiry{at: now.Add(time.Second)}
+	assert.Assert(t, lease.valid(now))
+	assert.Assert(t, !lease.valid(now.Add(2*time.Second)))
 	// While the VM was suspended, its wall clock advanced and its monotonic clock did not.
 	suspended := expiry{at: now.Add(time.Second).Round(0).Add(-time.Hour)}
 	assert.Assert(t, !suspended.valid(now))
--- a/internal/state/spread/doc.go
+++ b/internal/state/spread/doc.go
@@ -1,7 +1,8 @@
-// Package spread puts accepted settings in force on every VM.
+// Package syncer distributes accepted settings to every VM and puts them in
+// force.
 //
-// A Book holds the snapshot in force on one VM and lets documents in only
-// upwards in version. A Follower keeps it current: from the platform's
-// key-value service where this VM is one of its domain's watchers, and from
+// A Current holds the snapshot in force on one VM; the versions of its documents
+// never decrease. A Follower keeps it up to date: from the platform's key-value
+// service if this VM is one of the watchers of its failure domain, and from
 // other VMs otherwise.
 package spread
--- a/internal/state/spread/follower.go
+++ b/internal/state/spread/follower.go
@@ -21,13 +21,13 @@
 	watchersPerDomain = 2
 	watchWait         = 10 * time.Second
 	watchKey          = "settings-watch/"
-	// deafAfter is how long a VM hears from no other before it reads the
-	// store itself.
-	deafAfter  = 2 * time.Second
-	checkEvery = 250 * time.Millisecond
-	retryBase  = 200 * time.Millisecond
-	retryLimit = 5 * time.Second
-	pullTime   = 3 * time.Second
+	// isolatedAfter is how long a VM receives nothing from other VMs before it
+	// reads the store itself.
+	isolatedAfter = 2 * time.Second
+	checkInterval = 250 * time.Millisecond
+	retryBase     = 200 * time.Millisecond
+	retryLimit    = 5 * time.Second
+	pullTimeout   = 3 * time.Second
 )
 
 // Reader reads settings from the platform's key-value service.
@@ -36,8 +36,8 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]store.Item, uint64, error)
 }
 
-// Puller fetches the documents that another VM has and that are newer than a
-// revision, and the revision up to which these are all.
+// Puller fetches the documents of another VM that are newer than a revision, and
+// the revision up to which these are complete.
 type Puller interface {
 	Pull(ctx context.Context, from member.Member, after uint64) ([]config.Document, uint64, error)
 }
@@ -47,65 +47,66 @@
 	Go(f func() error)
 }
 
-// Follower keeps a VM's book current. Its book always holds every document up
-// to the book's revision, because it only ever takes all that is newer. Documents
-// that were written while the store could not be read are in force ahead of it.
+// Follower keeps a VM's settings up to date. The snapshot always contains every
+// document up to its revision, because the follower raises the revision only
+// with all newer documents. Documents that were written while the store could
+// not be read are in force ahead of the revision.
 type Follower struct {
-	book  *Book
-	store Reader
-	peers Puller
-	fleet *fleet.Fleet
-	group Group
-	log   *zap.Logger
-	mu    sync.Mutex
-	rng   *rand.Rand
-	after uint64 // the store's revision up to which all is known
-	tries int
-	pulls map[ident.VM]bool // under way
+	current       *Book
+	store         Reader
+	peers         Puller
+	fleet         *fleet.Fleet
+	group         Group
+	log           *zap.Logger
+	mu            sync.Mutex
+	rng           *rand.Rand
+	storeRevision uint64 // everything up to this revision of the store has been read
+	failures      int
+	pulls         map[ident.VM]bool // in progress
 }
 
-// NewFollower makes a follower. Start must follow before anything else.
-func NewFollower(book *Book, s Reader, p Puller, g Group, log *zap.Logger, rng *rand.Rand) *Follower {
+// NewFollower returns a follower. SetFleet must be called before any other method.
+func NewFollower(current *Book, s Reader, p Puller, g Group, log *zap.Logger, rng *rand.Rand) *Follower {
 	return &Follower{
-		book:  book,
-		store: s,
-		peers: p,
-		group: g,
-		log:   log,
-		rng:   rng,
-		pulls: map[ident.VM]bool{},
+		current: current,
+		store:   s,
+		peers:   p,
+		group:   g,
+		log:     log,
+		rng:     rng,
+		pulls:   map[ident.VM]bool{},
 	}
 }
 
-// Start tells the follower the membership, which itself asks the follower for
-// its revision.
+// SetFleet sets the membership. It is not an argument of NewFollower because the
+// membership is created with methods of the follower.
 func (f *Follower) Start(fl *fleet.Fleet) { f.fleet = fl }
 
 // Revision returns the revision of the settings in force.
-func (f *Follower) Revision() uint64 { return f.book.Load().Revision }
+func (f *Follower) Revision() uint64 { return f.current.Load().Revision }
 
-// Mark tells other VMs which settings are in force on this one.
+// SettingsVersion describes the settings in force on this VM for other VMs.
 func (f *Follower) Mark() member.Mark {
-	s := f.book.Load()
+	s := f.current.Load()
 	return member.Mark{Revision: s.Revision, Ahead: s.Ahead}
 }
 
-// Run keeps the book current until ctx ends: a watcher waits on the store,
-// any other VM hears from its peers, and reads the store only if it hears
-// nothing.
+// Run keeps the settings up to date until ctx is done. A watcher watches the
+// store. Any other VM receives settings from its peers, and reads the store only
+// if it receives nothing from them.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if f.watching() || f.deaf() {
-			f.watch(ctx)
+		if f.isWatcher() || f.isIsolated() {
+			f.watchOnce(ctx)
 			continue
 		}
-		retry.Pause(ctx, checkEvery)
+		retry.Pause(ctx, checkInterval)
 	}
 	return nil
 }
 
-// watching reports whether this VM is one of its domain's watchers.
-func (f *Follower) watching() bool {
+// isWatcher reports whether this VM is one of the watchers of its failure domain.
+func (f *Follower) isWatcher() bool {
 	v := f.fleet.View()
 	key := watchKey + string(v.Self.Domain)
 	for _, m := range member.Top(key, v.Domain(v.Self.Domain), watchersPerDomain) {
@@ -116,53 +117,56 @@
 	return false
 }
 
-// deaf reports whether this VM has no settings yet or hears nobody.
-func (f *Follower) deaf() bool {
-	return f.book.Load().System == nil || time.Since(f.fleet.Heard()) > deafAfter
+// isIsolated reports whether this VM has no settings yet or receives nothing
+// from other VMs.
+func (f *Follower) isIsolated() bool {
+	return f.current.Load().System == nil || time.Since(f.fleet.Heard()) > isolatedAfter
 }
 
-// watch waits on the store once.
-func (f *Follower) watch(ctx context.Context) {
+// watchOnce makes one watch request to the store. A VM that is not a watcher
+// reads without waiting for changes.
+func (f *Follower) watchOnce(ctx context.Context) {
 	wait := watchWait
-	if !f.watching() {
+	if !f.isWatcher() {
 		wait = 0
 	}
-	items, rev, err := f.store.Watch(ctx, Prefix, f.position(), wait)
+	items, rev, err := f.store.Watch(ctx, Prefix, f.knownRevision(), wait)
 	if err != nil {
-		f.failed(ctx, err)
+		f.handleFailure(ctx, err)
 		return
 	}
 	f.mu.Lock()
-	f.tries = 0
+	f.failures = 0
 	f.mu.Unlock()
-	f.take(items, rev)
+	f.applyItems(items, rev)
 	if wait == 0 {
-		retry.Pause(ctx, f.jitter(deafAfter))
+		retry.Pause(ctx, f.jitter(isolatedAfter))
 	}
 }
 
-// failed waits before the store is asked again, so that VMs do not come back
-// in step, and meanwhile asks a peer.
-func (f *Follower) failed(ctx context.Context, err error) {
+// handleFailure backs off before the next request to the store, with jitter so
+// that the VMs do not retry at the same time. A VM without settings first pulls
+// them from its peers.
+func (f *Follower) handleFailure(ctx context.Context, err error) {
 	f.mu.Lock()
-	f.tries++
-	d := retry.Delay(f.rng, f.tries, retryBase, retryLimit)
+	f.failures++
+	d := retry.Delay(f.rng, f.failures, retryBase, retryLimit)
 	f.mu.Unlock()
-	f.log.Debug("the store can't be read", zap.Error(err))
-	if f.book.Load().System == nil {
-		f.askAround(ctx)
+	f.log.Debug("failed to watch store", zap.Error(err))
+	if f.current.Load().System == nil {
+		f.pullFromAny(ctx)
 		d = min(d, time.Second)
 	}
 	retry.Pause(ctx, d)
 }
 
-// askAround pulls from live VMs until one has settings.
-func (f *Follower) askAround(ctx context.Context) {
+// pullFromAny pulls from the live VMs until one of them provides settings.
+func (f *Follower) pullFromAny(ctx context.Context) {
 	for _, m := range f.fleet.View().Live {
 		if m.Name == f.fleet.View().Self.Name {
 			continue
 		}
-		if f.pull(ctx, m) == nil && f.book.Load().System != nil {
+		if f.pull(ctx, m) == nil && f.current.Load().System != nil {
 			return
 		}
 	}
@@ -174,33 +178,35 @@
 	return d/2 + time.Duration(f.rng.Int64N(int64(d)))
 }
 
-func (f *Follower) position() uint64 {
+func (f *Follower) knownRevision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.after, f.book.Load().Revision)
+	return max(f.storeRevision, f.current.Load().Revision)
 }
 
-// take applies what the store returned, all up to rev, and tells the domain.
-func (f *Follower) take(items []store.Item, rev uint64) {
+// applyItems applies items from the store, which are complete up to rev, and
+// notifies the failure domain.
+func (f *Follower) applyItems(items []store.Item, rev uint64) {
 	docs := make([]config.Document, 0, len(items))
 	for _, it := range items {
 		d, err := Decode(it)
 		if err != nil {
-			f.log.Error("a settings value can't be read", zap.String("path", it.Path), zap.Error(err))
+			f.log.Error("failed to decode settings value", zap.String("path", it.Path), zap.Error(err))
 			continue
 		}
 		docs = append(docs, d)
 	}
 	f.mu.Lock()
-	f.after = max(f.after, rev)
+	f.storeRevision = max(f.storeRevision, rev)
 	f.mu.Unlock()
-	f.tell(f.book.Apply(docs))
+	f.notifyDomain(f.current.Apply(docs))
 }
 
-// tell tells this VM's domain of settings that changed.
-func (f *Follower) tell(changed bool, err error) {
+// notifyDomain notifies the VMs of this failure domain if the settings changed, and
+// logs err.
+func (f *Follower) notifyDomain(changed bool, err error) {
 	if err != nil {
-		f.log.Error("settings were not applied", zap.Error(err))
+		f.log.Error("failed to apply settings", zap.Error(err))
 	}
 	if changed {
 		v := f.fleet.View()
@@ -208,28 +214,28 @@
 	}
 }
 
-// Accepted puts a document in force that was written through this VM, and tells
-// the others, though nobody may be able to read the store.
+// ApplyWritten puts a document in force that was written through this VM, and
+// notifies other VMs. It works also while no VM can read the store.
 func (f *Follower) Accepted(d config.Document) {
-	f.tell(f.book.Merge(0, []config.Document{d}))
+	f.notifyDomain(f.current.Merge(0, []config.Document{d}))
 }
 
-// Refresh reads the store at once, after a write through this VM, and spreads
-// what it finds.
+// Refresh reads the store immediately, after a write through this VM, applies the
+// changes and notifies other VMs.
 func (f *Follower) Refresh(ctx context.Context) error {
-	items, rev, err := f.store.List(ctx, Prefix, f.position())
+	items, rev, err := f.store.List(ctx, Prefix, f.knownRevision())
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f.take(items, rev)
+	f.applyItems(items, rev)
 	return nil
 }
 
-// Heard is told which settings each VM heard from has: what this one may lack
-// is pulled.
+// HandlePeerVersion processes the settings version of another VM, and pulls the
+// settings from that VM if this one may lack some of them.
 func (f *Follower) Heard(from member.Member, theirs member.Mark) {
-	own := f.Mark()
-	if theirs.Revision <= own.Revision && (theirs.Ahead == 0 || theirs.Ahead == own.Ahead) {
+	ours := f.Mark()
+	if theirs.Revision <= ours.Revision && (theirs.Ahead == 0 || theirs.Ahead == ours.Ahead) {
 		return
 	}
 	f.mu.Lock()
@@ -240,35 +246,35 @@
 		return
 	}
 	f.group.Go(func() error {
-		defer f.pulled(from.Name)
+		defer f.pullDone(from.Name)
 		if err := f.pull(context.Background(), from); err != nil {
-			f.log.Debug("settings can't be pulled", zap.String("from", string(from.Name)), zap.Error(err))
+			f.log.Debug("failed to pull settings", zap.String("from", string(from.Name)), zap.Error(err))
 		}
 		return nil
 	})
 }
 
-func (f *Follower) pulled(name ident.VM) {
+func (f *Follower) pullDone(name ident.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.pulls, name)
 }
 
 func (f *Follower) pull(ctx context.Context, from member.Member) error {
-	ctx, cancel := context.WithTimeout(ctx, pullTime)
+	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	docs, upTo, err := f.peers.Pull(ctx, from, f.Revision())
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	f.tell(f.book.Merge(upTo, docs))
+	f.notifyDomain(f.current.Merge(upTo, docs))
 	return nil
 }
 
-// Newer returns the documents in force that are newer than a revision, and the
-// revision up to which these are all, for another VM's pull.
+// DocumentsAfter returns the documents in force that are newer than a revision, and
+// the revision up to which these are complete, for another VM's pull.
 func (f *Follower) Newer(after uint64) ([]config.Document, uint64) {
-	s := f.book.Load()
+	s := f.current.Load()
 	var out []config.Document
 	for _, d := range s.Documents {
 		if d.Version > after {
--- a/internal/state/spread/follower_test.go
+++ b/internal/state/spread/follower_test.go
@@ -27,38 +27,38 @@
 	"umberladder/internal/test/check"
 )
 
-var errCut = errors.New("no answer")
+var errNoReply = errors.New("no answer")
 
-// village is a few VMs whose followers share a store, over a network that
-// drops, repeats and delays, in virtual time.
-type village struct {
+// cluster is a group of VMs whose followers share a store, in virtual time, over a
+// network that drops, repeats and delays packets.
+type cluster struct {
 	table *table.Table
 	group errgroup.Group
-	vms   []*dweller
+	vms   []*vm
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	loss  float64
-	pulls int
-	down  bool          // the store answers nothing
-	slow  time.Duration // its answers come this late
+	mu        sync.Mutex
+	rng       *rand.Rand
+	loss      float64
+	pulls     int
+	down      bool          // the store is unavailable
+	delayTime time.Duration // delay of each store response
 }
 
-// dweller is one VM. It is the transport of its membership, the store and the
-// peers of its follower.
-type dweller struct {
-	village  *village
+// vm is one VM. It implements the transport of its membership, and the store and
+// the peers of its follower.
+type vm struct {
+	cluster  *cluster
 	self     member.Member
-	book     *Book
+	current  *Book
 	invars   *invar.Book
 	fleet    *fleet.Fleet
 	follower *Follower
 	inbox    chan member.Packet
-	paused   bool // nothing reaches it or leaves it; packets wait
+	paused   bool // sends and receives nothing; packets are queued
 }
 
-func newVillage(ctx context.Context, n int, seed uint64) *village {
-	v := &village{table: table.NewTable(), rng: rand.New(rand.NewPCG(seed, 0))}
+func newCluster(ctx context.Context, n int, seed uint64) *cluster {
+	c := &cluster{table: table.NewTable(), rng: rand.New(rand.NewPCG(seed, 0))}
 	var list []member.Member
 	for i := range n {
 		list = append(list, member.Member{
@@ -69,70 +69,70 @@
 		})
 	}
 	for i, m := range list {
-		d := &dweller{village: v, self: m, invars: &invar.Book{}, inbox: make(chan member.Packet, 10_000)}
-		d.book = NewBook(d.invars)
-		d.follower = NewFollower(d.book, d, d, &v.group, zap.NewNop(), rand.New(rand.NewPCG(seed, uint64(i+1))))
+		d := &vm{cluster: c, self: m, invars: &invar.Book{}, inbox: make(chan member.Packet, 10_000)}
+		d.current = NewBook(d.invars)
+		d.follower = NewFollower(d.current, d, d, &c.group, zap.NewNop(), rand.New(rand.NewPCG(seed, uint64(i+1))))
 		t := member.New(member.DefaultConfig(), m, rand.New(rand.NewPCG(seed, uint64(100+i))))
 		t.List(list, time.Now())
-		d.fleet = fleet.New(t, d, listed(list), d.follower.Mark, d.follower.Heard)
+		d.fleet = fleet.New(t, d, staticList(list), d.follower.Mark, d.follower.Heard)
 		d.follower.Start(d.fleet)
-		v.vms = append(v.vms, d)
+		c.vms = append(c.vms, d)
 	}
-	for _, d := range v.vms {
+	for _, d := range c.vms {
 		for _, run := range []func(context.Context) error{d.fleet.Run, d.fleet.Receive, d.follower.Run} {
-			v.group.Go(func() error { return run(ctx) })
+			c.group.Go(func() error { return run(ctx) })
 		}
 	}
-	return v
+	return c
 }
 
-type listed []member.Member
+type staticList []member.Member
 
-func (l listed) Members(context.Context) ([]member.Member, error) { return l, nil }
+func (l staticList) Members(context.Context) ([]member.Member, error) { return l, nil }
 
-// delay draws how long a packet takes; false: it is lost.
-func (v *village) delay() (time.Duration, bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return time.Duration(1+v.rng.IntN(40)) * time.Millisecond, v.rng.Float64() >= v.loss
+// delay draws the delay of a packet, and false if the packet is lost.
+func (c *cluster) delay() (time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Duration(1+c.rng.IntN(40)) * time.Millisecond, c.rng.Float64() >= c.loss
 }
 
-func (v *village) set(f func()) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (c *cluster) locked(f func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	f()
 }
 
-// pulled returns how often VMs have asked one another.
-func (v *village) pulled() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.pulls
+// pullCount returns the number of pulls between VMs.
+func (c *cluster) pullCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.pulls
 }
 
-// heal ends every failure.
-func (v *village) heal() {
-	v.set(func() {
-		v.loss, v.down, v.slow = 0, false, 0
-		for _, d := range v.vms {
+// clearFaults ends every fault.
+func (c *cluster) clearFaults() {
+	c.locked(func() {
+		c.loss, c.down, c.delayTime = 0, false, 0
+		for _, d := range c.vms {
 			d.paused = false
 		}
 	})
 }
 
-// end stops every VM.
-func (v *village) end(t *testing.T, cancel func()) {
-	v.heal()
+// stop stops every VM.
+func (c *cluster) stop(t *testing.T, cancel func()) {
+	c.clearFaults()
 	cancel()
-	assert.NilError(t, v.group.Wait())
+	assert.NilError(t, c.group.Wait())
 }
 
-// gone waits until VM d is not paused.
-func (d *dweller) gone() {
+// waitWhilePaused waits until VM d is not paused.
+func (d *vm) waitWhilePaused() {
 	for {
-		d.village.mu.Lock()
+		d.cluster.mu.Lock()
 		paused := d.paused
-		d.village.mu.Unlock()
+		d.cluster.mu.Unlock()
 		if !paused {
 			return
 		}
@@ -141,13 +141,13 @@
 }
 
 // Send implements fleet.Transport.
-func (d *dweller) Send(to netip.AddrPort, p *member.Packet) error {
-	for _, other := range d.village.vms {
+func (d *vm) Send(to netip.AddrPort, p *member.Packet) error {
+	for _, other := range d.cluster.vms {
 		if other.self.Address != to {
 			continue
 		}
-		for range 2 { // now and then a packet comes twice
-			wait, arrives := d.village.delay()
+		for range 2 { // some packets arrive twice
+			wait, arrives := d.cluster.delay()
 			if !arrives {
 				break
 			}
@@ -162,24 +162,24 @@
 }
 
 // Run implements fleet.Transport.
-func (d *dweller) Run(ctx context.Context, take func(member.Packet)) error {
+func (d *vm) Run(ctx context.Context, take func(member.Packet)) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case p := <-d.inbox:
-			d.gone()
+			d.waitWhilePaused()
 			take(p)
 		}
 	}
 }
 
-// reach waits for the store as it is just now.
-func (d *dweller) reach() error {
-	d.gone()
-	d.village.mu.Lock()
-	down, slow := d.village.down, d.village.slow
-	d.village.mu.Unlock()
+// accessStore delays as the store does, and fails if the store is unavailable.
+func (d *vm) accessStore() error {
+	d.waitWhilePaused()
+	d.cluster.mu.Lock()
+	down, slow := d.cluster.down, d.cluster.delayTime
+	d.cluster.mu.Unlock()
 	time.Sleep(slow)
 	if down {
 		return &store.Error{Fault: store.Down, Err: errors.New("down")}
@@ -188,27 +188,27 @@
 }
 
 // List implements Reader.
-func (d *dweller) List(_ context.Context, prefix string, after uint64) ([]store.Item, uint64, error) {
-	if err := d.reach(); err != nil {
+func (d *vm) List(_ context.Context, prefix string, after uint64) ([]store.Item, uint64, error) {
+	if err := d.accessStore(); err != nil {
 		return nil, 0, err
 	}
-	items, rev := d.village.table.List(prefix, after, time.Now())
+	items, rev := d.cluster.table.List(prefix, after, time.Now())
 	return d.items(items), rev, nil
 }
 
 // Watch implements Reader.
-func (d *dweller) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]store.Item, uint64, error) {
-	if err := d.reach(); err != nil {
+func (d *vm) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]store.Item, uint64, error) {
+	if err := d.accessStore(); err != nil {
 		return nil, 0, err
 	}
-	items, rev := d.village.table.Watch(prefix, after, wait, ctx.Done())
-	if err := d.reach(); err != nil {
+	items, rev := d.cluster.table.Watch(prefix, after, wait, ctx.Done())
+	if err := d.accessStore(); err != nil {
 		return nil, 0, err // the reply is lost
 	}
 	return d.items(items), rev, nil
 }
 
-func (d *dweller) items(list []table.Item) []store.Item {
+func (d *vm) items(list []table.Item) []store.Item {
 	out := make([]store.Item, 0, len(list))
 	for _, it := range list {
 		out = append(out, store.Item{Path: it.Path, Revision: it.Revision, Value: it.Value})
@@ -217,48 +217,48 @@
 }
 
 // Pull implements Puller.
-func (d *dweller) Pull(_ context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
-	d.village.set(func() { d.village.pulls++ })
-	wait, arrives := d.village.delay()
+func (d *vm) Pull(_ context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
+	d.cluster.locked(func() { d.cluster.pulls++ })
+	wait, arrives := d.cluster.delay()
 	time.Sleep(wait)
 	if !arrives {
-		return nil, 0, errCut
+		return nil, 0, errNoReply
 	}
-	for _, other := range d.village.vms {
+	for _, other := range d.cluster.vms {
 		if other.self.Name == from.Name {
-			other.gone()
+			other.waitWhilePaused()
 			docs, upTo := other.follower.Newer(after)
 			time.Sleep(wait)
 			return docs, upTo, nil
 		}
 	}
-	return nil, 0, errCut
+	return nil, 0, errNoReply
 }
 
-// write has an operator accept document n of a path.
-func (v *village) write(t *testing.T, path, body string) uint64 {
+// write stores a new body of the document at a path, as an accepted change.
+func (c *cluster) write(t *testing.T, path, body string) uint64 {
 	value := Value{Body: []byte(body)}
 	data, err := value.Encode()
 	assert.NilError(t, err)
 	now := time.Now()
-	it, _ := v.table.Get(Prefix+path, now)
-	rev, ok := v.table.Put(Prefix+path, data, it.Revision, 0, now)
+	it, _ := c.table.Get(Prefix+path, now)
+	rev, ok := c.table.Put(Prefix+path, data, it.Revision, 0, now)
 	assert.Assert(t, ok)
 	return rev
 }
 
 const systemBody = `{"classes":[{"name":"a","rank":0}],"models":[]}`
 
-func (v *village) workspace(t *testing.T, name, n int) uint64 {
+func (c *cluster) workspace(t *testing.T, name, n int) uint64 {
 	body := fmt.Sprintf(`{"caller-keys":[%q],"services":[],"limits":{"concurrency":%d}}`, strings.Repeat("ab", 32), n+1)
-	return v.write(t, fmt.Sprintf("/workspaces/w%d", name), body)
+	return c.write(t, fmt.Sprintf("/workspaces/w%d", name), body)
 }
 
-// through writes document n of a workspace through a VM, which hears of it at
-// once.
-func (v *village) through(t *testing.T, d *dweller, name, n int) uint64 {
-	rev := v.workspace(t, name, n)
-	it, _ := v.table.Get(fmt.Sprintf("%s/workspaces/w%d", Prefix, name), time.Now())
+// writeThrough writes document n of a workspace through a VM, which applies it
+// immediately.
+func (c *cluster) writeThrough(t *testing.T, d *vm, name, n int) uint64 {
+	rev := c.workspace(t, name, n)
+	it, _ := c.table.Get(fmt.Sprintf("%s/workspaces/w%d", Prefix, name), time.Now())
 	doc, err := Decode(store.Item{Path: it.Path, Revision: it.Revision, Value: it.Value})
 	assert.NilError(t, err)
 	d.follower.Accepted(doc)
@@ -266,8 +266,8 @@
 }
 
 // behind returns the first VM that is not at the revision.
-func (v *village) behind(rev uint64) string {
-	for _, d := range v.vms {
+func (c *cluster) behind(rev uint64) string {
+	for _, d := range c.vms {
 		if got := d.follower.Revision(); got != rev {
 			return fmt.Sprintf("%s is at %d in place of %d", d.self.Name, got, rev)
 		}
@@ -275,12 +275,12 @@
 	return ""
 }
 
-// whole fails unless each VM holds every document up to its revision.
-func (v *village) whole(t *testing.T) {
-	items, _ := v.table.List(Prefix, 0, time.Now())
-	for _, d := range v.vms {
+// assertComplete fails the test unless each VM has every document up to its revision.
+func (c *cluster) assertComplete(t *testing.T) {
+	items, _ := c.table.List(Prefix, 0, time.Now())
+	for _, d := range c.vms {
 		check.Invariants(t, d.invars)
-		snap := d.book.Load()
+		snap := d.current.Load()
 		for _, it := range items {
 			if it.Revision <= snap.Revision {
 				assert.Equal(t, snap.Documents[strings.TrimPrefix(it.Path, Prefix)].Version, it.Revision, "%s on %s", it.Path, d.self.Name)
@@ -289,74 +289,75 @@
 	}
 }
 
-// TestSpread writes settings while packets are lost, late and doubled, the
-// store is down or slow, and VMs are paused. No VM ever goes back or lacks a
-// document below its revision; once all is well, the last write is in force
-// everywhere in time.
+// TestSpread guards against VMs that revert settings, miss documents or keep old
+// settings. It writes settings while packets are lost, delayed and duplicated, the
+// store is down or slow, and VMs are paused. No VM may revert a document or lack one
+// up to its revision; after the faults end, the last write must be in force on all
+// VMs in time.
 func TestSpread(t *testing.T) {
 	check.Checks(t, 60)
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			v := newVillage(ctx, 5, rapid.Uint64().Draw(rt, "seed"))
-			defer v.end(t, cancel)
-			last := v.write(t, config.SystemPath, systemBody)
+			c := newCluster(ctx, 5, rapid.Uint64().Draw(rt, "seed"))
+			defer c.stop(t, cancel)
+			last := c.write(t, config.SystemPath, systemBody)
 			for n := range rapid.IntRange(1, 20).Draw(rt, "steps") {
-				d := v.vms[rapid.IntRange(0, 4).Draw(rt, "vm")]
+				d := c.vms[rapid.IntRange(0, 4).Draw(rt, "vm")]
 				on := rapid.Bool().Draw(rt, "on")
 				switch rapid.SampledFrom([]string{"write", "through", "through", "loss", "down", "slow", "pause"}).Draw(rt, "what") {
 				case "write":
-					last = v.workspace(t, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
+					last = c.workspace(t, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
 				case "through":
-					last = v.through(t, d, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
+					last = c.writeThrough(t, d, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
 				case "loss":
-					v.set(func() { v.loss = map[bool]float64{true: 0.4}[on] })
+					c.locked(func() { c.loss = map[bool]float64{true: 0.4}[on] })
 				case "down":
-					v.set(func() { v.down = on })
+					c.locked(func() { c.down = on })
 				case "slow":
-					v.set(func() { v.slow = map[bool]time.Duration{true: 700 * time.Millisecond}[on] })
+					c.locked(func() { c.delayTime = map[bool]time.Duration{true: 700 * time.Millisecond}[on] })
 				case "pause":
-					v.set(func() { d.paused = on })
+					c.locked(func() { d.paused = on })
 				}
 				time.Sleep(time.Duration(rapid.IntRange(0, 2000).Draw(rt, "ms")) * time.Millisecond)
-				v.whole(t)
+				c.assertComplete(t)
 			}
-			v.heal()
+			c.clearFaults()
 			time.Sleep(retryLimit + 3*time.Second)
-			assert.Equal(t, v.behind(last), "")
-			v.whole(t)
-			last = v.workspace(t, 0, 99)
+			assert.Equal(t, c.behind(last), "")
+			c.assertComplete(t)
+			last = c.workspace(t, 0, 99)
 			time.Sleep(3 * time.Second)
-			assert.Equal(t, v.behind(last), "", "in force 3 s after a write, with all well")
+			assert.Equal(t, c.behind(last), "", "in force 3 s after a write without faults")
 		})
 	})
 }
 
-// TestStoreDownJustAfterTheWrite has two VMs write, and the store go down before
-// anyone could read what they wrote.
+// TestStoreDownJustAfterTheWrite guards against losing writes on the way to other VMs.
+// Two VMs write, and the store fails before any VM can read what they wrote.
 func TestStoreDownJustAfterTheWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		v := newVillage(ctx, 7, 1)
-		defer v.end(t, cancel)
-		v.write(t, config.SystemPath, systemBody)
+		c := newCluster(ctx, 7, 1)
+		defer c.stop(t, cancel)
+		c.write(t, config.SystemPath, systemBody)
 		time.Sleep(5 * time.Second)
-		v.set(func() { v.down = true })
-		v.through(t, v.vms[3], 0, 1)
-		v.through(t, v.vms[4], 1, 1)
-		last := v.through(t, v.vms[4], 0, 2)
+		c.locked(func() { c.down = true })
+		c.writeThrough(t, c.vms[3], 0, 1)
+		c.writeThrough(t, c.vms[4], 1, 1)
+		last := c.writeThrough(t, c.vms[4], 0, 2)
 		time.Sleep(3 * time.Second)
-		for _, d := range v.vms {
-			docs := d.book.Load().Documents
+		for _, d := range c.vms {
+			docs := d.current.Load().Documents
 			assert.Equal(t, docs["/workspaces/w0"].Version, last, d.self.Name)
 			assert.Equal(t, docs["/workspaces/w1"].Version, last-1, d.self.Name)
 		}
-		pulls := v.pulled()
+		pulls := c.pullCount()
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, v.pulled(), pulls, "all have all, and still ask")
-		v.set(func() { v.down = false })
+		assert.Equal(t, c.pullCount(), pulls, "VMs still pull although all have all settings")
+		c.locked(func() { c.down = false })
 		time.Sleep(retryLimit + time.Second)
-		assert.Equal(t, v.behind(last), "")
-		v.whole(t)
+		assert.Equal(t, c.behind(last), "")
+		c.assertComplete(t)
 	})
 }
--- a/internal/state/spread/value.go
+++ b/internal/state/spread/value.go
@@ -12,13 +12,13 @@
 	"umberladder/internal/state/config"
 )
 
-// Prefix is where settings lie in the store.
+// Prefix is the path prefix of the settings in the store.
 const Prefix = "/settings"
 
-// MaxChanges is how many changes a value remembers.
+// MaxChanges bounds the change history of a value.
 const MaxChanges = 50
 
-// Change says who changed a document, and when.
+// Change records who changed a document, and when.
 type Change struct {
 	ID     string
 	By     string
@@ -27,8 +27,8 @@
 	Diff   []string // members that changed, as JSON pointers
 }
 
-// Value is what the store holds under one path: the document, and its last
-// changes, the latest last.
+// Value is the stored form of a document: its body and its last changes, oldest
+// first.
 type Value struct {
 	Body    []byte // empty: deleted
 	Changes []Change
@@ -57,7 +57,7 @@
 	return out, trace.Wrap(err)
 }
 
-// DecodeValue reads the stored form of a value.
+// DecodeValue parses the stored form of a value.
 func DecodeValue(data []byte) (*Value, error) {
 	var w valueWire
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -74,7 +74,7 @@
 	return v, nil
 }
 
-// Has reports whether the value remembers the change.
+// Has reports whether the change is in the value's history.
 func (v *Value) Has(id string) bool {
 	for _, c := range v.Changes {
 		if c.ID == id {
