--- a/internal/state/amend/diff.go
+++ b/internal/state/amend/diff.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// maxDiff is how many changed members a change lists.
+// maxDiff bounds the members that a diff lists.
 const maxDiff = 20
 
 // Diff lists the members that differ between two JSON documents, as JSON
-// pointers, each with what was done to it.
+// pointers followed by "added", "removed" or "changed".
 func Diff(before, after []byte) []string {
 	var a, b any
 	_ = json.Unmarshal(before, &a)
--- a/internal/state/amend/doc.go
+++ b/internal/state/amend/doc.go
@@ -1,7 +1,8 @@
-// Package amend accepts operators' changes to settings.
+// Package edit applies operators' changes to settings.
 //
-// A change is a compare-and-swap on the version its writer read, so of two
-// operators who race, one gets a conflict. The stored value remembers its last
-// changes by id: after a lost reply, reading it tells whether the change took
-// effect, and sending the same change again can't apply it twice.
+// A change is a compare-and-swap on the version that its author read, so if two
+// operators change a document concurrently, one of them gets a conflict. The
+// stored value contains the ids of its last changes: after a lost reply, reading
+// the value shows whether the change took effect, and a retry can't apply it
+// twice.
 package amend
