--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// TestVersionsRise applies versions of two documents in any order: each ends at
-// its highest, and no snapshot on the way is older than the one before.
+// TestVersionsRise guards against reverting a document. It applies versions of two
+// documents in random order: after each step a document has the highest version
+// applied so far, and the snapshot's revision does not decrease.
 func TestVersionsRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := config.New()
@@ -150,8 +151,8 @@
 	})
 }
 
-// BenchmarkWith puts one more change in force over n workspaces, and reports
-// what each workspace takes in memory.
+// BenchmarkWith measures a change to one of n workspaces, and reports the memory
+// used by each workspace.
 func BenchmarkWith(b *testing.B) {
 	for _, n := range []int{100, 1000, 2500} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -1,8 +1,8 @@
-// Package config defines the settings that operators write: the system's own
-// document at /system and one document for each workspace at
-// /workspaces/<name>, their JSON form, their checks, and the immutable
-// snapshot that a request reads from start to end.
+// Package config defines the settings that operators write: the system document
+// at /system and one document for each workspace at /workspaces/<name>. It
+// contains their JSON form, their validation, and the immutable snapshot that
+// each request uses throughout.
 //
-// Documents use kebab-case members; an unknown member, a wrong type or an
-// impossible value is rejected with the member's path (RFC 6901).
+// Documents use kebab-case members. An unknown member, a wrong type or an
+// invalid value is rejected with the member's path (RFC 6901).
 package config
--- a/internal/state/config/field.go
+++ b/internal/state/config/field.go
@@ -14,7 +14,7 @@
 	"umberladder/internal/core/ident"
 )
 
-// FieldError names the member at fault and what would be accepted there.
+// FieldError names the invalid member and the value that is expected there.
 type FieldError struct {
 	Path string // JSON pointer inside the document
 	Want string
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%s: %s", path, e.Want)
 }
 
-// Decode reads strict JSON into wire, a pointer to a struct, and names the
-// path of the first fault.
+// Decode parses strict JSON into wire, a pointer to a struct. Its error is a
+// FieldError with the path of the first invalid member.
 func Decode(data []byte, wire any) error {
 	err := json.Unmarshal(data, wire, json.RejectUnknownMembers(true))
 	if err == nil {
@@ -37,7 +37,7 @@
 	}
 	var sem *json.SemanticError
 	if errors.As(err, &sem) {
-		return trace.Wrap(&FieldError{Path: string(sem.JSONPointer), Want: semantic(sem)})
+		return trace.Wrap(&FieldError{Path: string(sem.JSONPointer), Want: describeSemantic(sem)})
 	}
 	var syn *jsontext.SyntacticError
 	if errors.As(err, &syn) {
@@ -49,7 +49,7 @@
 	return trace.Wrap(&FieldError{Want: "not valid JSON: " + err.Error()})
 }
 
-func semantic(e *json.SemanticError) string {
+func describeSemantic(e *json.SemanticError) string {
 	if errors.Is(e, json.ErrUnknownName) {
 		return "unknown member; see the settings page for the members accepted here"
 	}
@@ -63,92 +63,93 @@
 	return fmt.Sprintf("want %s, got %s", want, e.JSONKind)
 }
 
-// Fields collects the first fault found while wire values become domain
-// values. Its methods return the zero value for a member at fault.
+// Validator converts wire values into domain values and records the first error.
+// For an invalid member its methods return the default, or the zero value if there
+// is none.
 type Fields struct {
 	err *FieldError
 }
 
-// Err returns the first fault, or nil.
-func (f *Fields) Err() error {
-	if f.err == nil {
+// Err returns the first error, or nil.
+func (v *Fields) Err() error {
+	if v.err == nil {
 		return nil
 	}
-	return trace.Wrap(f.err)
+	return trace.Wrap(v.err)
 }
 
-// Fault records a fault at a path.
-func (f *Fields) Fault(path, format string, args ...any) {
-	if f.err == nil {
-		f.err = &FieldError{Path: path, Want: fmt.Sprintf(format, args...)}
+// Errorf records an error at a path, unless there is one already.
+func (v *Fields) Fault(path, format string, args ...any) {
+	if v.err == nil {
+		v.err = &FieldError{Path: path, Want: fmt.Sprintf(format, args...)}
 	}
 }
 
-// Name checks a name.
-func (f *Fields) Name(path, s string) string {
+// Name validates a name.
+func (v *Fields) Name(path, s string) string {
 	if err := ident.CheckName(s); err != nil {
-		f.Fault(path, "%s", trace.UserMessage(err))
+		v.Fault(path, "%s", trace.UserMessage(err))
 		return ""
 	}
 	return s
 }
 
-// Duration reads a duration such as "250ms" between low and high; an absent
-// one becomes def.
-func (f *Fields) Duration(path string, s *string, def, low, high time.Duration) time.Duration {
+// Duration parses a duration such as "250ms" from low to high; def replaces an
+// absent one.
+func (v *Fields) Duration(path string, s *string, def, low, high time.Duration) time.Duration {
 	if s == nil {
 		return def
 	}
 	d, err := time.ParseDuration(*s)
 	if err != nil || d < low || d > high {
-		f.Fault(path, "want a duration from %s to %s, such as \"250ms\", got %q", low, high, *s)
+		v.Fault(path, "want a duration from %s to %s, such as \"250ms\", got %q", low, high, *s)
 		return def
 	}
 	return d
 }
 
-// Int bounds a whole number; an absent one becomes def.
-func (f *Fields) Int(path string, n *int, def, low, high int) int {
+// Int validates a whole number from low to high; def replaces an absent one.
+func (v *Fields) Int(path string, n *int, def, low, high int) int {
 	if n == nil {
 		return def
 	}
 	if *n < low || *n > high {
-		f.Fault(path, "want a whole number from %d to %d, got %d", low, high, *n)
+		v.Fault(path, "want a whole number from %d to %d, got %d", low, high, *n)
 		return def
 	}
 	return *n
 }
 
-// Float bounds a number; an absent one becomes def.
-func (f *Fields) Float(path string, x *float64, def, low, high float64) float64 {
+// Float validates a number from low to high; def replaces an absent one.
+func (v *Fields) Float(path string, x *float64, def, low, high float64) float64 {
 	if x == nil {
 		return def
 	}
 	if !(*x >= low && *x <= high) {
-		f.Fault(path, "want a number from %g to %g, got %g", low, high, *x)
+		v.Fault(path, "want a number from %g to %g, got %g", low, high, *x)
 		return def
 	}
 	return *x
 }
 
-// Address reads an IP address with a port.
-func (f *Fields) Address(path, s string) netip.AddrPort {
+// Address parses an IP address with a port.
+func (v *Fields) Address(path, s string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
-		f.Fault(path, "want an IP address with a port, such as \"127.0.0.1:8080\", got %q", s)
+		v.Fault(path, "want an IP address with a port, such as \"127.0.0.1:8080\", got %q", s)
 		return netip.AddrPort{}
 	}
 	return a
 }
 
-// Hashes reads a list of key hashes.
-func (f *Fields) Hashes(path string, list []string) []KeyHash {
+// Hashes parses a list of key hashes.
+func (v *Fields) Hashes(path string, list []string) []KeyHash {
 	out := make([]KeyHash, 0, len(list))
 	for i, s := range list {
 		var h KeyHash
 		raw, err := hex.DecodeString(s)
 		if err != nil || len(raw) != len(h) {
-			f.Fault(fmt.Sprintf("%s/%d", path, i), "want the SHA-256 of a key as 64 hexadecimal digits")
+			v.Fault(fmt.Sprintf("%s/%d", path, i), "want the SHA-256 of a key as 64 hexadecimal digits")
 			continue
 		}
 		copy(h[:], raw)
--- a/internal/state/config/snapshot.go
+++ b/internal/state/config/snapshot.go
@@ -16,8 +16,9 @@
 	WorkspacePrefix = "/workspaces/"
 )
 
-// Document is one stored settings value. Version is the store's revision of
-// its last write. A deleted document has no body and keeps its version.
+// Document is one stored settings document. Version is the store's revision of
+// its last write. A deleted document has no body; its version is that of the
+// deletion.
 type Document struct {
 	Path    string
 	Version uint64
@@ -32,15 +33,15 @@
 	return WorkspacePrefix + string(name)
 }
 
-// Snapshot is every document in force on a VM. It is immutable: With returns
-// another one. Versions only rise from one snapshot to the next.
+// Snapshot contains every document in force on a VM. It is immutable: With and
+// Merge return a new one. Versions never decrease from one snapshot to the next.
 type Snapshot struct {
 	System     *System // nil until the system document is known
-	Revision   uint64  // every document of a version up to it is in force
+	Revision   uint64  // every document up to this version is in force
 	Ahead      uint64  // sum of the versions above Revision that are in force
 	Documents  map[string]Document
 	workspaces map[ident.Workspace]*Workspace
-	callers    map[KeyHash]*Workspace
+	byKey      map[KeyHash]*Workspace
 }
 
 // New returns the empty snapshot.
@@ -48,14 +49,14 @@
 	return &Snapshot{
 		Documents:  map[string]Document{},
 		workspaces: map[ident.Workspace]*Workspace{},
-		callers:    map[KeyHash]*Workspace{},
+		byKey:      map[KeyHash]*Workspace{},
 	}
 }
 
-// With returns the snapshot with the newer ones of docs in force, or s itself
-// if that changes nothing. Up to the highest version in docs, docs must hold
-// every document that changed since s.Revision. A document that can't be parsed
-// is left out; the rest is in force, and the first such error is returned.
+// With returns the snapshot with those of docs in force that are newer, or s itself
+// if nothing changes. docs must contain every document that changed after
+// s.Revision, up to the highest version in docs. Documents that can't be parsed are
+// omitted; the others are in force, and the first parse error is returned.
 func (s *Snapshot) With(docs ...Document) (*Snapshot, error) {
 	upTo := s.Revision
 	for _, d := range docs {
@@ -64,9 +65,10 @@
 	return s.Merge(upTo, docs...)
 }
 
-// Merge is With for documents that are every one that changed since s.Revision
-// up to the version upTo only; those above it are in force ahead. After an error
-// the revision is that of the last document up to upTo that is in force.
+// Merge is like With, but docs need to contain every changed document only up to the
+// version upTo. Documents with later versions are in force ahead of the revision.
+// After an error the revision is that of the last document in docs up to upTo that is
+// in force.
 func (s *Snapshot) Merge(upTo uint64, docs ...Document) (*Snapshot, error) {
 	n := s.clone()
 	changed := false
@@ -92,7 +94,7 @@
 	if !changed && n.Revision == s.Revision {
 		return s, first
 	}
-	n.index()
+	n.rebuildIndexes()
 	return n, first
 }
 
@@ -105,7 +107,7 @@
 	}
 }
 
-// put parses d and puts it in force; on an error s is as it was.
+// put parses d and puts it in force. On an error s is unchanged.
 func (s *Snapshot) put(d Document) error {
 	if err := s.parse(d); err != nil {
 		return err
@@ -139,12 +141,12 @@
 	return nil
 }
 
-// index works out what follows from the documents.
-func (s *Snapshot) index() {
-	s.callers = make(map[KeyHash]*Workspace, len(s.workspaces))
+// rebuildIndexes recomputes the fields derived from the documents.
+func (s *Snapshot) rebuildIndexes() {
+	s.byKey = make(map[KeyHash]*Workspace, len(s.workspaces))
 	for _, w := range s.workspaces {
 		for _, h := range w.Keys {
-			s.callers[h] = w
+			s.byKey[h] = w
 		}
 	}
 	s.Ahead = 0
@@ -155,7 +157,7 @@
 	}
 }
 
-// WorkspaceOf returns the workspace whose document has the path.
+// WorkspaceFromPath returns the workspace whose document has the path.
 func WorkspaceOf(path string) (ident.Workspace, error) {
 	name, ok := strings.CutPrefix(path, WorkspacePrefix)
 	if !ok {
@@ -170,10 +172,10 @@
 // Workspace returns the named workspace, or nil.
 func (s *Snapshot) Workspace(name ident.Workspace) *Workspace { return s.workspaces[name] }
 
-// Workspaces returns how many workspaces there are.
+// NumWorkspaces returns the number of workspaces.
 func (s *Snapshot) Workspaces() int { return len(s.workspaces) }
 
-// All returns every workspace, in no order.
+// AllWorkspaces returns every workspace, in no particular order.
 func (s *Snapshot) All() []*Workspace {
 	out := make([]*Workspace, 0, len(s.workspaces))
 	for _, w := range s.workspaces {
@@ -182,16 +184,16 @@
 	return out
 }
 
-// Caller returns the workspace that a caller's bearer key opens, or nil. The
-// look-up goes by the key's hash, so its time tells nothing of other keys.
+// WorkspaceByKey returns the workspace that a caller's bearer key belongs to, or nil.
+// The lookup uses the key's hash, so its duration reveals nothing about other keys.
 func (s *Snapshot) Caller(key string) *Workspace {
-	return s.callers[HashKey(key)]
+	return s.byKey[HashKey(key)]
 }
 
-// HashKey returns the hash that settings keep of a key.
+// HashKey returns the hash under which settings store a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Check parses a document as it would be put in force, without doing so.
+// Validate parses a document without putting it in force.
 func Check(path string, body []byte) error {
 	_, err := New().With(Document{Path: path, Version: 1, Body: body})
 	return trace.Wrap(err)
--- a/internal/state/config/types.go
+++ b/internal/state/config/types.go
@@ -7,7 +7,7 @@
 	"umberladder/internal/core/ident"
 )
 
-// Kind says what serves a service.
+// Kind is the kind of backend that serves a service.
 type Kind uint8
 
 // The kinds of services.
@@ -16,16 +16,16 @@
 	PlainService             // the team's own HTTP servers
 )
 
-// Objective says which measure a service cares for most.
+// Objective is the measure that a service optimises.
 type Objective uint8
 
 // The objectives.
 const (
 	StallTime   Objective = iota // short waits, before and between tokens
-	Preemptions                  // few preemptions and a calm tail between tokens
+	Preemptions                  // few preemptions and low tail latency between tokens
 )
 
-// KeyHash is the SHA-256 of a key. Keys themselves are never kept.
+// KeyHash is the SHA-256 of a key. Keys themselves are never stored.
 type KeyHash [32]byte
 
 // Server is one backend server.
@@ -33,8 +33,8 @@
 	Name    ident.Server
 	Address netip.AddrPort
 	Domain  ident.Domain
-	Fencing bool // it refuses orders with an old fencing number
-	// TokensPerSecond is what it generates when full; zero: not told.
+	Fencing bool // the server refuses orders with an outdated fencing number
+	// TokensPerSecond is the generation rate at full load; zero: unknown.
 	TokensPerSecond int
 }
 
@@ -44,16 +44,16 @@
 	Servers []Server
 }
 
-// Class is a priority class. Rank 0 goes first; within the others the
-// deadline, which is the arrival plus MaxWait, decides.
+// Class is a priority class. Requests of rank 0 are served first. All others are
+// ordered by deadline, which is the arrival time plus MaxWait.
 type Class struct {
 	Name    ident.Class
 	Rank    int
-	MaxWait time.Duration // longest wait for a place on an engine
-	Reserve float64       // share of engine memory lower classes leave free
+	MaxWait time.Duration // longest wait for capacity on an engine
+	Reserve float64       // share of engine memory that lower classes must leave free
 }
 
-// Limits bound what one workspace uses over all VMs.
+// Limits bounds the usage of one workspace over all VMs.
 type Limits struct {
 	Concurrency     int // open requests
 	TokensPerSecond int // generated tokens; zero: no limit
@@ -73,10 +73,10 @@
 	Kind           Kind
 	Model          ident.Model // of a model service
 	Servers        []Server    // of a plain service
-	Class          ident.Class // for calls that name none
+	Class          ident.Class // for calls that name no class
 	Objective      Objective
-	OverflowChance float64       // bound on the chance that an engine's memory overflows
-	AtMostOnce     bool          // calls may not be repeated, whatever their method
+	OverflowChance float64       // bound on the probability that an engine's memory overflows
+	AtMostOnce     bool          // calls must not be retried, whatever their method
 	Timeout        time.Duration // of a plain call
 }
 
@@ -85,7 +85,7 @@
 	Name      ident.Workspace
 	Version   uint64
 	Keys      []KeyHash // of callers
-	Operators []KeyHash // of the team's operators
+	Operators []KeyHash // of the workspace's operators
 	Services  []Service
 	Limits    Limits
 }
--- a/internal/state/config/wire.go
+++ b/internal/state/config/wire.go
@@ -13,8 +13,8 @@
 const (
 	DefaultMaxWait = 30 * time.Second
 	MaxMaxWait     = time.Hour
-	// A service that cares for short stalls lets more in than one that cares
-	// for few preemptions; docs/design/05-admission.md has the figures.
+	// A service with the objective of short stalls admits more calls than one with
+	// that of few preemptions; docs/design/05-admission.md has the figures.
 	DefaultOverflowStall   = 0.3
 	DefaultOverflowPreempt = 0.05
 	DefaultConcurrency     = 64
@@ -75,94 +75,94 @@
 	Limits    limitsWire    `json:"limits,omitzero"`
 }
 
-// ParseSystem reads the document at /system.
+// ParseSystem parses the document at /system.
 func ParseSystem(data []byte, version uint64) (*System, error) {
 	var w systemWire
 	if err := Decode(data, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	f := &Fields{}
-	s := &System{Version: version, Operators: f.Hashes("/operator-keys", w.Operators)}
+	v := &Fields{}
+	s := &System{Version: version, Operators: v.Hashes("/operator-keys", w.Operators)}
 	for i, c := range w.Classes {
-		s.Classes = append(s.Classes, f.class(fmt.Sprintf("/classes/%d", i), c))
+		s.Classes = append(s.Classes, v.parseClass(fmt.Sprintf("/classes/%d", i), c))
 	}
 	if len(w.Classes) == 0 {
-		f.Fault("/classes", "want at least one class")
+		v.Fault("/classes", "want at least one class")
 	}
 	for i, m := range w.Models {
 		path := fmt.Sprintf("/models/%d", i)
 		s.Models = append(s.Models, Model{
-			Name:    ident.Model(f.Name(path+"/name", m.Name)),
-			Servers: f.servers(path+"/servers", m.Servers),
+			Name:    ident.Model(v.Name(path+"/name", m.Name)),
+			Servers: v.parseServers(path+"/servers", m.Servers),
 		})
 	}
-	unique(f, "/classes", s.Classes, func(c Class) string { return string(c.Name) })
-	unique(f, "/models", s.Models, func(m Model) string { return string(m.Name) })
-	return s, f.Err()
+	checkUnique(v, "/classes", s.Classes, func(c Class) string { return string(c.Name) })
+	checkUnique(v, "/models", s.Models, func(m Model) string { return string(m.Name) })
+	return s, v.Err()
 }
 
-// ParseWorkspace reads the document at /workspaces/<name>.
+// ParseWorkspace parses the document at /workspaces/<name>.
 func ParseWorkspace(name ident.Workspace, data []byte, version uint64) (*Workspace, error) {
 	var w workspaceWire
 	if err := Decode(data, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	f := &Fields{}
+	v := &Fields{}
 	ws := &Workspace{
 		Name:      name,
 		Version:   version,
-		Keys:      f.Hashes("/caller-keys", w.Keys),
-		Operators: f.Hashes("/operator-keys", w.Operators),
+		Keys:      v.Hashes("/caller-keys", w.Keys),
+		Operators: v.Hashes("/operator-keys", w.Operators),
 		Limits: Limits{
-			Concurrency:     f.Int("/limits/concurrency", w.Limits.Concurrency, DefaultConcurrency, 1, MaxConcurrency),
-			TokensPerSecond: f.Int("/limits/tokens-per-second", w.Limits.TokensPerSecond, 0, 0, MaxTokenRate),
+			Concurrency:     v.Int("/limits/concurrency", w.Limits.Concurrency, DefaultConcurrency, 1, MaxConcurrency),
+			TokensPerSecond: v.Int("/limits/tokens-per-second", w.Limits.TokensPerSecond, 0, 0, MaxTokenRate),
 		},
 	}
 	if len(w.Keys) == 0 {
-		f.Fault("/caller-keys", "want at least one key hash")
+		v.Fault("/caller-keys", "want at least one key hash")
 	}
 	for i, s := range w.Services {
-		ws.Services = append(ws.Services, f.service(fmt.Sprintf("/services/%d", i), s))
+		ws.Services = append(ws.Services, v.parseService(fmt.Sprintf("/services/%d", i), s))
 	}
-	unique(f, "/services", ws.Services, func(s Service) string { return string(s.Name) })
-	return ws, f.Err()
+	checkUnique(v, "/services", ws.Services, func(s Service) string { return string(s.Name) })
+	return ws, v.Err()
 }
 
-func (f *Fields) class(path string, w classWire) Class {
+func (v *Fields) parseClass(path string, w classWire) Class {
 	if w.Rank == nil {
-		f.Fault(path+"/rank", "missing; want a whole number from 0 to %d", MaxRank)
+		v.Fault(path+"/rank", "missing; want a whole number from 0 to %d", MaxRank)
 	}
 	return Class{
-		Name:    ident.Class(f.Name(path+"/name", w.Name)),
-		Rank:    f.Int(path+"/rank", w.Rank, 0, 0, MaxRank),
-		MaxWait: f.Duration(path+"/max-wait", w.MaxWait, DefaultMaxWait, time.Millisecond, MaxMaxWait),
-		Reserve: f.Float(path+"/reserve", w.Reserve, 0, 0, 0.9),
+		Name:    ident.Class(v.Name(path+"/name", w.Name)),
+		Rank:    v.Int(path+"/rank", w.Rank, 0, 0, MaxRank),
+		MaxWait: v.Duration(path+"/max-wait", w.MaxWait, DefaultMaxWait, time.Millisecond, MaxMaxWait),
+		Reserve: v.Float(path+"/reserve", w.Reserve, 0, 0, 0.9),
 	}
 }
 
-func (f *Fields) servers(path string, list []serverWire) []Server {
+func (v *Fields) parseServers(path string, list []serverWire) []Server {
 	out := make([]Server, 0, len(list))
 	for i, w := range list {
 		p := fmt.Sprintf("%s/%d", path, i)
 		out = append(out, Server{
-			Name:    ident.Server(f.Name(p+"/name", w.Name)),
-			Address: f.Address(p+"/address", w.Address),
-			Domain:  ident.Domain(f.Name(p+"/failure-domain", w.Domain)),
+			Name:    ident.Server(v.Name(p+"/name", w.Name)),
+			Address: v.Address(p+"/address", w.Address),
+			Domain:  ident.Domain(v.Name(p+"/failure-domain", w.Domain)),
 			Fencing: w.Fencing,
 
-			TokensPerSecond: f.Int(p+"/tokens-per-second", w.Rate, 0, 0, MaxTokenRate),
+			TokensPerSecond: v.Int(p+"/tokens-per-second", w.Rate, 0, 0, MaxTokenRate),
 		})
 	}
-	unique(f, path, out, func(s Server) string { return string(s.Name) })
+	checkUnique(v, path, out, func(s Server) string { return string(s.Name) })
 	return out
 }
 
-func (f *Fields) service(path string, w serviceWire) Service {
+func (v *Fields) parseService(path string, w serviceWire) Service {
 	s := Service{
-		Name:       ident.Service(f.Name(path+"/name", w.Name)),
-		Class:      ident.Class(f.Name(path+"/class", w.Class)),
+		Name:       ident.Service(v.Name(path+"/name", w.Name)),
+		Class:      ident.Class(v.Name(path+"/class", w.Class)),
 		AtMostOnce: w.AtMostOnce,
-		Timeout:    f.Duration(path+"/timeout", w.Timeout, DefaultTimeout, time.Millisecond, MaxTimeout),
+		Timeout:    v.Duration(path+"/timeout", w.Timeout, DefaultTimeout, time.Millisecond, MaxTimeout),
 	}
 	overflow := DefaultOverflowStall
 	switch w.Objective {
@@ -172,37 +172,37 @@
 		s.Objective = Preemptions
 		overflow = DefaultOverflowPreempt
 	default:
-		f.Fault(path+"/objective", "want \"stall-time\" or \"preemptions\", got %q", w.Objective)
+		v.Fault(path+"/objective", "want \"stall-time\" or \"preemptions\", got %q", w.Objective)
 	}
-	s.OverflowChance = f.Float(path+"/overflow-chance", w.Overflow, overflow, 1e-6, 0.5)
-	f.backing(path, w, &s)
+	s.OverflowChance = v.Float(path+"/overflow-chance", w.Overflow, overflow, 1e-6, 0.5)
+	v.parseBackend(path, w, &s)
 	return s
 }
 
-func (f *Fields) backing(path string, w serviceWire, s *Service) {
+func (v *Fields) parseBackend(path string, w serviceWire, s *Service) {
 	switch w.Kind {
 	case "model":
-		s.Model = ident.Model(f.Name(path+"/model", w.Model))
+		s.Model = ident.Model(v.Name(path+"/model", w.Model))
 		if len(w.Servers) > 0 {
-			f.Fault(path+"/servers", "a model service takes its servers from the model")
+			v.Fault(path+"/servers", "a model service takes its servers from the model")
 		}
 	case "plain":
 		s.Kind = PlainService
-		s.Servers = f.servers(path+"/servers", w.Servers)
+		s.Servers = v.parseServers(path+"/servers", w.Servers)
 		if w.Model != "" {
-			f.Fault(path+"/model", "a plain service has servers of its own, not a model")
+			v.Fault(path+"/model", "a plain service has servers of its own, not a model")
 		}
 	default:
-		f.Fault(path+"/kind", "want \"model\" or \"plain\", got %q", w.Kind)
+		v.Fault(path+"/kind", "want \"model\" or \"plain\", got %q", w.Kind)
 	}
 }
 
-func unique[T any](f *Fields, path string, list []T, key func(T) string) {
+func checkUnique[T any](v *Fields, path string, list []T, key func(T) string) {
 	seen := make(map[string]bool, len(list))
-	for i, v := range list {
-		k := key(v)
+	for i, item := range list {
+		k := key(item)
 		if seen[k] {
-			f.Fault(fmt.Sprintf("%s/%d/name", path, i), "%q is there already", k)
+			v.Fault(fmt.Sprintf("%s/%d/name", path, i), "%q is there already", k)
 		}
 		seen[k] = true
 	}
