--- a/internal/state/direct/direct.go
+++ b/internal/state/direct/direct.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	directPrefix = "/claims/keys/"
-	// directKept is how long the store remembers a key at least.
-	directKept = 24 * time.Hour
-	// directRoll is how long new keys share one lease.
-	directRoll = time.Hour
-	// ComeAgain is when a caller whose key can't be decided should come back.
+	keyPrefix = "/claims/keys/"
+	// keyRetention is the minimum time for which the store remembers a key.
+	keyRetention = 24 * time.Hour
+	// leaseRotation is how long new keys share one lease.
+	leaseRotation = time.Hour
+	// RetryAfter is the delay after which a caller should retry if its key can't be
+	// claimed or refused now.
 	ComeAgain = time.Second
 )
 
-// Store is what the claims need of the platform's key-value service.
+// Store is the part of the platform's key-value service that a Claimer uses.
 type Store interface {
 	Get(ctx context.Context, path string) (store.Item, error)
 	Put(ctx context.Context, path string, value []byte, want, lease uint64) (uint64, error)
@@ -32,91 +33,91 @@
 	Grant(ctx context.Context, ttl time.Duration) (store.Lease, error)
 }
 
-// Claims claims keys by a write to the store each. It serves keys that say
-// nothing of their age. It is safe for use by several goroutines.
+// Claimer claims each key by a write to the store. It is safe for concurrent use.
 type Claims struct {
 	store Store
 
-	mu     sync.Mutex
-	lease  uint64
-	opened time.Time
+	mu      sync.Mutex
+	lease   uint64
+	granted time.Time
 }
 
-// New makes a claimer over the store.
+// New returns a Claimer that uses the store.
 func New(s Store) *Claims { return &Claims{store: s} }
 
-// Claim lets the request run the key if no request has claimed it before.
-func (d *Claims) Claim(ctx context.Context, w ident.Workspace, key string, r ident.Request) *refuse.Refusal {
-	lease, err := d.current(ctx)
+// Claim claims a key for a request. It returns a refusal if another request has claimed
+// the key before, or if the store can't be used to decide that now.
+func (c *Claims) Claim(ctx context.Context, w ident.Workspace, key string, r ident.Request) *refuse.Refusal {
+	lease, err := c.currentLease(ctx)
 	if err != nil {
 		return Down("the store that keeps the key can't be reached")
 	}
-	path := directPath(w, key)
-	_, err = d.store.Put(ctx, path, []byte(r), 0, lease)
+	path := keyPath(w, key)
+	_, err = c.store.Put(ctx, path, []byte(r), 0, lease)
 	switch {
 	case err == nil:
 		return nil
 	case store.Is(err, store.Conflict):
-		return d.taken(ctx, path, r)
+		return c.checkClaimant(ctx, path, r)
 	case store.Is(err, store.Unknown):
-		// The write may have taken effect: only a read can tell.
-		return d.taken(ctx, path, r)
+		// The write may have taken effect; only a read can show it.
+		return c.checkClaimant(ctx, path, r)
 	default:
 		return Down("the store that keeps the key can't be reached")
 	}
 }
 
-// taken reads who has the key: this request itself, if the reply to its write
-// was lost.
-func (d *Claims) taken(ctx context.Context, path string, r ident.Request) *refuse.Refusal {
-	it, err := d.store.Get(ctx, path)
+// checkClaimant reads which request has claimed the key. It may be this request
+// itself, if the reply to its write was lost.
+func (c *Claims) checkClaimant(ctx context.Context, path string, r ident.Request) *refuse.Refusal {
+	it, err := c.store.Get(ctx, path)
 	switch {
 	case err == nil && string(it.Value) == string(r):
 		return nil
 	case err == nil:
 		return refuse.New(refuse.MayHaveRun, "request %s came with this key before", it.Value).With(refuse.RanMaybe)
 	default:
-		// Not written, or written and not to be read now: either way this
-		// request is not run, and the key may be left behind unused.
+		// Either the key was not written, or it can't be read now. In both cases this
+		// request does not run, and its key may remain in the store unused.
 		return Down("the store that keeps the key does not answer")
 	}
 }
 
-// Release gives back the key of a request that provably never ran.
-func (d *Claims) Release(ctx context.Context, w ident.Workspace, key string, r ident.Request) error {
-	path := directPath(w, key)
-	it, err := d.store.Get(ctx, path)
+// Release deletes the key of a request that provably never ran.
+func (c *Claims) Release(ctx context.Context, w ident.Workspace, key string, r ident.Request) error {
+	path := keyPath(w, key)
+	it, err := c.store.Get(ctx, path)
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	if string(it.Value) != string(r) {
 		return nil
 	}
-	return trace.Wrap(d.store.Delete(ctx, path, it.Revision))
+	return trace.Wrap(c.store.Delete(ctx, path, it.Revision))
 }
 
-// current returns the lease that new keys are written under. It is never
-// renewed, so its keys go some time after the last of them.
-func (d *Claims) current(ctx context.Context) (uint64, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lease != 0 && time.Since(d.opened) < directRoll {
-		return d.lease, nil
+// currentLease returns the lease for new keys. A lease is never renewed; it expires at
+// least keyRetention after the last of its keys was written.
+func (c *Claims) currentLease(ctx context.Context) (uint64, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lease != 0 && time.Since(c.granted) < leaseRotation {
+		return c.lease, nil
 	}
-	l, err := d.store.Grant(ctx, directKept+directRoll)
+	l, err := c.store.Grant(ctx, keyRetention+leaseRotation)
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	d.lease, d.opened = l.ID, time.Now()
-	return d.lease, nil
+	c.lease, c.granted = l.ID, time.Now()
+	return c.lease, nil
 }
 
-func directPath(w ident.Workspace, key string) string {
+func keyPath(w ident.Workspace, key string) string {
 	sum := sha256.Sum256([]byte(key))
-	return directPrefix + string(w) + "/" + hex.EncodeToString(sum[:16])
+	return keyPrefix + string(w) + "/" + hex.EncodeToString(sum[:16])
 }
 
-// Down returns the refusal of a key that can't be decided now.
+// Unavailable returns the refusal for a key that can't be claimed or refused now.
 func Down(detail string) *refuse.Refusal {
 	return refuse.New(refuse.ClaimsDown, "%s", detail).After(ComeAgain)
 }
--- a/internal/state/direct/doc.go
+++ b/internal/state/direct/doc.go
@@ -1,4 +1,4 @@
-// Package direct claims idempotency keys by a write to the platform's
-// key-value service each. It serves keys that say nothing of their age, which
-// package claim can't keep in memory.
+// Package direct claims each idempotency key by a write to the platform's
+// key-value service. It is used for keys without a creation time, which package
+// claim can't keep in memory.
 package direct
