--- a/internal/state/keeper/acquire.go
+++ b/internal/state/keeper/acquire.go
@@ -109,12 +109,12 @@
 
 // ownRevision returns the revision of the shard's stored value if the value has the given
 // prefix, and an error otherwise.
-func (m *Keeper) ownRevision(ctx context.Context, shard int, value string) (uint64, error) {
+func (m *Keeper) ownRevision(ctx context.Context, shard int, prefix string) (uint64, error) {
 	it, err := m.store.Get(ctx, shardPath(shard))
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	if !strings.HasPrefix(string(it.Value), value) {
+	if !strings.HasPrefix(string(it.Value), prefix) {
 		return 0, trace.AlreadyExists("shard %d is held by %s", shard, it.Value)
 	}
 	return it.Revision, nil
--- a/internal/state/keeper/manager.go
+++ b/internal/state/keeper/manager.go
@@ -36,9 +36,9 @@
 	// acquireRetry is the delay between attempts to acquire a shard, which another VM
 	// may hold.
 	acquireRetry = 2 * time.Second
-	// aloneTimeout is how long a VM waits to discover other VMs before it acquires
+	// discoveryTimeout is how long a VM waits to discover other VMs before it acquires
 	// shards on its own.
-	aloneTimeout = time.Second
+	discoveryTimeout = time.Second
 )
 
 // Store is the part of the platform's key-value service that a Manager uses.
@@ -89,16 +89,16 @@
 // ctxLock is a mutex whose lock method can be cancelled by a context.
 type ctxLock chan struct{}
 
-func (t ctxLock) lock(ctx context.Context) bool {
+func (l ctxLock) lock(ctx context.Context) bool {
 	select {
-	case t <- struct{}{}:
+	case l <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (t ctxLock) unlock() { <-t }
+func (l ctxLock) unlock() { <-l }
 
 type holding struct {
 	shard        *term.Shard
@@ -114,8 +114,8 @@
 	at time.Time
 }
 
-func (l expiry) valid(now time.Time) bool {
-	return now.Before(l.at) && now.Round(0).Before(l.at.Round(0))
+func (e expiry) valid(now time.Time) bool {
+	return now.Before(e.at) && now.Round(0).Before(e.at.Round(0))
 }
 
 // New returns a Manager whose leases last ttl.
@@ -150,8 +150,8 @@
 	t := time.NewTicker(roundInterval)
 	defer t.Stop()
 	for {
-		// A VM that knows no other VM would acquire every shard.
-		if len(m.fleet.View().Live) > 1 || time.Since(start) > aloneTimeout {
+		// Before it has discovered other VMs, a VM would acquire every shard.
+		if len(m.fleet.View().Live) > 1 || time.Since(start) > discoveryTimeout {
 			m.round(ctx)
 		}
 		select {
