--- a/internal/route/entry/generate.go
+++ b/internal/route/entry/generate.go
@@ -60,7 +60,7 @@
 	if refusal != nil {
 		return nil, e.refused(&t, rec, refusal)
 	}
-	pass, refusal := e.gate.Enter(t.workspace, t.start)
+	pass, refusal := e.gate.Admit(t.workspace, t.start)
 	if refusal != nil {
 		return nil, e.refused(&t, rec, refusal)
 	}
@@ -132,7 +132,7 @@
 type stream struct {
 	entry  *Entry
 	target target
-	pass   *gate.Pass
+	pass   *gate.Permit
 	claim  *held
 	flight *gener.Flight
 	chat   bool
@@ -244,7 +244,7 @@
 	rec.Refusal = r
 	rec.Bytes = bytes
 	if s.pass != nil {
-		s.pass.Close(rec.Tokens, time.Now())
+		s.pass.Release(rec.Tokens, time.Now())
 	}
 	s.claim.finish(r == nil || r.Ran != refuse.RanNo, s.answer)
 	s.entry.done(&s.target, rec)
--- a/internal/route/entry/plain.go
+++ b/internal/route/entry/plain.go
@@ -30,11 +30,11 @@
 	if refusal != nil {
 		return caller.Answer{}, e.refused(&t, rec, refusal)
 	}
-	pass, refusal := e.gate.Enter(t.workspace, t.start)
+	pass, refusal := e.gate.Admit(t.workspace, t.start)
 	if refusal != nil {
 		return caller.Answer{}, e.refused(&t, rec, refusal)
 	}
-	defer func() { pass.Close(0, time.Now()) }()
+	defer func() { pass.Release(0, time.Now()) }()
 	claim, refusal := e.claimed(ctx, &t, p.IdempotencyKey, fingerprint(p.Method+" "+p.Path, string(p.Body)))
 	if refusal != nil {
 		return caller.Answer{}, e.refused(&t, rec, refusal)
--- a/internal/route/gate/usage.go
+++ b/internal/route/gate/usage.go
@@ -7,41 +7,42 @@
 	"umberladder/internal/state/config"
 )
 
-// Usage is what a workspace uses on one VM of that VM's share of its limits.
+// Usage reports how much of a VM's share of its limits a workspace uses.
 type Usage struct {
-	Open       int
+	Open       int // open requests
 	OpenShare  int
-	TokensLeft float64 // in the bucket; below zero: a debt that new requests wait for
-	RateShare  int     // tokens a second; 0: no limit
-	Version    uint64  // of the workspace's settings in force there
+	TokensLeft float64 // level of the token bucket; negative: a debt, and new requests are refused until it is paid
+	RateShare  int     // tokens per second; 0: no limit
+	Version    uint64  // version of the workspace's settings applied on that VM
 }
 
-// Usage returns what w uses on this VM.
-func (g *Gate) Usage(w *config.Workspace, now time.Time) Usage {
-	i, n := g.place(w)
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// Usage returns the usage of w on this VM.
+func (l *Gate) Usage(w *config.Workspace, now time.Time) Usage {
+	i, n := l.rank(w)
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	out := Usage{
 		OpenShare: openShare(w, i, n),
 		RateShare: limit.Share(w.Limits.TokensPerSecond, i, n),
 		Version:   w.Version,
 	}
-	if u := g.usage[w.Name]; u != nil {
+	if u := l.workspaces[w.Name]; u != nil {
 		out.Open = u.open
 		out.TokensLeft = u.tokens.Level(now)
 	}
 	return out
 }
 
-// place returns this VM's number among the n live ones, from which its share
-// of the workspace's limits follows. The shares' remainders start at another VM
-// for each workspace.
-func (g *Gate) place(w *config.Workspace) (i, n int) {
-	i, n = g.fleet.Rank()
+// rank returns the index i of this VM among the n live VMs for dividing the
+// limits of w. The index is offset by the length of the workspace's name, so that
+// the remainders of the division do not go to the same VMs for every workspace.
+func (l *Gate) rank(w *config.Workspace) (i, n int) {
+	i, n = l.fleet.Rank()
 	return (i + len(w.Name)) % n, n
 }
 
-// openShare is at least 1, so that a VM takes requests of every workspace.
+// openShare returns the number of open requests that VM i of n allows w. It is
+// at least 1, so that every VM accepts requests of every workspace.
 func openShare(w *config.Workspace, i, n int) int {
 	return max(limit.Share(w.Limits.Concurrency, i, n), 1)
 }
