--- a/internal/route/entry/claims.go
+++ b/internal/route/entry/claims.go
@@ -9,66 +9,74 @@
 	"umberladder/internal/peer/proto"
 )
 
-// maxKept is the longest answer kept for a caller who asks again, in bytes.
-const maxKept = 64 << 10
+// maxStoredResponse is the size, in bytes, of the largest response stored for
+// callers that repeat an idempotency key.
+const maxStoredResponse = 64 << 10
 
 // Claims decides which calls with an idempotency key may run.
 type Claims interface {
-	// Claim lets the request run the key, or returns the answer of the call
-	// that had the key before, or the refusal.
+	// Claim grants the key to the request, or returns the response of an earlier
+	// call with the same key, or a refusal.
 	Claim(ctx context.Context, w ident.Workspace, key string, sum [32]byte, r ident.Request) (*proto.Answer, *refuse.Refusal)
-	// Finish tells the end of a request that Claim let run.
-	Finish(ctx context.Context, w ident.Workspace, key string, r ident.Request, ran bool, answer *proto.Answer)
+	// Finish reports the end of a request to which Claim granted the key.
+	Finish(ctx context.Context, w ident.Workspace, key string, r ident.Request, ran bool, response *proto.Answer)
 }
 
-// held is the claim of one request; a request without a key holds none.
-type held struct {
+// claim is one request's claim on its idempotency key. It is inactive if the
+// request has no key or the key was already used.
+type claim struct {
 	claims    Claims
 	workspace ident.Workspace
 	key       string
 	request   ident.Request
-	replay    *proto.Answer
+	stored    *proto.Answer
 }
 
-// fingerprint tells two requests with one key apart.
-func fingerprint(what, body string) [32]byte {
-	return sha256.Sum256([]byte(what + "\x00" + body))
+// fingerprint returns a hash that detects different requests with the same
+// idempotency key.
+func fingerprint(operation, body string) [32]byte {
+	return sha256.Sum256([]byte(operation + "\x00" + body))
 }
 
-// claimed takes the claim on the request's key, if it has one.
-func (e *Entry) claimed(ctx context.Context, t *target, key string, sum [32]byte) (*held, *refuse.Refusal) {
-	h := &held{}
+// acquireClaim claims the request's idempotency key, if it has one.
+func (h *Entry) acquireClaim(ctx context.Context, info *callInfo, key string, sum [32]byte) (*claim, *refuse.Refusal) {
+	c := &claim{}
 	if key == "" {
-		return h, nil
+		return c, nil
 	}
-	answer, refusal := e.claims.Claim(ctx, t.workspace.Name, key, sum, t.request)
+	response, refusal := h.claims.Claim(ctx, info.workspace.Name, key, sum, info.request)
 	if refusal != nil {
-		return h, refusal
+		return c, refusal
 	}
-	if answer != nil {
-		h.replay = answer
-		return h, nil
+	if response != nil {
+		c.stored = response
+		return c, nil
 	}
-	return &held{claims: e.claims, workspace: t.workspace.Name, key: key, request: t.request}, nil
+	return &claim{claims: h.claims, workspace: info.workspace.Name, key: key, request: info.request}, nil
 }
 
-func (h *held) holds() bool { return h != nil && h.claims != nil }
+// active reports whether the request holds its key.
+func (c *claim) active() bool { return c != nil && c.claims != nil }
 
-func (h *held) replaying() bool { return h != nil && h.replay != nil }
+// hasStoredResponse reports whether the key's response is already known.
+func (c *claim) hasStoredResponse() bool { return c != nil && c.stored != nil }
 
-// finish tells the holder how the request ended, whatever became of its caller.
-func (h *held) finish(ran bool, answer *proto.Answer) {
-	if !h.holds() {
+// finish reports how the request ended, with its response unless that is too
+// large to store. The caller's context is not used, since the caller may have
+// disconnected.
+func (c *claim) finish(ran bool, response *proto.Answer) {
+	if !c.active() {
 		return
 	}
-	if len(answer.GetBody()) > maxKept {
-		answer = nil
+	if len(response.GetBody()) > maxStoredResponse {
+		response = nil
 	}
-	h.claims.Finish(context.Background(), h.workspace, h.key, h.request, ran, answer)
+	c.claims.Finish(context.Background(), c.workspace, c.key, c.request, ran, response)
 }
 
-// wholeAnswer keeps a whole generation for a caller who asks again. Its
-// content type tells it from a plain answer.
-func wholeAnswer(text, finish string) *proto.Answer {
+// generationResponse returns the stored form of a complete generation. Its
+// ContentType field holds the finish reason, which distinguishes it from the
+// response of a plain call.
+func generationResponse(text, finish string) *proto.Answer {
 	return &proto.Answer{Status: 200, ContentType: finish, Body: []byte(text)}
 }
--- a/internal/route/entry/doc.go
+++ b/internal/route/entry/doc.go
@@ -1,4 +1,5 @@
-// Package entry is the path of a request through a VM, from the caller's key
-// to the one outcome: who asks, for which service, inside which limits, has it
-// run before, and then the generation or the plain call itself.
+// Package entry serves the requests of callers on this VM. For each request it
+// authenticates the API key, resolves the service, enforces the workspace's
+// limits, checks the idempotency key, runs the generation or the plain HTTP
+// call, and records exactly one outcome.
 package entry
--- a/internal/route/entry/entry.go
+++ b/internal/route/entry/entry.go
@@ -21,39 +21,41 @@
 )
 
 const (
-	// prefixHead is how much of a prompt decides which engine's cache it is
-	// likely to be in, in bytes.
-	prefixHead = 256
-	// bytesPerToken is the usual ratio for English text; engines count the
-	// prompt themselves, this only sizes it before it is sent.
+	// prefixBytes is the length, in bytes, of the prompt prefix that is hashed to
+	// find the engine whose KV cache is likely to contain the prompt.
+	prefixBytes = 256
+	// bytesPerToken is the usual ratio for English text. It is used to estimate
+	// the prompt's size for placement; engines count the tokens themselves.
 	bytesPerToken = 4
-	// lastTokens is how long streams whose callers left may take to end.
-	lastTokens = 3 * time.Second
+	// closeTimeout is how long streams whose callers have disconnected may take
+	// to end.
+	closeTimeout = 3 * time.Second
 )
 
-// Settings is where the snapshot in force is read.
+// Settings provides the settings snapshot in force.
 type Settings interface {
 	Load() *config.Snapshot
 }
 
-// Entry serves callers. It is safe for use by several goroutines.
+// Handler serves the requests of callers. It implements caller.Handler and is
+// safe for concurrent use.
 type Entry struct {
-	vm       ident.VM
-	settings Settings
-	gate     *gate.Gate
-	claims   Claims
-	placers  func(ident.Model) (gener.Placer, bool)
-	runner   *gener.Runner
-	plain    *plain.Router
-	ring     *seal.Ring
-	book     *invar.Book
-	rec      final.Recorder
-	joined   atomic.Bool
-	draining atomic.Bool
-	pending  atomic.Int64 // requests begun and not recorded as ended
-}
-
-// Parts are what an entry is made of.
+	vm         ident.VM
+	settings   Settings
+	limiter    *gate.Gate
+	claims     Claims
+	placers    func(ident.Model) (gener.Placer, bool)
+	runner     *gener.Runner
+	plain      *plain.Router
+	ring       *seal.Ring
+	invariants *invar.Book
+	recorder   final.Recorder
+	ready      atomic.Bool
+	draining   atomic.Bool
+	pending    atomic.Int64 // requests started whose end is not recorded yet
+}
+
+// Deps holds the dependencies of a Handler.
 type Parts struct {
 	VM       ident.VM
 	Settings Settings
@@ -67,35 +69,36 @@
 	Recorder final.Recorder
 }
 
-// New makes an entry.
+// New returns a Handler with the given dependencies.
 func New(p Parts) *Entry {
 	return &Entry{
-		vm:       p.VM,
-		settings: p.Settings,
-		gate:     p.Gate,
-		claims:   p.Claims,
-		placers:  p.Placers,
-		runner:   p.Runner,
-		plain:    p.Plain,
-		ring:     p.Ring,
-		book:     p.Book,
-		rec:      p.Recorder,
+		vm:         p.VM,
+		settings:   p.Settings,
+		limiter:    p.Gate,
+		claims:     p.Claims,
+		placers:    p.Placers,
+		runner:     p.Runner,
+		plain:      p.Plain,
+		ring:       p.Ring,
+		invariants: p.Book,
+		recorder:   p.Recorder,
 	}
 }
 
-// Join makes the VM ready for callers, once it has settings.
-func (e *Entry) Join() { e.joined.Store(true) }
+// MarkReady lets Ready report true once the VM has settings.
+func (h *Entry) Join() { h.ready.Store(true) }
 
-// Drain makes the VM not ready for new callers.
-func (e *Entry) Drain() { e.draining.Store(true) }
+// Drain makes Ready report false, so that the load balancer sends no new
+// callers.
+func (h *Entry) Drain() { h.draining.Store(true) }
 
 // Ready implements caller.Handler.
-func (e *Entry) Ready() bool {
-	return e.joined.Load() && !e.draining.Load() && e.settings.Load().System != nil
+func (h *Entry) Ready() bool {
+	return h.ready.Load() && !h.draining.Load() && h.settings.Load().System != nil
 }
 
-// target is what a request is for, all from one snapshot.
-type target struct {
+// callInfo describes a request. Its settings all come from one snapshot.
+type callInfo struct {
 	request   ident.Request
 	start     time.Time
 	workspace *config.Workspace
@@ -104,48 +107,50 @@
 	system    *config.System
 }
 
-// find resolves the key, the service and the class of a request.
-func (e *Entry) find(key string, name ident.Service, kind config.Kind, class ident.Class) (target, *refuse.Refusal) {
-	e.pending.Add(1)
-	t := target{request: ident.NewRequest(), start: time.Now()}
-	snap := e.settings.Load()
+// resolve looks up the workspace of the API key, the service and the priority
+// class of a request.
+func (h *Entry) resolve(key string, name ident.Service, kind config.Kind, class ident.Class) (callInfo, *refuse.Refusal) {
+	h.pending.Add(1)
+	info := callInfo{request: ident.NewRequest(), start: time.Now()}
+	snap := h.settings.Load()
 	if snap.System == nil {
-		return t, refuse.New(refuse.SettingsMissing, "no settings have reached this VM").After(time.Second)
+		return info, refuse.New(refuse.SettingsMissing, "no settings have reached this VM").After(time.Second)
 	}
-	t.system = snap.System
-	if t.workspace = snap.Caller(key); t.workspace == nil {
-		return t, refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace")
+	info.system = snap.System
+	if info.workspace = snap.Caller(key); info.workspace == nil {
+		return info, refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace")
 	}
-	t.service = t.workspace.Service(name)
-	if t.service == nil || t.service.Kind != kind {
-		return t, refuse.New(refuse.NotFound, "workspace %s has no such service", t.workspace.Name)
+	info.service = info.workspace.Service(name)
+	if info.service == nil || info.service.Kind != kind {
+		return info, refuse.New(refuse.NotFound, "workspace %s has no such service", info.workspace.Name)
 	}
 	if class == "" {
-		class = t.service.Class
+		class = info.service.Class
 	}
-	if t.class = snap.System.Class(class); t.class == nil {
-		return t, bad("class: there is no priority class of this name")
+	if info.class = snap.System.Class(class); info.class == nil {
+		return info, badInput("class: there is no priority class of this name")
 	}
-	return t, nil
+	return info, nil
 }
 
-func bad(format string, args ...any) *refuse.Refusal {
+func badInput(format string, args ...any) *refuse.Refusal {
 	return refuse.New(refuse.BadInput, format, args...)
 }
 
-// ask describes the generation to the pool.
-func (t *target) ask(prompt string) pool.Ask {
-	ask := pool.NewAsk(t.workspace, t.service, t.class, t.system)
-	ask.Prompt = promptTokens(prompt)
-	ask.Prefix = xxhash.Sum64String(prompt[:min(len(prompt), prefixHead)])
-	return ask
+// placementRequest returns the request that asks the pool to place the
+// generation.
+func (info *callInfo) placementRequest(prompt string) pool.Ask {
+	req := pool.NewAsk(info.workspace, info.service, info.class, info.system)
+	req.Prompt = promptTokens(prompt)
+	req.Prefix = xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
+	return req
 }
 
 // Services implements caller.Handler.
-func (e *Entry) Services(key string) ([]ident.Service, *refuse.Refusal) {
-	w := e.settings.Load().Caller(key)
+func (h *Entry) Services(key string) ([]ident.Service, *refuse.Refusal) {
+	w := h.settings.Load().Caller(key)
 	if w == nil {
-		return nil, e.Refuse(refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace"))
+		return nil, h.Refuse(refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace"))
 	}
 	var out []ident.Service
 	for _, s := range w.Services {
@@ -157,66 +162,68 @@
 	return out, nil
 }
 
-// Refuse implements caller.Handler: it completes and records a refusal made
-// before the request had a target.
-func (e *Entry) Refuse(r *refuse.Refusal) *refuse.Refusal {
-	e.pending.Add(1)
-	t := target{request: ident.NewRequest(), start: time.Now()}
-	return e.refused(&t, &final.Record{}, r)
+// Refuse implements caller.Handler: it annotates and records a refusal made
+// before the request was resolved.
+func (h *Entry) Refuse(r *refuse.Refusal) *refuse.Refusal {
+	h.pending.Add(1)
+	info := callInfo{request: ident.NewRequest(), start: time.Now()}
+	return h.recordRefusal(&info, &final.Record{}, r)
 }
 
-// refused completes a refusal and records the request's end.
-func (e *Entry) refused(t *target, rec *final.Record, r *refuse.Refusal) *refuse.Refusal {
-	e.sign(t, r)
+// recordRefusal annotates a refusal and records the request's end.
+func (h *Entry) recordRefusal(info *callInfo, rec *final.Record, r *refuse.Refusal) *refuse.Refusal {
+	h.annotate(info, r)
 	rec.Outcome = final.Refused
 	rec.Refusal = r
-	e.done(t, rec)
+	h.recordEnd(info, rec)
 	return r
 }
 
-// sign fills in who refused, what, and when.
-func (e *Entry) sign(t *target, r *refuse.Refusal) {
-	r.Request = t.request
-	r.VM = e.vm
+// annotate sets the request, VM, time and workspace of a refusal.
+func (h *Entry) annotate(info *callInfo, r *refuse.Refusal) {
+	r.Request = info.request
+	r.VM = h.vm
 	r.At = time.Now()
-	if t.workspace != nil {
-		r.Workspace = t.workspace.Name
+	if info.workspace != nil {
+		r.Workspace = info.workspace.Name
 	}
 }
 
-func (e *Entry) done(t *target, rec *final.Record) {
-	rec.Request = t.request
-	rec.Start = t.start
-	rec.Total = time.Since(t.start)
-	if t.workspace != nil {
-		rec.Workspace = t.workspace.Name
+// recordEnd completes the record of a request and passes it to the recorder.
+func (h *Entry) recordEnd(info *callInfo, rec *final.Record) {
+	rec.Request = info.request
+	rec.Start = info.start
+	rec.Total = time.Since(info.start)
+	if info.workspace != nil {
+		rec.Workspace = info.workspace.Name
 	}
-	if t.service != nil {
-		rec.Service = t.service.Name
+	if info.service != nil {
+		rec.Service = info.service.Name
 	}
-	if t.class != nil {
-		rec.Class = t.class.Name
+	if info.class != nil {
+		rec.Class = info.class.Name
 	}
-	e.rec.Done(rec)
-	e.pending.Add(-1)
+	h.recorder.Done(rec)
+	h.pending.Add(-1)
 }
 
-// Ended asserts, when the VM ends, that no request is open. A caller that left
-// is noticed with the next token, so it waits for that a little.
-func (e *Entry) Ended() {
-	for end := time.Now().Add(lastTokens); e.pending.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(lastTokens / 100)
+// AssertIdle asserts at shutdown that no request is open. It first waits up to
+// closeTimeout, because the disconnection of a caller is noticed only when the
+// next token is written.
+func (h *Entry) Ended() {
+	for end := time.Now().Add(closeTimeout); h.pending.Load() > 0 && time.Now().Before(end); {
+		time.Sleep(closeTimeout / 100)
 	}
-	n := e.pending.Load()
-	e.book.Assert(invar.CutOff, n == 0, "the VM ends with %d requests open", n)
+	n := h.pending.Load()
+	h.invariants.Assert(invar.CutOff, n == 0, "the VM ends with %d requests open", n)
 }
 
 // Code implements caller.Handler.
-func (e *Entry) Code(r *refuse.Refusal) string { return refuse.Code(e.ring, r) }
+func (h *Entry) Code(r *refuse.Refusal) string { return refuse.Code(h.ring, r) }
 
 // Explain implements caller.Handler.
-func (e *Entry) Explain(code string) (*refuse.Refusal, error) {
-	return refuse.Decode(e.ring, code)
+func (h *Entry) Explain(code string) (*refuse.Refusal, error) {
+	return refuse.Decode(h.ring, code)
 }
 
 var _ caller.Handler = (*Entry)(nil)
--- a/internal/route/entry/generate.go
+++ b/internal/route/entry/generate.go
@@ -19,11 +19,12 @@
 	"umberladder/internal/state/config"
 )
 
-const handlePurpose = "resume"
+// resumeHandlePurpose is the purpose for which resume handles are encrypted.
+const resumeHandlePurpose = "resume"
 
 // Stream implements caller.Handler.
-func (e *Entry) Stream(ctx context.Context, g caller.Generation) (caller.Stream, *refuse.Refusal) {
-	s, refusal := e.open(ctx, g)
+func (h *Entry) Stream(ctx context.Context, g caller.Generation) (caller.Stream, *refuse.Refusal) {
+	s, refusal := h.open(ctx, g)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -31,58 +32,59 @@
 }
 
 // Whole implements caller.Handler.
-func (e *Entry) Whole(ctx context.Context, g caller.Generation) (openai.Whole, *refuse.Refusal) {
-	s, refusal := e.open(ctx, g)
+func (h *Entry) Whole(ctx context.Context, g caller.Generation) (openai.Whole, *refuse.Refusal) {
+	s, refusal := h.open(ctx, g)
 	if refusal != nil {
 		return openai.Whole{}, refusal
 	}
-	w := openai.Whole{Request: s.target.request, PromptTokens: promptTokens(g.Prompt)}
-	if old := s.claim.replay; old != nil {
-		w.Text, w.Finish = string(old.GetBody()), old.GetContentType()
+	w := openai.Whole{Request: s.info.request, PromptTokens: promptTokens(g.Prompt)}
+	if stored := s.claim.stored; stored != nil {
+		w.Text, w.Finish = string(stored.GetBody()), stored.GetContentType()
 		s.complete(len(w.Text))
 		return w, nil
 	}
-	if w.Text, w.Finish, refusal = s.flight.Whole(); refusal != nil {
+	if w.Text, w.Finish, refusal = s.stream.Whole(); refusal != nil {
 		return openai.Whole{}, s.refuse(refusal)
 	}
-	s.answer = wholeAnswer(w.Text, w.Finish)
-	w.Tokens = s.flight.Record.Tokens
+	s.response = generationResponse(w.Text, w.Finish)
+	w.Tokens = s.stream.Record.Tokens
 	s.complete(len(w.Text))
 	return w, nil
 }
 
+// promptTokens estimates the number of tokens in a prompt.
 func promptTokens(prompt string) int { return len(prompt)/bytesPerToken + 1 }
 
-// open takes a request through every check to its first token.
-func (e *Entry) open(ctx context.Context, g caller.Generation) (*stream, *refuse.Refusal) {
+// open checks a request, places it on an engine and waits for its first token.
+func (h *Entry) open(ctx context.Context, g caller.Generation) (*callerStream, *refuse.Refusal) {
 	rec := &final.Record{}
-	t, refusal := e.find(g.Key, g.Service, config.ModelService, g.Class)
+	info, refusal := h.resolve(g.Key, g.Service, config.ModelService, g.Class)
 	if refusal != nil {
-		return nil, e.refused(&t, rec, refusal)
+		return nil, h.recordRefusal(&info, rec, refusal)
 	}
-	pass, refusal := e.gate.Admit(t.workspace, t.start)
+	permit, refusal := h.limiter.Admit(info.workspace, info.start)
 	if refusal != nil {
-		return nil, e.refused(&t, rec, refusal)
+		return nil, h.recordRefusal(&info, rec, refusal)
 	}
-	s := &stream{entry: e, target: t, pass: pass, chat: g.Chat}
-	if s.claim, refusal = e.claimed(ctx, &t, g.IdempotencyKey, fingerprint(string(g.Service), g.Prompt)); refusal != nil {
+	s := &callerStream{handler: h, info: info, permit: permit, chat: g.Chat}
+	if s.claim, refusal = h.acquireClaim(ctx, &info, g.IdempotencyKey, fingerprint(string(g.Service), g.Prompt)); refusal != nil {
 		return nil, s.refuse(refusal)
 	}
-	if s.claim.replay != nil {
+	if s.claim.stored != nil {
 		return s, nil
 	}
-	placer, ok := e.placers(t.service.Model)
+	placer, ok := h.placers(info.service.Model)
 	if !ok {
-		return nil, s.refuse(refuse.New(refuse.NoServer, "the settings name no engine for model %s", t.service.Model).After(time.Second))
+		return nil, s.refuse(refuse.New(refuse.NoServer, "the settings name no engine for model %s", info.service.Model).After(time.Second))
 	}
-	s.flight, refusal = e.runner.Open(ctx, placer, gener.Call{
-		Request:    t.request,
-		Service:    t.service,
-		Class:      t.class,
+	s.stream, refusal = h.runner.Open(ctx, placer, gener.Call{
+		Request:    info.request,
+		Service:    info.service,
+		Class:      info.class,
 		Prompt:     g.Prompt,
 		MaxTokens:  g.MaxTokens,
-		AtMostOnce: t.service.AtMostOnce,
-		Ask:        t.ask(g.Prompt),
+		AtMostOnce: info.service.AtMostOnce,
+		Ask:        info.placementRequest(g.Prompt),
 	})
 	if refusal != nil {
 		return nil, s.refuse(refusal)
@@ -91,161 +93,167 @@
 }
 
 // Resume implements caller.Handler.
-func (e *Entry) Resume(ctx context.Context, r caller.Resume) (caller.Stream, *refuse.Refusal) {
-	h, err := e.openHandle(r.Handle)
+func (h *Entry) Resume(ctx context.Context, r caller.Resume) (caller.Stream, *refuse.Refusal) {
+	rh, err := h.openHandle(r.Handle)
 	if err != nil {
-		return nil, e.Refuse(refuse.New(refuse.NotFound, "%s", trace.UserMessage(err)))
+		return nil, h.Refuse(refuse.New(refuse.NotFound, "%s", trace.UserMessage(err)))
 	}
 	rec := &final.Record{}
-	t, refusal := e.find(r.Key, ident.Service(h.GetService()), config.ModelService, ident.Class(h.GetClass()))
-	t.request = ident.Request(h.GetRequest())
+	info, refusal := h.resolve(r.Key, ident.Service(rh.GetService()), config.ModelService, ident.Class(rh.GetClass()))
+	info.request = ident.Request(rh.GetRequest())
 	if refusal != nil {
-		return nil, e.refused(&t, rec, refusal.With(refuse.RanPartial))
+		return nil, h.recordRefusal(&info, rec, refusal.With(refuse.RanPartial))
 	}
-	if string(t.workspace.Name) != h.GetWorkspace() {
-		return nil, e.refused(&t, rec, refuse.New(refuse.NotFound, "the handle belongs to another workspace"))
+	if string(info.workspace.Name) != rh.GetWorkspace() {
+		return nil, h.recordRefusal(&info, rec, refuse.New(refuse.NotFound, "the handle belongs to another workspace"))
 	}
-	addr, err := netip.ParseAddrPort(h.GetEngine())
+	addr, err := netip.ParseAddrPort(rh.GetEngine())
 	if err != nil {
-		return nil, e.refused(&t, rec, refuse.New(refuse.NotFound, "the handle names no engine"))
+		return nil, h.recordRefusal(&info, rec, refuse.New(refuse.NotFound, "the handle names no engine"))
 	}
-	s := &stream{entry: e, target: t, chat: h.GetChat()}
-	call := gener.Call{Request: t.request, Service: t.service, Class: t.class}
-	s.flight, refusal = e.runner.Rejoin(ctx, call, addr, ident.Generation(h.GetGeneration()), r.Next)
+	s := &callerStream{handler: h, info: info, chat: rh.GetChat()}
+	call := gener.Call{Request: info.request, Service: info.service, Class: info.class}
+	s.stream, refusal = h.runner.Rejoin(ctx, call, addr, ident.Generation(rh.GetGeneration()), r.Next)
 	if refusal != nil {
 		return nil, s.refuse(refusal)
 	}
 	return s, nil
 }
 
-func (e *Entry) openHandle(handle string) (*proto.ResumeHandle, error) {
-	data, err := e.ring.OpenToken(handlePurpose, handle)
+// openHandle decrypts a resume handle.
+func (h *Entry) openHandle(handle string) (*proto.ResumeHandle, error) {
+	data, err := h.ring.OpenToken(resumeHandlePurpose, handle)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	h := &proto.ResumeHandle{}
-	return h, trace.Wrap(pb.Unmarshal(data, h))
+	rh := &proto.ResumeHandle{}
+	return rh, trace.Wrap(pb.Unmarshal(data, rh))
 }
 
-// stream is one generation under way. It ends once: complete, refused, or
-// left by its caller.
-type stream struct {
-	entry  *Entry
-	target target
-	pass   *gate.Permit
-	claim  *held
-	flight *gener.Flight
-	chat   bool
-	ended  bool // the last token was handed over
-	closed bool
-	text   []byte        // of a keyed stream, as far as it is kept
-	answer *proto.Answer // kept for a caller who sends the same key again
+// callerStream is the stream of one generation to its caller. It implements
+// caller.Stream and ends exactly once: complete, refused, or abandoned by its
+// caller.
+type callerStream struct {
+	handler  *Entry
+	info     callInfo
+	permit   *gate.Permit
+	claim    *claim
+	stream   *gener.Flight
+	chat     bool
+	ended    bool // Next returned the end of the response
+	closed   bool
+	text     []byte        // with an idempotency key: the text so far, as far as it is stored
+	response *proto.Answer // stored for callers that repeat the idempotency key
 }
 
 // Request implements caller.Stream.
-func (s *stream) Request() ident.Request { return s.target.request }
+func (s *callerStream) Request() ident.Request { return s.info.request }
 
 // Service implements caller.Stream.
-func (s *stream) Service() ident.Service { return s.target.service.Name }
+func (s *callerStream) Service() ident.Service { return s.info.service.Name }
 
 // Chat implements caller.Stream.
-func (s *stream) Chat() bool { return s.chat }
+func (s *callerStream) Chat() bool { return s.chat }
 
 // Handle implements caller.Stream.
-func (s *stream) Handle() string {
-	if s.flight == nil {
+func (s *callerStream) Handle() string {
+	if s.stream == nil {
 		return ""
 	}
-	addr, g := s.flight.Engine()
+	addr, g := s.stream.Engine()
 	data, err := pb.Marshal(&proto.ResumeHandle{
 		Engine:     addr.String(),
 		Generation: string(g),
-		Workspace:  string(s.target.workspace.Name),
-		Service:    string(s.target.service.Name),
-		Class:      string(s.target.class.Name),
-		Request:    string(s.target.request),
+		Workspace:  string(s.info.workspace.Name),
+		Service:    string(s.info.service.Name),
+		Class:      string(s.info.class.Name),
+		Request:    string(s.info.request),
 		Chat:       s.chat,
 		AtMs:       time.Now().UnixMilli(),
 	})
 	if err != nil {
-		// Every part passed through JSON or settings, so it is valid UTF-8.
+		// Marshal fails only on invalid UTF-8, and every field was parsed from
+		// JSON or from the settings.
 		return ""
 	}
-	return s.entry.ring.Token(handlePurpose, data)
+	return s.handler.ring.Token(resumeHandlePurpose, data)
 }
 
 // Next implements caller.Stream.
-func (s *stream) Next() (openai.Token, *refuse.Refusal) {
-	if s.claim.replaying() {
+func (s *callerStream) Next() (openai.Token, *refuse.Refusal) {
+	if s.claim.hasStoredResponse() {
 		return s.replay(), nil
 	}
-	t, refusal := s.flight.Next()
+	t, refusal := s.stream.Next()
 	if refusal != nil {
 		return openai.Token{}, s.refuse(refusal)
 	}
 	s.ended = t.End()
-	s.keep(t)
+	s.bufferText(t)
 	return openai.Token{Index: t.Index, Text: t.Text, Finish: t.Finish}, nil
 }
 
-// replay yields a kept answer: its text as one token, then its end.
-func (s *stream) replay() openai.Token {
-	old := s.claim.replay
-	if s.text == nil && len(old.GetBody()) > 0 {
-		s.text = old.GetBody()
+// replay returns the next token of a stored response: its text as one token,
+// then its end.
+func (s *callerStream) replay() openai.Token {
+	stored := s.claim.stored
+	if s.text == nil && len(stored.GetBody()) > 0 {
+		s.text = stored.GetBody()
 		return openai.Token{Text: string(s.text)}
 	}
 	s.ended = true
-	return openai.Token{Index: 1, Finish: old.GetContentType()}
+	return openai.Token{Index: 1, Finish: stored.GetContentType()}
 }
 
-// keep gathers the text of a keyed stream, and its answer at the end.
-func (s *stream) keep(t gener.Token) {
-	if !s.claim.holds() || len(s.text) > maxKept {
+// bufferText collects the text of a stream with an idempotency key and sets the
+// response to store when the stream ends.
+func (s *callerStream) bufferText(t gener.Token) {
+	if !s.claim.active() || len(s.text) > maxStoredResponse {
 		return
 	}
 	s.text = append(s.text, t.Text...)
-	if t.End() && len(s.text) <= maxKept {
-		s.answer = wholeAnswer(string(s.text), t.Finish)
+	if t.End() && len(s.text) <= maxStoredResponse {
+		s.response = generationResponse(string(s.text), t.Finish)
 	}
 }
 
 // Close implements caller.Stream.
-func (s *stream) Close(left bool, bytes int) {
+func (s *callerStream) Close(callerLeft bool, bytes int) {
 	switch {
 	case s.closed:
-	case s.ended && !left:
+	case s.ended && !callerLeft:
 		s.complete(bytes)
 	default:
 		s.end(final.Left, nil, bytes)
 	}
 }
 
-func (s *stream) complete(bytes int) { s.end(final.Complete, nil, bytes) }
+// complete ends the stream as delivered in full.
+func (s *callerStream) complete(bytes int) { s.end(final.Complete, nil, bytes) }
 
 // refuse ends the stream with a refusal.
-func (s *stream) refuse(r *refuse.Refusal) *refuse.Refusal {
-	s.entry.sign(&s.target, r)
+func (s *callerStream) refuse(r *refuse.Refusal) *refuse.Refusal {
+	s.handler.annotate(&s.info, r)
 	s.end(final.Refused, r, 0)
 	return r
 }
 
-// end gives everything back and records the one outcome.
-func (s *stream) end(o final.Outcome, r *refuse.Refusal, bytes int) {
-	if !s.entry.once(&s.closed, &s.target) {
+// end releases what the stream holds and records its outcome.
+func (s *callerStream) end(o final.Outcome, r *refuse.Refusal, bytes int) {
+	if !s.handler.markEnded(&s.closed, &s.info) {
 		return
 	}
 	rec := &final.Record{}
-	if s.flight != nil {
-		s.flight.Close(r)
-		rec = &s.flight.Record
+	if s.stream != nil {
+		s.stream.Close(r)
+		rec = &s.stream.Record
 	}
 	rec.Outcome = o
 	rec.Refusal = r
 	rec.Bytes = bytes
-	if s.pass != nil {
-		s.pass.Release(rec.Tokens, time.Now())
+	if s.permit != nil {
+		s.permit.Release(rec.Tokens, time.Now())
 	}
-	s.claim.finish(r == nil || r.Ran != refuse.RanNo, s.answer)
-	s.entry.done(&s.target, rec)
+	s.claim.finish(r == nil || r.Ran != refuse.RanNo, s.response)
+	s.handler.recordEnd(&s.info, rec)
 }
--- a/internal/route/entry/plain.go
+++ b/internal/route/entry/plain.go
@@ -17,61 +17,62 @@
 	"umberladder/internal/state/config"
 )
 
-// repeatable lists the idempotent methods (RFC 9110, section 9.2.2).
-var repeatable = []string{
+// idempotentMethods lists the idempotent methods (RFC 9110, section 9.2.2).
+var idempotentMethods = []string{
 	fasthttp.MethodGet, fasthttp.MethodHead, fasthttp.MethodOptions,
 	fasthttp.MethodPut, fasthttp.MethodDelete,
 }
 
 // Plain implements caller.Handler.
-func (e *Entry) Plain(ctx context.Context, p caller.Plain) (caller.Answer, *refuse.Refusal) {
+func (h *Entry) Plain(ctx context.Context, p caller.Plain) (caller.Answer, *refuse.Refusal) {
 	rec := &final.Record{}
-	t, refusal := e.find(p.Key, p.Service, config.PlainService, "")
+	info, refusal := h.resolve(p.Key, p.Service, config.PlainService, "")
 	if refusal != nil {
-		return caller.Answer{}, e.refused(&t, rec, refusal)
+		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
 	}
-	pass, refusal := e.gate.Admit(t.workspace, t.start)
+	permit, refusal := h.limiter.Admit(info.workspace, info.start)
 	if refusal != nil {
-		return caller.Answer{}, e.refused(&t, rec, refusal)
+		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
 	}
-	defer func() { pass.Release(0, time.Now()) }()
-	claim, refusal := e.claimed(ctx, &t, p.IdempotencyKey, fingerprint(p.Method+" "+p.Path, string(p.Body)))
+	defer func() { permit.Release(0, time.Now()) }()
+	claim, refusal := h.acquireClaim(ctx, &info, p.IdempotencyKey, fingerprint(p.Method+" "+p.Path, string(p.Body)))
 	if refusal != nil {
-		return caller.Answer{}, e.refused(&t, rec, refusal)
+		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
 	}
-	if claim.replay != nil {
-		rec.Bytes = len(claim.replay.GetBody())
-		e.done(&t, rec)
-		return replayed(t.request, claim.replay), nil
+	if claim.stored != nil {
+		rec.Bytes = len(claim.stored.GetBody())
+		h.recordEnd(&info, rec)
+		return callerResponse(info.request, claim.stored), nil
 	}
-	answer, server, refusal := e.plain.Do(ctx, t.request, t.service, t.plainCall(p))
+	response, server, refusal := h.plain.Do(ctx, info.request, info.service, info.plainCall(p))
 	rec.Server = server
-	rec.First = time.Since(t.start)
+	rec.First = time.Since(info.start)
 	if refusal != nil {
 		claim.finish(refusal.Ran != refuse.RanNo, nil)
-		return caller.Answer{}, e.refused(&t, rec, refusal)
+		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
 	}
 	claim.finish(true, &proto.Answer{
-		Status:      uint32(answer.Status),
-		ContentType: answer.ContentType,
-		Body:        answer.Body,
+		Status:      uint32(response.Status),
+		ContentType: response.ContentType,
+		Body:        response.Body,
 	})
-	rec.Bytes = len(answer.Body)
-	e.done(&t, rec)
-	return caller.Answer{Request: t.request, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}, nil
+	rec.Bytes = len(response.Body)
+	h.recordEnd(&info, rec)
+	return caller.Answer{Request: info.request, Status: response.Status, ContentType: response.ContentType, Body: response.Body}, nil
 }
 
-func (t *target) plainCall(p caller.Plain) peer.Call {
+// plainCall returns the call to send to a server of a plain service.
+func (info *callInfo) plainCall(p caller.Plain) peer.Call {
 	c := peer.Call{
 		Method:      p.Method,
 		Path:        p.Path,
 		ContentType: p.ContentType,
 		Body:        p.Body,
-		Timeout:     t.service.Timeout,
-		Repeatable:  !t.service.AtMostOnce && p.IdempotencyKey == "" && slices.Contains(repeatable, p.Method),
+		Timeout:     info.service.Timeout,
+		Repeatable:  !info.service.AtMostOnce && p.IdempotencyKey == "" && slices.Contains(idempotentMethods, p.Method),
 		Headers: [][2]string{
-			{peer.EchoHeader, string(t.request)},
-			{"Umberladder-Workspace", string(t.workspace.Name)},
+			{peer.EchoHeader, string(info.request)},
+			{"Umberladder-Workspace", string(info.workspace.Name)},
 		},
 	}
 	if p.IdempotencyKey != "" {
@@ -80,7 +81,8 @@
 	return c
 }
 
-func replayed(r ident.Request, a *proto.Answer) caller.Answer {
+// callerResponse returns a stored response as an answer to the caller.
+func callerResponse(r ident.Request, a *proto.Answer) caller.Answer {
 	return caller.Answer{
 		Request:     r,
 		Status:      int(a.GetStatus()),
@@ -89,9 +91,10 @@
 	}
 }
 
-// once marks a request as ended and asserts that it had not ended before.
-func (e *Entry) once(ended *bool, t *target) bool {
-	if !e.book.Assert(invar.OneOutcome, !*ended, "request %s ends twice", t.request) {
+// markEnded sets ended and asserts that it was not set before. It reports
+// whether the request had not ended yet.
+func (h *Entry) markEnded(ended *bool, info *callInfo) bool {
+	if !h.invariants.Assert(invar.OneOutcome, !*ended, "request %s ends twice", info.request) {
 		return false
 	}
 	*ended = true
--- a/internal/route/gate/limiter.go
+++ b/internal/route/gate/limiter.go
@@ -1,4 +1,4 @@
-// Package quota enforces the limits of workspaces on this VM. Each limit is
+// Package limits enforces the limits of workspaces on this VM. Each limit is
 // divided among the live VMs; see package limit.
 package gate
 
