--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -14,32 +14,34 @@
 	"umberladder/internal/test/check"
 )
 
-// end has a server's process end, so that its address refuses connections.
-func (w *world) end(id ident.Server) {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	w.engines.ended[id] = true
+// terminate ends a server's process, so that its address refuses connections.
+func (h *harness) terminate(id ident.Server) {
+	h.engines.mu.Lock()
+	defer h.engines.mu.Unlock()
+	h.engines.terminated[id] = true
 }
 
-// quarantined reports whether a call of the path would be refused.
-func (w *world) quarantined(path string) bool {
-	_, ok := w.poison.Until(w.call(path).Fingerprint("team"), time.Now())
+// isQuarantined reports whether a call of the path would be refused by the
+// quarantine.
+func (h *harness) isQuarantined(path string) bool {
+	_, ok := h.quarantine.Until(h.call(path).Fingerprint("team"), time.Now())
 	return ok
 }
 
-// serveFresh takes a call to its end by settings that are known to be the newest.
-func (w *world) serveFresh(t *testing.T, path string) (*client, *refuse.Refusal) {
+// serveWithFreshSettings serves a call with settings that were just updated.
+func (h *harness) serveWithFreshSettings(t *testing.T, path string) (*client, *refuse.Refusal) {
 	t.Helper()
-	w.book.Put(snapshot(1), w.clock())
-	return w.serve(t.Context(), path)
+	h.settings.Put(snapshot(1), h.clock())
+	return h.serve(t.Context(), path)
 }
 
-// TestCrashes repeats a call whose servers break off.
+// TestCrashes repeats a call whose servers break off their responses. The request
+// must be quarantined if the servers' processes end, and only then.
 func TestCrashes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		path  string
-		ended bool // the servers end with it
-		want  bool // it is quarantined
+		ended bool // the server's process ends
+		want  bool // the request is quarantined
 	}{
 		"once":                            {path: "/once/x", ended: true, want: true},
 		"idempotent":                      {path: "/get/x", ended: true, want: true},
@@ -52,89 +54,90 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const servers = 12
-				w := newWorld(t, servers)
-				asked := 0
+				h := newHarness(t, servers)
+				attempts := 0
 				for i := range servers {
 					id := ident.Server(fmt.Sprintf("s%d", i))
-					w.engines.plain[id] = func() (*port.Answer, error) {
-						asked++
-						w.engines.ended[id] = tc.ended
-						return silent()
+					h.engines.respond[id] = func() (*port.Answer, error) {
+						attempts++
+						h.engines.terminated[id] = tc.ended
+						return failSilent()
 					}
 				}
 				for range 6 {
-					_, r := w.serveFresh(t, tc.path)
+					_, r := h.serveWithFreshSettings(t, tc.path)
 					assert.Assert(t, r != nil)
 					time.Sleep(5 * time.Second)
 				}
-				assert.Equal(t, w.quarantined(tc.path), tc.want)
+				assert.Equal(t, h.isQuarantined(tc.path), tc.want)
 				if !tc.want {
 					return
 				}
-				assert.Assert(t, asked <= 4, "sent to %d servers", asked)
-				before := asked
-				_, r := w.serveFresh(t, tc.path)
+				assert.Assert(t, attempts <= 4, "sent to %d servers", attempts)
+				before := attempts
+				_, r := h.serveWithFreshSettings(t, tc.path)
 				check.Refusal(t, r, refuse.Quarantined, refuse.RanNo)
 				assert.Assert(t, r.RetryAfter > 0)
-				assert.Equal(t, asked, before)
-				assert.Assert(t, !w.quarantined("/get/other"))
+				assert.Equal(t, attempts, before)
+				assert.Assert(t, !h.isQuarantined("/get/other"))
 			})
 		})
 	}
 }
 
-// TestCrashesElsewhere has streams meet one crash after the other that they have not
-// caused: an engine had run each of them for a while.
+// TestCrashesElsewhere interrupts a stream by several engine crashes that it did not
+// cause: each engine had run it for a while. It must not be quarantined.
 func TestCrashesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 8)
+		h := newHarness(t, 8)
 		for n := range 4 {
-			later(time.Duration(1500+300*n)*time.Millisecond, func() { w.engines.crash(w.holder()) })
+			after(time.Duration(1500+300*n)*time.Millisecond, func() { h.engines.crash(h.runningServer()) })
 		}
-		w.serve(t.Context(), "/long/x")
-		assert.Assert(t, !w.quarantined("/long/x"))
+		h.serve(t.Context(), "/long/x")
+		assert.Assert(t, !h.isQuarantined("/long/x"))
 	})
 }
 
-// TestPopularRequest has a request that many clients share complete again and again, and
-// its servers crash now and then under other calls.
+// TestPopularRequest repeats a request that many clients send. It completes most of the
+// time, but every fifth run meets a server crash that other calls cause. It must not be
+// quarantined.
 func TestPopularRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const servers = 12
-		w := newWorld(t, servers)
+		h := newHarness(t, servers)
 		n := 0
 		for i := range servers {
 			id := ident.Server(fmt.Sprintf("s%d", i))
-			w.engines.plain[id] = func() (*port.Answer, error) {
+			h.engines.respond[id] = func() (*port.Answer, error) {
 				if n++; n%5 == 0 {
-					w.engines.ended[id] = true
-					return silent()
+					h.engines.terminated[id] = true
+					return failSilent()
 				}
-				return ok()
+				return respondOK()
 			}
 		}
 		for range 60 {
-			_, r := w.serveFresh(t, "/get/x")
+			_, r := h.serveWithFreshSettings(t, "/get/x")
 			assert.Assert(t, r == nil, "%v", r)
 			time.Sleep(time.Second)
 		}
 	})
 }
 
-// TestLeavingServer has servers end that had announced it: their ends say nothing of the
-// calls that were cut off.
+// TestLeavingServer ends servers that had announced their retirement. This must not count
+// against the calls that it interrupts.
 func TestLeavingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 12)
+		h := newHarness(t, 12)
 		for range 5 {
-			later(time.Second/2, w.leaves)
-			later(time.Second, func() {
-				id := w.holder()
-				w.end(id)
-				w.engines.crash(id)
+			after(time.Second/2, h.retireRunningServer)
+			after(time.Second, func() {
+				id := h.runningServer()
+				h.terminate(id)
+				h.engines.crash(id)
 			})
-			w.serve(t.Context(), "/short/x")
+			h.serve(t.Context(), "/short/x")
 		}
-		assert.Assert(t, !w.quarantined("/short/x"))
+		assert.Assert(t, !h.isQuarantined("/short/x"))
 	})
 }
--- a/internal/route/relay/fake_test.go
+++ b/internal/route/relay/fake_test.go
@@ -33,43 +33,44 @@
 	"umberladder/internal/state/routes"
 )
 
-// engines is a set of servers in virtual time. A run makes an event each step
-// until it has made all of them; its copies follow at once.
-type engines struct {
-	mu     sync.Mutex
-	step   time.Duration
-	events int
-	plain  map[ident.Server]func() (*port.Answer, error)
-	runs   map[string]*run // by server and request
-	starts []string        // servers that began the call anew
-	goOns  []string        // servers that went on from a copy
-	moves  int
-	noRoom bool // no engine takes an ordered copy
-	noCopy bool // copies are not there
-	copyIn time.Duration
-	ended  map[ident.Server]bool
-	lag    time.Duration // from a run's first event until its guard has a copy
-	group  errgroup.Group
+// fakeEngines is a set of servers in virtual time. A run produces one event per
+// interval until it has produced all of them. A backup's copy holds every event
+// immediately, except during copyLag.
+type fakeEngines struct {
+	mu         sync.Mutex
+	interval   time.Duration
+	events     int
+	respond    map[ident.Server]func() (*port.Answer, error)
+	runs       map[string]*run // by server and request
+	started    []string        // servers that started the call from the beginning
+	continued  []string        // servers that continued the call from a copy
+	migrations int
+	noCapacity bool // no engine accepts a migration
+	noCopy     bool // engines do not have the copy
+	copyTime   time.Duration
+	terminated map[ident.Server]bool
+	copyLag    time.Duration // from a run's first event until its backup has a copy
+	group      errgroup.Group
 }
 
 type run struct {
-	made   atomic.Int64
-	first  atomic.Int64 // when it made its first event, in Unix nanoseconds
-	quit   chan struct{}
-	once   sync.Once
-	out    *io.PipeWriter
-	whole  atomic.Bool
-	copied bool
-	server *backs.Server
+	events       atomic.Int64
+	firstEventAt atomic.Int64 // time of the first event in Unix nanoseconds
+	quit         chan struct{}
+	once         sync.Once
+	out          *io.PipeWriter
+	complete     atomic.Bool
+	copied       bool
+	server       *backs.Server
 }
 
-// delta is how long a copy of what is new takes.
-const delta = 8 * time.Millisecond
+// deltaCopyTime is how long it takes to copy what was generated since the last copy.
+const deltaCopyTime = 8 * time.Millisecond
 
-// late reports whether a copy of a request's last run is still on its way.
-func (e *engines) late(id ident.Request) bool {
+// copyPending reports whether the copy of a request's last run has not arrived yet.
+func (e *fakeEngines) copyPending(id ident.Request) bool {
 	for k, r := range e.runs {
-		if k == key(r.server.ID, id) && time.Since(time.Unix(0, r.first.Load())) < e.lag {
+		if k == runKey(r.server.ID, id) && time.Since(time.Unix(0, r.firstEventAt.Load())) < e.copyLag {
 			return true
 		}
 	}
@@ -78,88 +79,88 @@
 
 func (r *run) stop() { r.once.Do(func() { close(r.quit) }) }
 
-func key(s ident.Server, id ident.Request) string { return string(s) + "/" + string(id) }
+func runKey(s ident.Server, id ident.Request) string { return string(s) + "/" + string(id) }
 
-type body struct {
+type runBody struct {
 	*io.PipeReader
 	run *run
 }
 
-func (b body) Close() error {
+func (b runBody) Close() error {
 	b.run.stop()
 	return b.PipeReader.Close()
 }
 
-func (e *engines) Send(_ context.Context, s port.Send) (*port.Answer, error) {
+func (e *fakeEngines) Send(_ context.Context, s port.Send) (*port.Answer, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if f := e.plain[s.Server.ID]; f != nil {
+	if f := e.respond[s.Server.ID]; f != nil {
 		return f()
 	}
 	base := int64(0)
 	if s.Copy.At.IsValid() {
-		if e.noCopy || e.late(s.Call.ID) {
-			return &port.Answer{Status: 503, NotRun: true, Body: &text{}}, nil
+		if e.noCopy || e.copyPending(s.Call.ID) {
+			return &port.Answer{Status: 503, NotRun: true, Body: &textBody{}}, nil
 		}
-		e.goOns = append(e.goOns, string(s.Server.ID))
+		e.continued = append(e.continued, string(s.Server.ID))
 	} else {
-		e.starts = append(e.starts, string(s.Server.ID))
+		e.started = append(e.started, string(s.Server.ID))
 	}
 	if s.After != "" {
 		_, _ = fmt.Sscan(s.After, &base)
 	}
 	pr, pw := io.Pipe()
 	r := &run{quit: make(chan struct{}), out: pw, server: s.Server}
-	r.made.Store(base)
-	e.runs[key(s.Server.ID, s.Call.ID)] = r
+	r.events.Store(base)
+	e.runs[runKey(s.Server.ID, s.Call.ID)] = r
 	e.group.Go(func() error {
-		e.work(r)
+		e.generate(r)
 		return nil
 	})
-	return &port.Answer{Status: 200, Signed: true, Framed: true, Body: body{pr, r}}, nil
+	return &port.Answer{Status: 200, Signed: true, Framed: true, Body: runBody{pr, r}}, nil
 }
 
-// work makes the run's events.
-func (e *engines) work(r *run) {
-	for int(r.made.Load()) < e.events {
+// generate writes the run's events.
+func (e *fakeEngines) generate(r *run) {
+	for int(r.events.Load()) < e.events {
 		select {
 		case <-r.quit:
 			_ = r.out.CloseWithError(io.ErrUnexpectedEOF)
 			return
-		case <-time.After(e.step):
+		case <-time.After(e.interval):
 		}
-		r.first.CompareAndSwap(0, time.Now().UnixNano())
-		if _, err := fmt.Fprintf(r.out, "id: %d\ndata: x\n\n", r.made.Add(1)); err != nil {
+		r.firstEventAt.CompareAndSwap(0, time.Now().UnixNano())
+		if _, err := fmt.Fprintf(r.out, "id: %d\ndata: x\n\n", r.events.Add(1)); err != nil {
 			return
 		}
 	}
-	r.whole.Store(true)
+	r.complete.Store(true)
 	_ = r.out.Close()
 }
 
-func (e *engines) Move(_ context.Context, from *backs.Server, id ident.Request, _ netip.AddrPort, last bool) (port.Moved, error) {
+func (e *fakeEngines) Move(_ context.Context, from *backs.Server, id ident.Request, _ netip.AddrPort, last bool) (port.Moved, error) {
 	e.mu.Lock()
-	r := e.runs[key(from.ID, id)]
-	e.moves++
-	noRoom, wait := e.noRoom, e.copyIn
+	r := e.runs[runKey(from.ID, id)]
+	e.migrations++
+	noCapacity, wait := e.noCapacity, e.copyTime
 	if r != nil && r.copied {
-		wait = delta
+		wait = deltaCopyTime
 	}
 	if r != nil {
 		r.copied = true
 	}
 	e.mu.Unlock()
-	if r == nil || r.whole.Load() || r.stopped() {
+	if r == nil || r.complete.Load() || r.stopped() {
 		return port.Moved{}, port.ErrNoRun
 	}
-	if noRoom {
+	if noCapacity {
 		return port.Moved{}, port.ErrNoRoom
 	}
 	if last {
 		r.stop()
 	}
 	time.Sleep(wait)
-	return port.Moved{Handle: "h", Events: int(r.made.Load())}, nil
+	return port.Moved{Handle: "h", Events: int(r.events.Load())}, nil
 }
 
 func (r *run) stopped() bool {
@@ -171,19 +172,19 @@
 	}
 }
 
-func (e *engines) Refuses(_ context.Context, s *backs.Server) bool {
+func (e *fakeEngines) Refuses(_ context.Context, s *backs.Server) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ended[s.ID]
+	return e.terminated[s.ID]
 }
 
-func (e *engines) Free(context.Context, *backs.Server, string) error { return nil }
+func (e *fakeEngines) Free(context.Context, *backs.Server, string) error { return nil }
 
 // crash ends all runs of a server.
-func (e *engines) crash(id ident.Server) {
+func (e *fakeEngines) crash(id ident.Server) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ended[id] = true
+	e.terminated[id] = true
 	for _, r := range e.runs {
 		if r.server.ID == id {
 			r.stop()
@@ -191,26 +192,26 @@
 	}
 }
 
-// working counts the runs under way.
-func (e *engines) working() int {
+// activeRuns returns the number of unfinished runs.
+func (e *fakeEngines) activeRuns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
 	for _, r := range e.runs {
-		if !r.whole.Load() && !r.stopped() {
+		if !r.complete.Load() && !r.stopped() {
 			n++
 		}
 	}
 	return n
 }
 
-// text is a body of fixed bytes.
-type text struct {
+// textBody is a response body with fixed content.
+type textBody struct {
 	s   string
 	err error
 }
 
-func (t *text) Read(p []byte) (int, error) {
+func (t *textBody) Read(p []byte) (int, error) {
 	if t.s == "" {
 		if t.err != nil {
 			return 0, t.err
@@ -222,26 +223,26 @@
 	return n, nil
 }
 
-func (t *text) Close() error { return nil }
+func (t *textBody) Close() error { return nil }
 
-// client records the answer that reaches the client.
+// client records the response that reaches the client.
 type client struct {
-	status int
-	body   string
-	begun  bool
-	ended  bool
-	broken bool
+	status  int
+	body    string
+	started bool
+	ended   bool
+	aborted bool
 }
 
-func (c *client) Begun() bool { return c.begun }
+func (c *client) Begun() bool { return c.started }
 
 func (c *client) Whole(status int, _ []call.Field, b []byte) error {
-	c.begun, c.ended, c.status, c.body = true, true, status, string(b)
+	c.started, c.ended, c.status, c.body = true, true, status, string(b)
 	return nil
 }
 
 func (c *client) Start(status int, _ []call.Field) error {
-	c.begun, c.status = true, status
+	c.started, c.status = true, status
 	return nil
 }
 
@@ -255,76 +256,76 @@
 	return nil
 }
 
-func (c *client) Abort() { c.broken = true }
-
-// world is a relay before its servers.
-type world struct {
-	t       *testing.T
-	engines *engines
-	table   *backs.Table
-	book    *routes.Book
-	budget  *purse
-	poison  *poison.Book
-	relay   *Relay
-	group   *errgroup.Group
-	ends    []*task.End
-	clock   func() awake.Instant
-	refresh func() error
+func (c *client) Abort() { c.aborted = true }
+
+// harness is a relay with fake backend servers.
+type harness struct {
+	t          *testing.T
+	engines    *fakeEngines
+	table      *backs.Table
+	settings   *routes.Book
+	budget     *fakeBudget
+	quarantine *poison.Book
+	relay      *Relay
+	group      *errgroup.Group
+	records    []*task.End
+	clock      func() awake.Instant
+	refresh    func() error
 }
 
-// purse is a budget with so many retries.
-type purse struct{ left int }
+// fakeBudget is a retry budget with a fixed number of retries.
+type fakeBudget struct{ remaining int }
 
-func (p *purse) Earn(ident.Service, time.Time) {}
+func (b *fakeBudget) Earn(ident.Service, time.Time) {}
 
-func (p *purse) Spend(ident.Service, time.Time) bool {
-	p.left--
-	return p.left >= 0
+func (b *fakeBudget) Spend(ident.Service, time.Time) bool {
+	b.remaining--
+	return b.remaining >= 0
 }
 
-func (w *world) Ended(e *task.End) { w.ends = append(w.ends, e) }
+func (h *harness) Ended(e *task.End) { h.records = append(h.records, e) }
 
-func (w *world) Refresh(context.Context, time.Duration) error {
-	if w.refresh == nil {
+func (h *harness) Refresh(context.Context, time.Duration) error {
+	if h.refresh == nil {
 		return errors.New("the store does not answer")
 	}
-	return w.refresh()
+	return h.refresh()
 }
 
-func newWorld(t *testing.T, servers int) *world {
-	w := &world{t: t, group: &errgroup.Group{}, budget: &purse{left: 100}}
+func newHarness(t *testing.T, servers int) *harness {
+	h := &harness{t: t, group: &errgroup.Group{}, budget: &fakeBudget{remaining: 100}}
 	start := time.Now()
-	w.clock = func() awake.Instant { return awake.Instant(time.Since(start) + time.Hour) }
-	w.engines = &engines{
-		step: 30 * time.Millisecond, events: 100, copyIn: 200 * time.Millisecond,
-		plain: make(map[ident.Server]func() (*port.Answer, error)), runs: make(map[string]*run),
-		ended: make(map[ident.Server]bool),
+	h.clock = func() awake.Instant { return awake.Instant(time.Since(start) + time.Hour) }
+	h.engines = &fakeEngines{
+		interval: 30 * time.Millisecond, events: 100, copyTime: 200 * time.Millisecond,
+		respond: make(map[ident.Server]func() (*port.Answer, error)), runs: make(map[string]*run),
+		terminated: make(map[ident.Server]bool),
 	}
-	w.table = backs.NewTable(func() {})
+	h.table = backs.NewTable(func() {})
 	for i := range servers {
-		w.table.Put(entry(i))
+		h.table.Put(serverEntry(i))
 	}
-	w.book = routes.NewBook(w.clock)
-	w.book.Put(snapshot(1), w.clock())
-	book, sound := seats.New(), health.New()
-	w.poison = poison.New(poison.Config{Crashes: 3, Time: time.Minute}, func(poison.Change) {})
-	chooser := pick.NewChooser(w.table, book, sound, rates.New(nil, nil))
+	h.settings = routes.NewBook(h.clock)
+	h.settings.Put(snapshot(1), h.clock())
+	reservations, health := seats.New(), health.New()
+	h.quarantine = poison.New(poison.Config{Crashes: 3, Time: time.Minute}, func(poison.Change) {})
+	chooser := pick.NewChooser(h.table, reservations, health, rates.New(nil, nil))
 	alone := func(ident.Service, time.Time) []hubs.Rank { return nil }
-	w.relay = New(task.Parts{
+	h.relay = New(task.Parts{
 		Config: task.Config{
 			Domain: "a",
 			Revoke: func() time.Duration { return 5 * time.Second },
 			Apply:  func() time.Duration { return 3 * time.Second },
 		},
-		Settings: w.book, Refresh: w, Servers: w.table,
-		Seats: book, Budget: w.budget, Health: sound, Rates: rates.New(nil, nil), Poison: w.poison, Backend: w.engines, Clock: w.clock,
-		Log: zap.NewNop(), Group: w.group, Count: w,
+		Settings: h.settings, Refresh: h, Servers: h.table,
+		Seats: reservations, Budget: h.budget, Health: health, Rates: rates.New(nil, nil), Poison: h.quarantine, Backend: h.engines, Clock: h.clock,
+		Log: zap.NewNop(), Group: h.group, Count: h,
 		Places: desk.New("vm", 0, chooser, homes.NewHome(chooser), alone, nil, func(string) {}, zap.NewNop()),
 	})
-	return w
+	return h
 }
 
-func entry(i int) backs.Entry {
+func serverEntry(i int) backs.Entry {
 	return backs.Entry{
 		ID: ident.Server(fmt.Sprintf("s%d", i)), Service: "engines", Domain: "a", Slots: 24,
 		Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)),
@@ -352,23 +353,24 @@
 	})
 }
 
-// serve takes one call to its end.
-func (w *world) serve(ctx context.Context, path string) (*client, *refuse.Refusal) {
+// serve serves one call and waits for its goroutines.
+func (h *harness) serve(ctx context.Context, path string) (*client, *refuse.Refusal) {
 	c := &client{}
-	r := w.relay.Serve(ctx, w.call(path), c)
-	_ = w.group.Wait()
+	r := h.relay.Serve(ctx, h.call(path), c)
+	_ = h.group.Wait()
 	return c, r
 }
 
-func (w *world) call(path string) *call.Call {
+func (h *harness) call(path string) *call.Call {
 	return &call.Call{
 		ID: "r", Method: "POST", Host: "h", Path: path, Target: path, Key: "key", Arrived: time.Now(),
-		Woken: w.clock(), Patience: 39 * time.Second, Prompt: &call.Prompt{Tokens: 3000, Limit: 900},
+		Woken: h.clock(), Patience: 39 * time.Second, Prompt: &call.Prompt{Tokens: 3000, Limit: 900},
 	}
 }
 
-// complete fails the test unless the client has each event once and in order.
-func complete(t *testing.T, c *client, r *refuse.Refusal, events int) {
+// assertComplete fails the test unless the client received each event once and in
+// order.
+func assertComplete(t *testing.T, c *client, r *refuse.Refusal, events int) {
 	t.Helper()
 	assert.Assert(t, r == nil, "%v", r)
 	want := ""
@@ -376,5 +378,5 @@
 		want += fmt.Sprintf("id: %d\ndata: x\n\n", i+1)
 	}
 	assert.Equal(t, c.body, want)
-	assert.Assert(t, c.ended && !c.broken)
+	assert.Assert(t, c.ended && !c.aborted)
 }
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -18,192 +18,209 @@
 )
 
 const (
-	// lookTime bounds the reading of newer settings for a call that those in
-	// force refuse.
-	lookTime = 400 * time.Millisecond
-	// lookAge is the age of settings up to which they refuse a call for good, so that
-	// not each such call has them read: a change has 2 s to come into force.
-	lookAge = 1300 * time.Millisecond
-	// staleMargin is kept from the bound on revoked keys: the clocks' rates and
-	// the time to answer are well inside it.
-	staleMargin = 300 * time.Millisecond
-	// behindMargin is kept from the bound on changes: VMs tell one another of a
-	// version twice a second, and some messages are lost.
-	behindMargin = 700 * time.Millisecond
-	// settingsRetry is when a call refused for missing or stale settings should
-	// come back: another VM is likely to know better.
-	settingsRetry = 200 * time.Millisecond
-	// stopRetry is when a call refused by a VM that stops should come back.
-	stopRetry = 20 * time.Millisecond
-	// tokenTime is what a token of a stream takes at most at an engine that is not
+	// refreshTimeout bounds the refresh of the settings for a call that the
+	// settings in force refuse.
+	refreshTimeout = 400 * time.Millisecond
+	// maxDenialAge is the age of the settings up to which a refusal based on them
+	// is final. It limits refreshes: a change has 2 s to come into force, so not
+	// every refused call needs one.
+	maxDenialAge = 1300 * time.Millisecond
+	// revokeMargin is subtracted from the time for which a revoked key may still be
+	// served. It covers clock drift and the time to respond.
+	revokeMargin = 300 * time.Millisecond
+	// applyMargin is subtracted from the time in which a change of the settings has
+	// to be in force: VMs announce versions to each other twice a second, and some
+	// messages are lost.
+	applyMargin = 700 * time.Millisecond
+	// settingsRetryAfter is the retry delay of calls refused for missing or stale
+	// settings: another VM is likely to have current ones.
+	settingsRetryAfter = 200 * time.Millisecond
+	// shutdownRetryAfter is the retry delay of calls refused by a VM that is
+	// shutting down.
+	shutdownRetryAfter = 20 * time.Millisecond
+	// maxTokenTime is the longest time per generated token at an engine that is not
 	// overloaded.
-	tokenTime = 10 * time.Millisecond
+	maxTokenTime = 10 * time.Millisecond
 )
 
-// Relay serves calls. It is safe for use by several goroutines.
+// Relay serves the calls of clients. It is safe for concurrent use.
 type Relay struct {
 	task.Parts
-	stop atomic.Int64 // when the VM ends, in Unix nanoseconds; zero: not stopping
+	shutdownAt atomic.Int64 // end of the VM in Unix nanoseconds; zero: not shutting down
 }
 
-// New makes a relay.
+// New returns a Relay with the given dependencies.
 func New(p task.Parts) *Relay { return &Relay{Parts: p} }
 
-// Stop makes the relay refuse what would not be served whole by end.
-func (r *Relay) Stop(end time.Time) { r.stop.Store(end.UnixNano()) }
+// Drain makes the relay refuse calls that are not expected to complete by end,
+// the time at which the VM shuts down.
+func (r *Relay) Stop(end time.Time) { r.shutdownAt.Store(end.UnixNano()) }
 
-// stopping refuses a call that would be cut off by the end of this VM. Another
-// VM can serve it: it has not run.
-func (t *entrant) stopping() *refuse.Refusal {
-	ns := t.relay.stop.Load()
+// checkShutdown refuses a call that the shutdown of this VM would interrupt. The
+// call has not run, so another VM can serve it.
+func (a *admission) checkShutdown() *refuse.Refusal {
+	ns := a.relay.shutdownAt.Load()
 	if ns == 0 {
 		return nil
 	}
-	left := time.Until(time.Unix(0, ns))
-	need := t.Route.Target
-	if p := t.Call.Prompt; p != nil {
-		need += time.Duration(p.Limit) * tokenTime
+	remaining := time.Until(time.Unix(0, ns))
+	needed := a.Route.Target
+	if p := a.Call.Prompt; p != nil {
+		needed += time.Duration(p.Limit) * maxTokenTime
 	}
-	if need < left {
+	if needed < remaining {
 		return nil
 	}
-	return refuse.New(refuse.VMStopping, "this VM ends in %s, and the call may take %s", left.Round(time.Millisecond), need).After(stopRetry)
+	return refuse.New(refuse.VMStopping, "this VM ends in %s, and the call may take %s", remaining.Round(time.Millisecond), needed).After(shutdownRetryAfter)
 }
 
-// entrant is one call that is being let in.
-type entrant struct {
+// admission resolves and serves one call.
+type admission struct {
 	*task.Task
 	relay *Relay
 }
 
-// Serve takes the call to its end. It returns a refusal that is still to be
-// written, or nil if the answer was written or broken off.
+// Serve serves the call c and writes the response to w. It returns the refusal to
+// write to the client, or nil if a response was written, even in part.
 func (r *Relay) Serve(ctx context.Context, c *call.Call, w port.Reply) *refuse.Refusal {
-	t := &entrant{relay: r, Task: &task.Task{Parts: r.Parts, Call: c, Reply: w, Record: task.End{Call: c}}}
-	refusal := t.admit(ctx)
+	a := &admission{relay: r, Task: &task.Task{Parts: r.Parts, Call: c, Reply: w, Record: task.End{Call: c}}}
+	refusal := a.admit(ctx)
 	if refusal == nil {
-		refusal = t.run(ctx)
+		refusal = a.serve(ctx)
 	}
-	t.finish(refusal)
+	a.recordEnd(refusal)
 	if w.Begun() {
 		return nil
 	}
 	return refusal
 }
 
-func (t *entrant) run(ctx context.Context) *refuse.Refusal {
-	ctx, cancel := context.WithDeadlineCause(ctx, t.End, task.ErrTimeout)
+// serve sends the admitted call to a backend server.
+func (a *admission) serve(ctx context.Context) *refuse.Refusal {
+	ctx, cancel := context.WithDeadlineCause(ctx, a.End, task.ErrTimeout)
 	defer cancel()
-	t.Budget.Earn(t.Service.Name, time.Now())
-	if t.Route.Kind == call.Stream {
-		return stream.Serve(ctx, t.Task)
+	a.Budget.Earn(a.Service.Name, time.Now())
+	if a.Route.Kind == call.Stream {
+		return stream.Serve(ctx, a.Task)
 	}
-	return whole.Serve(ctx, t.Task)
+	return whole.Serve(ctx, a.Task)
 }
 
-func (t *entrant) finish(r *refuse.Refusal) {
-	t.Record.Refusal = r
-	if r != nil && !t.Reply.Begun() {
-		r.Request = t.Call.ID
-		t.Record.Status = r.Reason.Status()
+// recordEnd completes the call's record and reports it to the counter. For a
+// refused call it also writes the log lines that were withheld.
+func (a *admission) recordEnd(r *refuse.Refusal) {
+	a.Record.Refusal = r
+	if r != nil && !a.Reply.Begun() {
+		r.Request = a.Call.ID
+		a.Record.Status = r.Reason.Status()
 	}
-	t.Record.Route = t.Route
-	t.Record.Total = time.Since(t.Call.Arrived)
+	a.Record.Route = a.Route
+	a.Record.Total = time.Since(a.Call.Arrived)
 	if r != nil {
-		t.Tell()
+		a.Tell()
 	}
-	t.Count.Ended(&t.Record)
+	a.Count.Ended(&a.Record)
 }
 
-// admit finds the route, the workspace and the service in one snapshot.
-func (t *entrant) admit(ctx context.Context) *refuse.Refusal {
-	refusal := t.find()
-	for n := 0; n < 2 && refusal != nil && unsure(refusal) && t.older(); n++ {
-		// A refusal for good must not come from settings older than the call.
-		if err := t.Refresh.Refresh(ctx, lookTime); err != nil {
-			t.Log.Info("settings not read anew", zap.String("request", string(t.Call.ID)), zap.Error(err))
+// admit resolves the call's route, workspace and service. If the settings in
+// force refuse the call and are too old for that to be final, it refreshes them
+// and tries again.
+func (a *admission) admit(ctx context.Context) *refuse.Refusal {
+	refusal := a.resolve()
+	for n := 0; n < 2 && refusal != nil && dependsOnSettings(refusal) && a.settingsOutdated(); n++ {
+		// Settings older than the call must not cause a final refusal.
+		if err := a.Refresh.Refresh(ctx, refreshTimeout); err != nil {
+			a.Log.Info("settings not read anew", zap.String("request", string(a.Call.ID)), zap.Error(err))
 			break
 		}
-		refusal = t.find()
+		refusal = a.resolve()
 	}
-	if refusal != nil && unsure(refusal) && t.older() {
+	if refusal != nil && dependsOnSettings(refusal) && a.settingsOutdated() {
 		return refuse.New(refuse.SettingsStale, "%s, by settings known to be the newest %s ago",
-			refusal.Detail, t.Settings.Age().Round(time.Millisecond)).After(settingsRetry)
+			refusal.Detail, a.Settings.Age().Round(time.Millisecond)).After(settingsRetryAfter)
 	}
 	return refusal
 }
 
-// unsure reports whether newer settings could allow what r refuses.
-func unsure(r *refuse.Refusal) bool {
+// dependsOnSettings reports whether newer settings could allow the call that r
+// refuses.
+func dependsOnSettings(r *refuse.Refusal) bool {
 	return r.Reason == refuse.NotFound || r.Reason == refuse.WrongKey
 }
 
-// older reports whether the settings may be older than the call by more than
-// the time in which a change need not be in force yet.
-func (t *entrant) older() bool { return t.Settings.Fresh().Add(lookAge) < t.Call.Woken }
+// settingsOutdated reports whether the settings were last known to be the newest
+// more than maxDenialAge before the call arrived.
+func (a *admission) settingsOutdated() bool {
+	return a.Settings.Fresh().Add(maxDenialAge) < a.Call.Woken
+}
 
-func (t *entrant) find() *refuse.Refusal {
-	fresh := t.Settings.Fresh()
-	snap := t.Settings.Load()
+// resolve looks up the call's route, workspace and service in one snapshot of the
+// settings and sets its deadline.
+func (a *admission) resolve() *refuse.Refusal {
+	fresh := a.Settings.Fresh()
+	snap := a.Settings.Load()
 	if snap == nil {
-		return refuse.New(refuse.SettingsMissing, "no settings have reached this VM").After(settingsRetry)
+		return refuse.New(refuse.SettingsMissing, "no settings have reached this VM").After(settingsRetryAfter)
 	}
-	if refusal := t.superseded(snap); refusal != nil {
+	if refusal := a.checkSuperseded(snap); refusal != nil {
 		return refusal
 	}
-	age := t.Clock().Sub(fresh)
-	t.Record.Version, t.Record.Age = snap.Version, age
-	route := snap.Find(t.Call.Host, t.Call.Path)
+	age := a.Clock().Sub(fresh)
+	a.Record.Version, a.Record.Age = snap.Version, age
+	route := snap.Find(a.Call.Host, a.Call.Path)
 	if route == nil {
-		return refuse.New(refuse.NotFound, "no route leads to %.100q at host %.60q", t.Call.Path, t.Call.Host)
+		return refuse.New(refuse.NotFound, "no route leads to %.100q at host %.60q", a.Call.Path, a.Call.Host)
 	}
-	t.Route = route
-	if refusal := t.open(snap, age); refusal != nil {
+	a.Route = route
+	if refusal := a.authenticate(snap, age); refusal != nil {
 		return refusal
 	}
-	t.Record.Fingerprint = t.Call.Fingerprint(t.Workspace)
+	a.Record.Fingerprint = a.Call.Fingerprint(a.Workspace)
 	name := route.Pick(rand.Float64())
-	if t.Service = snap.Service(name); t.Service == nil {
+	if a.Service = snap.Service(name); a.Service == nil {
 		return refuse.New(refuse.NoServer, "route %s leads to service %s, which the settings do not define", route.Name, name).After(task.RoomRetry)
 	}
-	t.Record.Service = name
-	if refusal := t.stopping(); refusal != nil {
+	a.Record.Service = name
+	if refusal := a.checkShutdown(); refusal != nil {
 		return refusal
 	}
-	if refusal := t.Quarantined(); refusal != nil {
+	if refusal := a.Quarantined(); refusal != nil {
 		return refusal
 	}
-	t.End = t.Call.Arrived.Add(route.Timeout)
-	if p := t.Call.Patience; p > 0 && p < route.Timeout {
-		t.End = t.Call.Arrived.Add(p)
+	a.End = a.Call.Arrived.Add(route.Timeout)
+	if p := a.Call.Patience; p > 0 && p < route.Timeout {
+		a.End = a.Call.Arrived.Add(p)
 	}
 	return nil
 }
 
-// superseded refuses what would be served by settings that are known to be old. A
-// VM that can't get newer ones must not go on by those that it has.
-func (t *entrant) superseded(snap *routes.Snapshot) *refuse.Refusal {
-	behind := t.Settings.Behind()
-	if behind <= t.Config.Apply()-behindMargin {
+// checkSuperseded refuses calls once a newer version of the settings has been
+// known for too long. A VM that cannot fetch it must not keep serving by the
+// version that it has.
+func (a *admission) checkSuperseded(snap *routes.Snapshot) *refuse.Refusal {
+	behind := a.Settings.Behind()
+	if behind <= a.Config.Apply()-applyMargin {
 		return nil
 	}
 	return refuse.New(refuse.SettingsStale, "version %d of the settings has been known for %s, and this VM has version %d only",
-		t.Settings.Known(), behind.Round(time.Millisecond), snap.Version).After(settingsRetry)
+		a.Settings.Known(), behind.Round(time.Millisecond), snap.Version).After(settingsRetryAfter)
 }
 
-// open checks the API key.
-func (t *entrant) open(snap *routes.Snapshot, age time.Duration) *refuse.Refusal {
-	if !snap.Keyed(t.Route) {
+// authenticate checks the API key, if the route requires one, and sets the call's
+// workspace. It refuses the call if the settings are too old to tell whether the
+// key was revoked.
+func (a *admission) authenticate(snap *routes.Snapshot, age time.Duration) *refuse.Refusal {
+	if !snap.Keyed(a.Route) {
 		return nil
 	}
-	if bound := t.Config.Revoke(); age > bound-staleMargin {
+	if bound := a.Config.Revoke(); age > bound-revokeMargin {
 		return refuse.New(refuse.SettingsStale, "the settings were known to be the newest %s ago, and keys may be served for %s",
-			age.Round(time.Millisecond), bound).After(settingsRetry)
+			age.Round(time.Millisecond), bound).After(settingsRetryAfter)
 	}
-	holder := snap.Holder(t.Call.Key)
-	if holder == nil {
+	workspace := snap.Holder(a.Call.Key)
+	if workspace == nil {
 		return refuse.New(refuse.WrongKey, "no workspace holds the API key of the call, by settings of version %d", snap.Version)
 	}
-	t.Workspace = holder.Name
+	a.Workspace = workspace.Name
 	return nil
 }
--- a/internal/route/relay/stream_test.go
+++ b/internal/route/relay/stream_test.go
@@ -13,154 +13,155 @@
 	"umberladder/internal/test/check"
 )
 
-// holder returns the server that runs the call now.
-func (w *world) holder() ident.Server {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
-	for _, r := range w.engines.runs {
-		if !r.whole.Load() && !r.stopped() {
+// runningServer returns the server that currently runs the call.
+func (h *harness) runningServer() ident.Server {
+	h.engines.mu.Lock()
+	defer h.engines.mu.Unlock()
+	for _, r := range h.engines.runs {
+		if !r.complete.Load() && !r.stopped() {
 			return r.server.ID
 		}
 	}
 	return ""
 }
 
-// later runs f in the bubble after d.
-func later(d time.Duration, f func()) {
+// after runs f in the synctest bubble after d.
+func after(d time.Duration, f func()) {
 	time.AfterFunc(d, f)
 }
 
-// leaves marks the server that runs the call as leaving.
-func (w *world) leaves() {
-	id := w.holder()
-	e := w.table.View().Server(id).Entry
+// retireRunningServer marks the server that currently runs the call as retired.
+func (h *harness) retireRunningServer() {
+	id := h.runningServer()
+	e := h.table.View().Server(id).Entry
 	e.Leaving = true
-	w.table.Put(e)
+	h.table.Put(e)
 }
 
 func TestStream(t *testing.T) {
 	for name, tc := range map[string]struct {
-		servers int
-		path    string
-		trouble func(w *world)
-		moves   int
-		maxGap  time.Duration
+		servers    int
+		path       string
+		fault      func(h *harness)
+		migrations int
+		maxGap     time.Duration
 	}{
-		"calm": {servers: 3, path: "/long/x", trouble: func(*world) {}, maxGap: 40 * time.Millisecond},
+		"calm": {servers: 3, path: "/long/x", fault: func(*harness) {}, maxGap: 40 * time.Millisecond},
 		"the engine leaves": {
-			servers: 4, path: "/long/x", moves: 1, maxGap: 100 * time.Millisecond,
-			trouble: func(w *world) { later(2*time.Second, w.leaves) },
+			servers: 4, path: "/long/x", migrations: 1, maxGap: 100 * time.Millisecond,
+			fault: func(h *harness) { after(2*time.Second, h.retireRunningServer) },
 		},
 		"the engine leaves before the backup is there": {
-			servers: 4, path: "/long/x", moves: 1, maxGap: 100 * time.Millisecond,
-			trouble: func(w *world) { later(100*time.Millisecond, w.leaves) },
+			servers: 4, path: "/long/x", migrations: 1, maxGap: 100 * time.Millisecond,
+			fault: func(h *harness) { after(100*time.Millisecond, h.retireRunningServer) },
 		},
 		"two engines leave one after the other": {
-			servers: 5, path: "/long/x", moves: 2, maxGap: 100 * time.Millisecond,
-			trouble: func(w *world) {
-				later(1200*time.Millisecond, w.leaves)
-				later(2500*time.Millisecond, w.leaves)
+			servers: 5, path: "/long/x", migrations: 2, maxGap: 100 * time.Millisecond,
+			fault: func(h *harness) {
+				after(1200*time.Millisecond, h.retireRunningServer)
+				after(2500*time.Millisecond, h.retireRunningServer)
 			},
 		},
 		"the engine crashes": {
-			servers: 4, path: "/long/x", moves: 1, maxGap: 200 * time.Millisecond,
-			trouble: func(w *world) { later(2*time.Second, func() { w.engines.crash(w.holder()) }) },
+			servers: 4, path: "/long/x", migrations: 1, maxGap: 200 * time.Millisecond,
+			fault: func(h *harness) { after(2*time.Second, func() { h.engines.crash(h.runningServer()) }) },
 		},
 		"a resumable stream breaks off": {
 			servers: 3, path: "/short/x", maxGap: 100 * time.Millisecond,
-			trouble: func(w *world) { later(time.Second, func() { w.engines.crash(w.holder()) }) },
+			fault: func(h *harness) { after(time.Second, func() { h.engines.crash(h.runningServer()) }) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, tc.servers)
-				tc.trouble(w)
-				c, r := w.serve(t.Context(), tc.path)
-				complete(t, c, r, w.engines.events)
-				end := w.ends[0]
-				assert.Equal(t, end.Moves, tc.moves)
-				assert.Assert(t, end.Gap <= tc.maxGap, "a pause of %s", end.Gap)
-				assert.Equal(t, w.engines.working(), 0, "an engine still works on the call")
+				h := newHarness(t, tc.servers)
+				tc.fault(h)
+				c, r := h.serve(t.Context(), tc.path)
+				assertComplete(t, c, r, h.engines.events)
+				end := h.records[0]
+				assert.Equal(t, end.Moves, tc.migrations)
+				assert.Assert(t, end.Gap <= tc.maxGap, "longest gap %s", end.Gap)
+				assert.Equal(t, h.engines.activeRuns(), 0, "an engine is still running the call")
 			})
 		})
 	}
 }
 
-// TestStreamWithoutGuard has no second engine at the start, so that a stream
-// of a leaving engine is moved by an order, or ends before the order does.
-func TestStreamWithoutGuard(t *testing.T) {
+// TestStreamWithoutBackup starts with a single engine, so the stream has no backup
+// when its engine retires. Its KV cache must be copied to the engine that was added
+// meanwhile, unless the run ends first.
+func TestStreamWithoutBackup(t *testing.T) {
 	for name, tc := range map[string]struct {
-		leaves time.Duration
-		moves  int
+		retireAfter time.Duration
+		migrations  int
 	}{
-		"moved":                                  {leaves: 2 * time.Second, moves: 1},
-		"the run ends while it is copied":        {leaves: 2900 * time.Millisecond},
-		"the run ends as it would be stopped":    {leaves: 2795 * time.Millisecond},
-		"no event yet when the engine leaves":    {leaves: 10 * time.Millisecond, moves: 1},
-		"the engine leaves with the first event": {leaves: 30 * time.Millisecond, moves: 1},
+		"moved":                                  {retireAfter: 2 * time.Second, migrations: 1},
+		"the run ends while it is copied":        {retireAfter: 2900 * time.Millisecond},
+		"the run ends as it would be stopped":    {retireAfter: 2795 * time.Millisecond},
+		"no event yet when the engine leaves":    {retireAfter: 10 * time.Millisecond, migrations: 1},
+		"the engine leaves with the first event": {retireAfter: 30 * time.Millisecond, migrations: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 1)
-				later(tc.leaves-time.Millisecond, func() { w.table.Put(entry(1)) })
-				later(tc.leaves, w.leaves)
-				c, r := w.serve(t.Context(), "/long/x")
-				complete(t, c, r, w.engines.events)
-				assert.Equal(t, w.ends[0].Moves, tc.moves)
+				h := newHarness(t, 1)
+				after(tc.retireAfter-time.Millisecond, func() { h.table.Put(serverEntry(1)) })
+				after(tc.retireAfter, h.retireRunningServer)
+				c, r := h.serve(t.Context(), "/long/x")
+				assertComplete(t, c, r, h.engines.events)
+				assert.Equal(t, h.records[0].Moves, tc.migrations)
 			})
 		})
 	}
 }
 
-// TestLateCopy has engines whose copies are at their guards a second after the
-// first event: a stream of an engine that leaves before must not be cut off.
+// TestLateCopy has copies that reach the backup one second after the first event. A
+// stream whose engine retires before that must not be interrupted.
 func TestLateCopy(t *testing.T) {
-	for _, leaves := range []time.Duration{300 * time.Millisecond, 850 * time.Millisecond, 1200 * time.Millisecond} {
+	for _, retireAfter := range []time.Duration{300 * time.Millisecond, 850 * time.Millisecond, 1200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 4)
-			w.engines.lag = time.Second
-			later(leaves, w.leaves)
-			c, r := w.serve(t.Context(), "/long/x")
-			complete(t, c, r, w.engines.events)
-			assert.Equal(t, w.ends[0].Moves, 1)
+			h := newHarness(t, 4)
+			h.engines.copyLag = time.Second
+			after(retireAfter, h.retireRunningServer)
+			c, r := h.serve(t.Context(), "/long/x")
+			assertComplete(t, c, r, h.engines.events)
+			assert.Equal(t, h.records[0].Moves, 1)
 		})
 	}
 }
 
-// TestStreamWithoutBudget has a leaving engine and nothing left to send a call
-// once more with: the stream stays, and ends where it began.
+// TestStreamWithoutBudget retires an engine while the retry budget is used up. The
+// stream must stay on that engine and complete there.
 func TestStreamWithoutBudget(t *testing.T) {
 	for _, servers := range []int{2, 4} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, servers)
-			w.budget.left = 0
-			later(2*time.Second, w.leaves)
-			c, r := w.serve(t.Context(), "/long/x")
-			complete(t, c, r, w.engines.events)
-			assert.Equal(t, w.ends[0].Moves, 0)
+			h := newHarness(t, servers)
+			h.budget.remaining = 0
+			after(2*time.Second, h.retireRunningServer)
+			c, r := h.serve(t.Context(), "/long/x")
+			assertComplete(t, c, r, h.engines.events)
+			assert.Equal(t, h.records[0].Moves, 0)
 		})
 	}
 }
 
 func TestStreamLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		later(2*time.Second, func() { w.engines.crash("s0") })
-		c, r := w.serve(t.Context(), "/long/x")
-		assert.Assert(t, r == nil, "a stream that has begun gets no second answer")
-		assert.Assert(t, c.broken && !c.ended, "what broke off must not look whole")
-		check.Refusal(t, w.ends[0].Refusal, refuse.ServerDied, refuse.RanPartial)
+		h := newHarness(t, 1)
+		after(2*time.Second, func() { h.engines.crash("s0") })
+		c, r := h.serve(t.Context(), "/long/x")
+		assert.Assert(t, r == nil, "a started stream must not get a second response")
+		assert.Assert(t, c.aborted && !c.ended, "an interrupted response must not look complete")
+		check.Refusal(t, h.records[0].Refusal, refuse.ServerDied, refuse.RanPartial)
 	})
 }
 
 func TestClientLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		h := newHarness(t, 3)
 		ctx, cancel := context.WithCancel(t.Context())
-		later(time.Second, cancel)
-		_, _ = w.serve(ctx, "/long/x")
-		assert.Equal(t, w.engines.working(), 0, "the engine works on for a client that left")
-		assert.Assert(t, w.ends[0].Total < 1100*time.Millisecond)
+		after(time.Second, cancel)
+		_, _ = h.serve(ctx, "/long/x")
+		assert.Equal(t, h.engines.activeRuns(), 0, "the engine still runs the call of a disconnected client")
+		assert.Assert(t, h.records[0].Total < 1100*time.Millisecond)
 	})
 }
 
@@ -176,61 +177,61 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 3)
-				w.relay.Stop(time.Now().Add(tc.left))
-				c, r := w.serve(t.Context(), tc.path)
+				h := newHarness(t, 3)
+				h.relay.Stop(time.Now().Add(tc.left))
+				c, r := h.serve(t.Context(), tc.path)
 				if tc.served {
-					complete(t, c, r, w.engines.events)
+					assertComplete(t, c, r, h.engines.events)
 					return
 				}
 				check.Refusal(t, r, refuse.VMStopping, refuse.RanNo)
-				assert.Equal(t, len(w.engines.starts), 0)
+				assert.Equal(t, len(h.engines.started), 0)
 			})
 		})
 	}
 }
 
-func TestRoom(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		w.relay.Seats.Take("s0", w.full())
+		h := newHarness(t, 1)
+		h.relay.Seats.Take("s0", h.fullLoad())
 		start := time.Now()
-		_, r := w.serve(t.Context(), "/long/x")
+		_, r := h.serve(t.Context(), "/long/x")
 		check.Refusal(t, r, refuse.NoRoom, refuse.RanNo)
 		assert.Assert(t, r.RetryAfter > 0)
-		assert.Assert(t, time.Since(start) <= 900*time.Millisecond, "held for %s", time.Since(start))
+		assert.Assert(t, time.Since(start) <= 900*time.Millisecond, "waited for %s", time.Since(start))
 	})
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		seat := w.relay.Seats.Take("s0", w.full())
-		later(300*time.Millisecond, seat.Release)
-		c, r := w.serve(t.Context(), "/long/x")
-		complete(t, c, r, w.engines.events)
+		h := newHarness(t, 1)
+		seat := h.relay.Seats.Take("s0", h.fullLoad())
+		after(300*time.Millisecond, seat.Release)
+		c, r := h.serve(t.Context(), "/long/x")
+		assertComplete(t, c, r, h.engines.events)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		call := w.call("/long/x")
+		h := newHarness(t, 1)
+		call := h.call("/long/x")
 		call.Prompt.Tokens = 40_000
 		start := time.Now()
-		r := w.relay.Serve(t.Context(), call, &client{})
+		r := h.relay.Serve(t.Context(), call, &client{})
 		check.Refusal(t, r, refuse.TooLarge, refuse.RanNo)
-		assert.Equal(t, r.RetryAfter, time.Duration(0), "coming back does not help")
-		assert.Equal(t, time.Since(start), time.Duration(0), "what no engine can hold is refused at once")
+		assert.Equal(t, r.RetryAfter, time.Duration(0), "a retry cannot succeed")
+		assert.Equal(t, time.Since(start), time.Duration(0), "a prompt too large for any engine must be refused immediately")
 	})
 }
 
-// TestLeftInMove replays a client that leaves during the last copy of a move: what
-// the move took at the other engine is given back.
-func TestLeftInMove(t *testing.T) {
+// TestClientLeavesDuringMigration disconnects the client during the last copy of a
+// migration. The reservation at the other engine must be released.
+func TestClientLeavesDuringMigration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4)
-		w.engines.copyIn = delta // the first copy meets no queue, so that the last one follows
+		h := newHarness(t, 4)
+		h.engines.copyTime = deltaCopyTime // as fast as a copy without a queue, so that the last copy follows directly
 		ctx, cancel := context.WithCancel(t.Context())
-		const notice = 100 * time.Millisecond // before the backup is there
-		later(notice, w.leaves)
-		later(notice+delta+delta/2, cancel)
-		c, _ := w.serve(ctx, "/long/x")
+		const retireAfter = 100 * time.Millisecond // before the backup has its copy
+		after(retireAfter, h.retireRunningServer)
+		after(retireAfter+deltaCopyTime+deltaCopyTime/2, cancel)
+		c, _ := h.serve(ctx, "/long/x")
 		assert.Assert(t, !c.ended)
-		assert.Equal(t, len(w.relay.Seats.All(time.Now())), 0, "%v", w.relay.Seats.All(time.Now()))
+		assert.Equal(t, len(h.relay.Seats.All(time.Now())), 0, "%v", h.relay.Seats.All(time.Now()))
 	})
 }
