--- a/internal/route/events/leg_test.go
+++ b/internal/route/events/conn_test.go
@@ -10,22 +10,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEnd reads many streams to their end: once there are no more events, the
-// reason must be known.
+// TestEnd reads many streams to their end. When the channel of events is closed, Done
+// must be closed too and Err must be set.
 func TestEnd(t *testing.T) {
 	for range 2000 {
 		var g errgroup.Group
-		l := New(&g, io.NopCloser(strings.NewReader("id: 1\ndata: x\n\nid: 2\nda")), true)
+		c := New(&g, io.NopCloser(strings.NewReader("id: 1\ndata: x\n\nid: 2\nda")), true)
 		got := ""
-		for p := range l.Events() {
+		for p := range c.Events() {
 			got += string(p)
 		}
 		select {
-		case <-l.Done():
+		case <-c.Done():
 		default:
-			t.Fatal("no more events, and no reason")
+			t.Fatal("events is closed, but done is not")
 		}
-		assert.Assert(t, errors.Is(l.Err(), io.EOF))
+		assert.Assert(t, errors.Is(c.Err(), io.EOF))
 		assert.Equal(t, got, "id: 1\ndata: x\n\nid: 2\nda")
 		_ = g.Wait()
 	}
--- a/internal/route/events/doc.go
+++ b/internal/route/events/doc.go
@@ -1,5 +1,6 @@
-// Package events reads the events of a stream that comes from a backend server.
+// Package events reads the server-sent events of a stream from a backend server.
 //
-// It passes whole events on, byte for byte: what is left of an event that
-// breaks off is dropped, so that the stream can go on from another server.
+// It delivers complete events, byte for byte. If the connection breaks, an
+// incomplete event at its end is dropped, so that the stream can continue from
+// another server.
 package events
--- a/internal/route/stream/depart.go
+++ b/internal/route/stream/depart.go
@@ -19,173 +19,184 @@
 )
 
 const (
-	// moveTries is how many engines are asked to take a copy.
-	moveTries = 3
-	// moveWait is how long a run whose engine leaves waits for its turn on the
-	// engine's link and for room elsewhere. One whose engine ends waits no more.
-	moveWait = 2 * time.Second
-	// tailTime is how long the last events of a stopped run may take to come.
-	tailTime = 250 * time.Millisecond
+	// migrationTries is the maximum number of engines to which a migration is
+	// attempted.
+	migrationTries = 3
+	// migrationWait is how long a run on a retired engine waits for the engine's link
+	// and for capacity on another engine. A run whose engine has failed does not
+	// wait.
+	migrationWait = 2 * time.Second
+	// remainderTimeout is how long the last events of a stopped run may take to
+	// arrive.
+	remainderTimeout = 250 * time.Millisecond
 )
 
-// departure is a run that was stopped and can go on at another engine.
-type departure struct {
-	to     *backs.Server
-	backup *backs.Server // of the run that goes on; nil: none
-	seat   *seats.Seat
-	copy   port.Copy
-	err    error
+// migration is the result of copying a run's KV cache to another engine, after which
+// the run was stopped.
+type migration struct {
+	to          *backs.Server
+	backup      *backs.Server // backup engine of the continued run; nil: none
+	reservation *seats.Seat
+	copy        port.Copy
+	err         error
 }
 
-// depart moves the stream away from an engine that is leaving, while it goes on.
-func (f *flight) depart(ctx context.Context) <-chan departure {
-	if !f.movable() {
+// startMigration starts to migrate the stream from a retired engine in the
+// background, while the stream continues there. It returns nil if the stream cannot
+// migrate.
+func (f *forwarder) startMigration(ctx context.Context) <-chan migration {
+	if !f.canMigrate() {
 		return nil
 	}
-	done := make(chan departure)
+	result := make(chan migration)
 	from := f.server
-	f.stopping = true
-	moving, cancel := context.WithCancel(ctx)
-	f.stay = cancel
+	f.stopRequested = true
+	migrateCtx, cancel := context.WithCancel(ctx)
+	f.cancelMigration = cancel
 	f.Group.Go(func() error {
 		defer cancel()
-		d := f.move(moving, from)
+		m := f.migrate(migrateCtx, from)
 		select {
-		case done <- d:
+		case result <- m:
 		case <-ctx.Done():
-			// The call has ended, and nobody goes on where the move has led.
-			d.seat.Release()
+			// The call has ended, so the run is not continued at the other engine.
+			m.reservation.Release()
 		}
 		return nil
 	})
-	return done
+	return result
 }
 
-// move copies the cache while the run goes on, and then stops it and copies
-// what is new.
-func (f *flight) move(ctx context.Context, from *backs.Server) departure {
-	w := f.want(pick.Move, from.Domain, []ident.Server{from.ID})
-	w.Backup = f.guardable()
-	w.Source = from.ID
-	w.Wait = moveWait
+// migrate copies the KV cache to another engine while the run continues, then stops
+// the run and copies what was added since.
+func (f *forwarder) migrate(ctx context.Context, from *backs.Server) migration {
+	req := f.placementRequest(pick.Move, from.Domain, []ident.Server{from.ID})
+	req.Backup = f.canBackUp()
+	req.Source = from.ID
+	req.Wait = migrationWait
 	var err error
-	for range moveTries {
-		var spot pick.Spot
-		if spot, err = f.Places.Place(ctx, w); err != nil {
+	for range migrationTries {
+		var placement pick.Spot
+		if placement, err = f.Places.Place(ctx, req); err != nil {
 			break
 		}
-		to := spot.Server
-		w.Skip = append(w.Skip, to.ID)
-		l := f.load(false)
-		l.Copies = 1
-		seat := f.Seats.Take(to.ID, l)
-		link := f.Seats.Take(from.ID, seats.Load{Sends: 1})
-		var m port.Moved
-		m, err = f.mover.Move(ctx, from, to, f.pay)
-		link.Release()
+		to := placement.Server
+		req.Skip = append(req.Skip, to.ID)
+		load := f.load(false)
+		load.Copies = 1
+		reservation := f.Seats.Take(to.ID, load)
+		linkReservation := f.Seats.Take(from.ID, seats.Load{Sends: 1})
+		var moved port.Moved
+		moved, err = f.migrator.Move(ctx, from, to, f.spendRetry)
+		linkReservation.Release()
 		if err == nil {
-			seat.Resize(f.load(false))
-			return departure{to: to, backup: spot.Backup, seat: seat, copy: port.Copy{At: from.Addr, ID: m.Handle}}
+			reservation.Resize(f.load(false))
+			return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.Copy{At: from.Addr, ID: moved.Handle}}
 		}
-		seat.Release()
+		reservation.Release()
 		f.Note("copy failed", zap.String("from", string(from.ID)), zap.String("to", string(to.ID)), zap.Error(err))
 		if errors.Is(err, port.ErrNoRun) || ctx.Err() != nil {
 			break
 		}
 	}
-	return departure{err: err}
+	return migration{err: err}
 }
 
-// pay takes the sending that goes on elsewhere out of the budget. It comes
-// before the run is stopped: a stream that can't go on stays where it is.
-func (f *flight) pay() bool { return f.Budget.Spend(f.Service.Name, time.Now()) }
+// spendRetry takes one retry from the budget for continuing the stream at another
+// engine. It is called before the run is stopped, so that a stream for which the
+// budget has no retry stays where it is.
+func (f *forwarder) spendRetry() bool { return f.Budget.Spend(f.Service.Name, time.Now()) }
 
-// hop goes on at the guard; it has been paid for. The copy is there already, so
-// the stream stands still for the change alone.
-func (f *flight) hop(ctx context.Context) *refuse.Refusal {
-	g := f.guard
-	f.stopping = true
-	f.tail(ctx, 0)
-	if f.ended() {
+// switchToBackup continues the stream at the backup engine, which already has the KV
+// cache, so the stream pauses only for the switch. The retry budget must already have
+// been charged.
+func (f *forwarder) switchToBackup(ctx context.Context) *refuse.Refusal {
+	b := f.backup
+	f.stopRequested = true
+	f.forwardRemaining(ctx, 0)
+	if f.isComplete() {
 		return nil
 	}
-	f.leg.Close()
-	f.mover.Stop(ctx, f.server, g.at)
-	g.seat.Resize(f.load(false))
-	f.guard = nil
-	return f.follow(ctx, departure{to: g.at, seat: g.seat, copy: g.copy(f.Call.ID)})
+	f.conn.Close()
+	f.migrator.Stop(ctx, f.server, b.engine)
+	b.reservation.Resize(f.load(false))
+	f.backup = nil
+	return f.continueAt(ctx, migration{to: b.engine, reservation: b.reservation, copy: b.portCopy(f.Call.ID)})
 }
 
-// rescue stops a run whose connection broke and copies its cache, if its
-// engine still lives.
-func (f *flight) rescue(ctx context.Context) departure {
-	if !f.movable() {
-		return departure{err: errors.New("nothing is kept of the run")}
+// recoverRun stops a run whose connection broke and copies its KV cache to another
+// engine, if its engine is still reachable.
+func (f *forwarder) recoverRun(ctx context.Context) migration {
+	if !f.canMigrate() {
+		return migration{err: errors.New("the stream cannot migrate")}
 	}
-	w := f.want(pick.Move, f.server.Domain, []ident.Server{f.server.ID})
-	w.Backup = f.guardable()
-	spot, err := f.Places.Place(ctx, w)
+	req := f.placementRequest(pick.Move, f.server.Domain, []ident.Server{f.server.ID})
+	req.Backup = f.canBackUp()
+	placement, err := f.Places.Place(ctx, req)
 	if err != nil {
-		return departure{err: err}
+		return migration{err: err}
 	}
-	to := spot.Server
-	if !f.pay() {
-		return departure{err: mover.ErrUnpaid}
+	to := placement.Server
+	if !f.spendRetry() {
+		return migration{err: mover.ErrUnpaid}
 	}
-	seat := f.Seats.Take(to.ID, f.load(false))
-	m, err := f.mover.Rescue(ctx, f.server, to)
+	reservation := f.Seats.Take(to.ID, f.load(false))
+	moved, err := f.migrator.Rescue(ctx, f.server, to)
 	if err != nil {
-		seat.Release()
-		f.Note("run not rescued", zap.String("server", string(f.server.ID)), zap.Error(err))
-		return departure{err: err}
+		reservation.Release()
+		f.Note("KV cache not recovered", zap.String("server", string(f.server.ID)), zap.Error(err))
+		return migration{err: err}
 	}
-	return departure{to: to, backup: spot.Backup, seat: seat, copy: port.Copy{At: f.server.Addr, ID: m.Handle}}
+	return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.Copy{At: f.server.Addr, ID: moved.Handle}}
 }
 
-// follow goes on at the engine that holds the copy.
-func (f *flight) follow(ctx context.Context, d departure) *refuse.Refusal {
-	f.tail(ctx, tailTime)
-	if f.ended() {
-		d.seat.Release()
+// continueAt continues the stream at the engine that holds the copy. It first forwards
+// the remaining events of the stopped run, and returns without continuing if they
+// complete the stream.
+func (f *forwarder) continueAt(ctx context.Context, m migration) *refuse.Refusal {
+	f.forwardRemaining(ctx, remainderTimeout)
+	if f.isComplete() {
+		m.reservation.Release()
 		return nil
 	}
 	from := f.server
-	f.leg.Close()
-	f.seat.Release()
-	f.seat = d.seat
-	f.setGuard(f.backupFor(ctx, d))
-	if err := f.goOn(ctx, d.to, d.copy); err != nil {
-		f.Note("stream did not go on", zap.String("from", string(from.ID)), zap.String("to", string(d.to.ID)),
+	f.conn.Close()
+	f.reservation.Release()
+	f.reservation = m.reservation
+	f.setBackup(f.backupFor(ctx, m))
+	if err := f.sendContinuation(ctx, m.to, m.copy); err != nil {
+		f.Note("stream did not go on", zap.String("from", string(from.ID)), zap.String("to", string(m.to.ID)),
 			zap.String("last-event", f.lastID), zap.Error(err))
-		return f.lost(err)
+		return f.lostRefusal(err)
 	}
 	f.Record.Moves++
-	f.Note("stream goes on", zap.String("from", string(from.ID)), zap.String("to", string(d.to.ID)), zap.String("last-event", f.lastID))
+	f.Note("stream continues at another engine", zap.String("from", string(from.ID)), zap.String("to", string(m.to.ID)), zap.String("last-event", f.lastID))
 	return nil
 }
 
-// goOn sends the call to an engine with the cache to go on from. It has been
-// paid for.
-func (f *flight) goOn(ctx context.Context, to *backs.Server, c port.Copy) error {
-	a, err := f.open(ctx, to, c)
+// sendContinuation sends the call to the engine that holds the KV cache copy c. The
+// retry budget must already have been charged.
+func (f *forwarder) sendContinuation(ctx context.Context, to *backs.Server, c port.Copy) error {
+	resp, err := f.send(ctx, to, c)
 	if err != nil {
 		return err
 	}
-	if a.Status != http.StatusOK || a.NotRun {
-		_ = a.Body.Close()
-		return trace.Errorf("status %d", a.Status)
+	if resp.Status != http.StatusOK || resp.NotRun {
+		_ = resp.Body.Close()
+		return trace.Errorf("status %d", resp.Status)
 	}
-	f.attach(a)
+	f.attach(resp)
 	return nil
 }
 
-// tail forwards what a stopped run still sends, for at most limit.
-func (f *flight) tail(ctx context.Context, limit time.Duration) {
+// forwardRemaining forwards the events that a stopped run still sends, for at most
+// limit.
+func (f *forwarder) forwardRemaining(ctx context.Context, limit time.Duration) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
 	for {
 		select {
-		case p, ok := <-f.leg.Events():
+		case p, ok := <-f.conn.Events():
 			if !ok {
 				return
 			}
--- a/internal/route/stream/doc.go
+++ b/internal/route/stream/doc.go
@@ -1,5 +1,6 @@
-// Package stream serves generations whose events are passed on as they come.
+// Package stream forwards the events of streaming calls from engines to clients
+// as they arrive.
 //
-// A stream whose engine leaves or is lost goes on at another engine from a copy
-// of its cache; two engines never work on it at the same time.
+// A stream whose engine retires or fails migrates to another engine with a copy of
+// its KV cache. Two engines never run the same stream at the same time.
 package stream
--- /dev/null
+++ b/internal/route/stream/forward.go
@@ -0,0 +1,227 @@
+package stream
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"umberladder/internal/core/refuse"
+	"umberladder/internal/route/events"
+	"umberladder/internal/route/port"
+)
+
+// reportStep is the number of tokens that a stream generates between two updates of its
+// reservations, which are reported to the other VMs.
+const reportStep = 128
+
+// establishedAfter is the time after its first event from which a run counts as
+// established.
+const establishedAfter = time.Second
+
+// forwardEvents forwards events until the stream is complete or lost.
+func (f *forwarder) forwardEvents(ctx context.Context) *refuse.Refusal {
+	w := f.newWatcher()
+	for {
+		var refusal *refuse.Refusal
+		select {
+		case p, ok := <-f.conn.Events():
+			if ok {
+				refusal = f.forward(p)
+				if w.engineIsRetired {
+					w.onRetired(ctx)
+				}
+				break
+			}
+			if f.isComplete() {
+				return f.finish()
+			}
+			if refusal = f.connectionLost(ctx, w); refusal == nil {
+				w = f.newWatcher()
+			}
+		case <-w.engineRetired:
+			w.onRetired(ctx)
+		case <-w.switchTimer:
+			w, refusal = w.onSwitchTimer(ctx)
+		case m := <-w.migrated:
+			w, refusal = w.onMigrated(ctx, m)
+		case <-w.backupRetired:
+			w.onBackupRetired(ctx)
+		case <-ctx.Done():
+			return f.Over(ctx, refuse.RanPartial)
+		}
+		if refusal != nil {
+			return refusal
+		}
+	}
+}
+
+// isComplete reports whether the stream is complete. A run may end by itself just before
+// it is stopped; continuing it would send its end twice.
+func (f *forwarder) isComplete() bool {
+	select {
+	case <-f.conn.Done():
+	default:
+		return false
+	}
+	return errors.Is(f.conn.Err(), io.EOF) && (f.conn.Framed() || !f.stopRequested)
+}
+
+// finish ends the response to the client.
+func (f *forwarder) finish() *refuse.Refusal {
+	if err := f.Reply.End(); err != nil {
+		return refuse.New(refuse.CallerLeft, "the end could not be written: %v", err).With(refuse.RanPartial)
+	}
+	f.Health.Success(f.server.ID, time.Now())
+	f.Completed()
+	return nil
+}
+
+// forward writes complete events to the client.
+func (f *forwarder) forward(p []byte) *refuse.Refusal {
+	id, n := events.LastID(p)
+	if id != "" {
+		f.lastID = id
+	}
+	now := time.Now()
+	if f.Record.Events == 0 {
+		f.Record.First = now.Sub(f.Call.Arrived)
+		f.reservation.Resize(f.load(false))
+	} else {
+		f.Record.Gap = max(f.Record.Gap, now.Sub(f.lastEventAt))
+	}
+	if b := f.backup; b != nil {
+		if !f.gotEvent {
+			b.readyAt = now.Add(backupLag)
+		}
+		b.markArrived(now)
+	}
+	if !f.gotEvent {
+		f.gotEvent, f.firstEventAt = true, now
+	}
+	f.lastEventAt = now
+	f.Record.Events += n
+	f.updateReservations()
+	if err := f.Reply.Piece(p); err != nil {
+		return refuse.New(refuse.CallerLeft, "an event could not be written: %v", err).With(refuse.RanPartial)
+	}
+	return nil
+}
+
+// updateReservations adjusts the memory reserved for the stream at its engine and its
+// backup engine.
+func (f *forwarder) updateReservations() {
+	if f.Call.Prompt == nil || f.Service.Engine == nil {
+		return
+	}
+	generated := f.Record.Events * f.Service.Engine.Stride
+	f.generated.Store(int64(generated))
+	if generated < f.reportedTokens+reportStep {
+		return
+	}
+	f.reportedTokens = generated
+	load := f.reservation.Load()
+	load.Tokens = f.tokensNeeded()
+	f.reservation.Resize(load)
+	if f.backup != nil {
+		load = f.backup.reservation.Load()
+		load.Tokens = f.tokensNeeded()
+		f.backup.reservation.Resize(load)
+	}
+}
+
+// connectionLost handles a connection that ended early. It continues the stream at
+// another engine, or returns the refusal that ends it.
+func (f *forwarder) connectionLost(ctx context.Context, w *watcher) *refuse.Refusal {
+	err := f.conn.Err()
+	if ctx.Err() != nil {
+		return f.Over(ctx, refuse.RanPartial)
+	}
+	if w.migrated != nil {
+		if !f.migrator.Stopped() {
+			// The engine was not told to stop the run, so it has failed and the
+			// migration cannot succeed.
+			f.cancelMigration()
+		}
+		// The engine stops the run in the last step of a migration, so the migration
+		// may still succeed.
+		select {
+		case m := <-w.migrated:
+			w.migrated = nil
+			if m.err == nil {
+				return f.continueAt(ctx, m)
+			}
+		case <-ctx.Done():
+			return f.Over(ctx, refuse.RanPartial)
+		}
+	}
+	f.Note("stream broke off", zap.String("server", string(f.server.ID)), zap.String("last-event", f.lastID), zap.Error(err))
+	f.Health.Failure(f.server.ID, time.Now())
+	if !f.established() {
+		f.CheckCrash(ctx, f.server)
+	}
+	if q := f.Quarantined(); q != nil {
+		return f.lostRefusal(q)
+	}
+	switch {
+	case f.Route.Resumable:
+		return f.resume(ctx, err)
+	case f.backupUsable(f.backup) && f.spendRetry():
+		return f.switchToBackup(ctx)
+	}
+	m := f.recoverRun(ctx)
+	if m.err != nil {
+		return f.lostRefusal(err)
+	}
+	return f.continueAt(ctx, m)
+}
+
+// established reports whether an engine has run the call for at least establishedAfter.
+// A crash of the engine is then not blamed on the call.
+func (f *forwarder) established() bool {
+	f.wasEstablished = f.wasEstablished || f.gotEvent && time.Since(f.firstEventAt) >= establishedAfter
+	return f.wasEstablished
+}
+
+// lostRefusal returns the refusal of a stream that cannot continue.
+func (f *forwarder) lostRefusal(err error) *refuse.Refusal {
+	return refuse.New(refuse.ServerDied, "server %s broke off after event %q: %v", f.server.ID, f.lastID, err).With(refuse.RanPartial)
+}
+
+// resume runs a resumable stream again, starting after the last forwarded event.
+func (f *forwarder) resume(ctx context.Context, cause error) *refuse.Refusal {
+	for f.mayRetry() {
+		f.reservation.Release()
+		s, refusal := f.place(ctx)
+		if refusal != nil {
+			return refusal.With(refuse.RanPartial)
+		}
+		f.tried[s.ID] = true
+		resp, err := f.send(ctx, s, port.Copy{})
+		f.Record.Sent++
+		if err != nil {
+			cause = err
+			continue
+		}
+		if resp.Status != http.StatusOK || resp.NotRun {
+			_ = resp.Body.Close()
+			continue
+		}
+		f.attach(resp)
+		return nil
+	}
+	return f.lostRefusal(cause)
+}
+
+// attach makes the body of resp the stream's current connection.
+func (f *forwarder) attach(resp *port.Answer) {
+	if f.conn != nil {
+		f.conn.Close()
+		f.established()
+	}
+	f.stopRequested, f.gotEvent = false, false
+	f.conn = events.New(f.Group, resp.Body, resp.Framed)
+}
--- a/internal/route/stream/guard.go
+++ b/internal/route/stream/guard.go
@@ -15,85 +15,91 @@
 )
 
 const (
-	// backupLag is how long after a run's first event the copy that its engine
-	// sends along is taken to be at its backup: a whole prompt queues behind other
-	// copies.
+	// backupLag is the time after a run's first event from which the copy that its
+	// engine sends is assumed to be complete at the backup engine. The copy of the
+	// whole prompt queues behind other copies.
 	backupLag = 1300 * time.Millisecond
-	// backupAsk bounds the question for a backup while the stream stands still.
-	backupAsk = 25 * time.Millisecond
+	// backupTimeout bounds the placement of a backup while the stream is paused.
+	backupTimeout = 25 * time.Millisecond
 )
 
-// guard is an engine to which the run's engine sends the cache as it grows.
-type guard struct {
-	at   *backs.Server
-	seat *seats.Seat
-	ripe time.Time // when the copy is taken to be there
+// backupCopy is the copy of a run's KV cache at a backup engine. The run's engine
+// sends the KV cache there as it grows.
+type backupCopy struct {
+	engine      *backs.Server
+	reservation *seats.Seat
+	readyAt     time.Time // when the copy is assumed to be complete
 }
 
-// copy names the cache that the guard holds.
-func (g *guard) copy(id ident.Request) port.Copy { return port.Copy{At: g.at.Addr, ID: string(id)} }
+// portCopy returns the reference to the copy of request id.
+func (b *backupCopy) portCopy(id ident.Request) port.Copy {
+	return port.Copy{At: b.engine.Addr, ID: string(id)}
+}
 
-// movable reports whether the stream can go on at another engine from its cache.
-func (f *flight) movable() bool {
+// canMigrate reports whether the stream can continue at another engine with a copy of
+// its KV cache.
+func (f *forwarder) canMigrate() bool {
 	e := f.Service.Engine
 	return e != nil && e.Moves && !f.Route.Resumable && f.Route.Kind == call.Stream
 }
 
-// guardable reports whether the stream is worth a copy of its cache: one that
-// may be resumed is soon read anew.
-func (f *flight) guardable() bool {
+// canBackUp reports whether a backup copy of the stream's KV cache is kept. A
+// resumable stream needs none, because its prompt is prefilled again quickly.
+func (f *forwarder) canBackUp() bool {
 	e := f.Service.Engine
 	return e != nil && e.Backups && !f.Route.Resumable && f.Route.Kind == call.Stream
 }
 
-// setGuard makes b the guard of the run that starts; nil: none.
-func (f *flight) setGuard(b *backs.Server) {
-	f.dropGuard()
+// setBackup makes b the backup engine of the run that starts; nil: none.
+func (f *forwarder) setBackup(b *backs.Server) {
+	f.dropBackup()
 	if b == nil {
 		return
 	}
-	f.guard = &guard{
-		at:   b,
-		seat: f.Seats.Take(b.ID, seats.Load{Tokens: f.need(), Copies: 1}),
-		ripe: time.Now().Add(time.Hour),
+	f.backup = &backupCopy{
+		engine:      b,
+		reservation: f.Seats.Take(b.ID, seats.Load{Tokens: f.tokensNeeded(), Copies: 1}),
+		readyAt:     time.Now().Add(time.Hour),
 	}
 }
 
-// backupFor returns the engine that keeps the copy of a run that goes on.
-func (f *flight) backupFor(ctx context.Context, d departure) *backs.Server {
-	if d.backup != nil || !f.guardable() {
-		return d.backup
+// backupFor returns the backup engine of a migrated run, or nil if there is none.
+func (f *forwarder) backupFor(ctx context.Context, m migration) *backs.Server {
+	if m.backup != nil || !f.canBackUp() {
+		return m.backup
 	}
-	ctx, cancel := context.WithTimeout(ctx, backupAsk)
+	ctx, cancel := context.WithTimeout(ctx, backupTimeout)
 	defer cancel()
-	spot, err := f.Places.Place(ctx, f.want(pick.Keep, d.to.Domain, []ident.Server{d.to.ID, f.server.ID}))
+	placement, err := f.Places.Place(ctx, f.placementRequest(pick.Keep, m.to.Domain, []ident.Server{m.to.ID, f.server.ID}))
 	if err != nil {
-		f.Note("no backup", zap.String("server", string(d.to.ID)), zap.Error(err))
+		f.Note("no backup engine available", zap.String("server", string(m.to.ID)), zap.Error(err))
 		return nil
 	}
-	return spot.Server
+	return placement.Server
 }
 
-// serves reports whether the stream may go on at the guard.
-func (f *flight) serves(g *guard) bool {
-	return g != nil && !g.at.Left() && f.Health.Paused(g.at.ID, time.Now()) == 0
+// backupUsable reports whether the stream may continue at the engine of b.
+func (f *forwarder) backupUsable(b *backupCopy) bool {
+	return b != nil && !b.engine.Left() && f.Health.Paused(b.engine.ID, time.Now()) == 0
 }
 
-// arrive notes that the guard's copy is there.
-func (g *guard) arrive(now time.Time) {
-	if now.Before(g.ripe) {
+// markArrived no longer counts the copy as in transit to the backup engine once it is
+// assumed to be complete.
+func (b *backupCopy) markArrived(now time.Time) {
+	if now.Before(b.readyAt) {
 		return
 	}
-	l := g.seat.Load()
-	l.Copies = 0
-	g.seat.Resize(l)
+	load := b.reservation.Load()
+	load.Copies = 0
+	b.reservation.Resize(load)
 }
 
-// dropGuard gives the guard up. Its engine drops the copy with the run's end.
-func (f *flight) dropGuard() {
-	if f.guard == nil {
+// dropBackup releases the backup's reservation. The backup engine drops the copy when
+// the run ends.
+func (f *forwarder) dropBackup() {
+	if f.backup == nil {
 		return
 	}
-	f.guard.seat.Release()
-	f.guard = nil
+	f.backup.reservation.Release()
+	f.backup = nil
 }
--- a/internal/route/stream/stream.go
+++ b/internal/route/stream/stream.go
@@ -25,100 +25,103 @@
 	"umberladder/internal/state/backs"
 )
 
-// flight is one stream on its way.
-type flight struct {
+// forwarder forwards one stream from its engines to the client.
+type forwarder struct {
 	*task.Task
-	tried    map[ident.Server]bool
-	failed   []ident.Server // that could not be connected to since the last placement
-	server   *backs.Server
-	seat     *seats.Seat
-	guard    *guard
-	mover    *mover.Mover
-	leg      *events.Leg
-	lastID   string
-	unsent   int // engines that could not be connected to
-	ran      refuse.Ran
-	begun    bool         // the head was written to the client
-	made     atomic.Int64 // tokens, as far as events tell; moves read it beside the events
-	told     int          // tokens when the stream's size was last told
-	legged   bool         // the present leg has brought an event
-	firstAt  time.Time    // when it brought the first one
-	proven   bool         // an engine has run the call for youngTime
-	stopping bool         // the run is being stopped, so that its end may be no end
-	lastAt   time.Time
-	stay     context.CancelFunc // ends the move under way; nil: there was none
+	tried           map[ident.Server]bool
+	unreachable     []ident.Server // connections failed since the last placement
+	server          *backs.Server
+	reservation     *seats.Seat
+	backup          *backupCopy
+	migrator        *mover.Mover
+	conn            *events.Conn
+	lastID          string
+	connectFailures int // number of engines to which the connection failed
+	ran             refuse.Ran
+	headSent        bool         // the response header was written to the client
+	generated       atomic.Int64 // tokens, estimated from the events; migrations read it concurrently
+	reportedTokens  int          // generated tokens at the last update of the reservations
+	gotEvent        bool         // the current connection has delivered an event
+	firstEventAt    time.Time    // time of the first event on the current connection
+	wasEstablished  bool         // an engine has run the call for establishedAfter
+	stopRequested   bool         // the run is being stopped, so an unmarked end may not be the stream's end
+	lastEventAt     time.Time
+	cancelMigration context.CancelFunc // cancels the migration in progress; nil: none was started
 }
 
-// Serve serves a call whose answer is a stream of events.
+// Serve serves a call whose response is a stream of events.
 func Serve(ctx context.Context, t *task.Task) *refuse.Refusal {
-	f := &flight{
+	f := &forwarder{
 		Task: t, tried: make(map[ident.Server]bool), lastID: t.Call.After,
-		mover: mover.New(t.Backend, t.Group, t.Call.ID, t.Note),
+		migrator: mover.New(t.Backend, t.Group, t.Call.ID, t.Note),
 	}
 	defer f.release()
 	refusal := f.start(ctx)
 	if refusal != nil {
 		return task.Truthful(refusal)
 	}
-	if f.leg == nil {
-		// The server's answer was no stream and is delivered whole.
+	if f.conn == nil {
+		// The response was not a stream and has been delivered completely.
 		return nil
 	}
-	refusal = f.pump(ctx)
-	if refusal != nil && f.begun {
+	refusal = f.forwardEvents(ctx)
+	if refusal != nil && f.headSent {
 		t.Reply.Abort()
 	}
 	return refusal
 }
 
-func (f *flight) release() {
-	if f.leg != nil {
-		f.leg.Close()
+// release closes the connection and releases the reservations.
+func (f *forwarder) release() {
+	if f.conn != nil {
+		f.conn.Close()
 	}
-	f.seat.Release()
-	f.dropGuard()
+	f.reservation.Release()
+	f.dropBackup()
 }
 
-// need returns the memory that the stream takes now and soon, in tokens.
-func (f *flight) need() int {
+// tokensNeeded returns the memory, in tokens, that the stream uses now and in the near
+// future.
+func (f *forwarder) tokensNeeded() int {
 	p := f.Call.Prompt
 	if p == nil {
 		return 1
 	}
-	return room.Need(p.Tokens, p.Limit, int(f.made.Load()))
+	return room.Need(p.Tokens, p.Limit, int(f.generated.Load()))
 }
 
-// start sends the call until an engine has begun to answer it.
-func (f *flight) start(ctx context.Context) *refuse.Refusal {
+// start sends the call to one engine after another until one starts to respond.
+func (f *forwarder) start(ctx context.Context) *refuse.Refusal {
 	for {
 		s, refusal := f.place(ctx)
 		if refusal != nil {
 			return refusal.With(f.ran)
 		}
 		f.tried[s.ID] = true
-		a, err := f.open(ctx, s, port.Copy{})
+		resp, err := f.send(ctx, s, port.Copy{})
 		if err != nil {
-			if refusal := f.unanswered(ctx, s, err); refusal != nil {
+			if refusal := f.attemptFailed(ctx, s, err); refusal != nil {
 				return refusal
 			}
 			continue
 		}
 		f.Record.Sent++
-		if a.Status == http.StatusOK && !a.NotRun {
-			f.attach(a)
-			return f.head(a)
+		if resp.Status == http.StatusOK && !resp.NotRun {
+			f.attach(resp)
+			return f.startResponse(resp)
 		}
-		refusal, done := f.declined(s, a)
+		refusal, done := f.handleNonStream(s, resp)
 		if done {
 			return refusal
 		}
 	}
 }
 
-// unanswered judges a sending without an answer; nil has another engine tried.
-func (f *flight) unanswered(ctx context.Context, s *backs.Server, err error) *refuse.Refusal {
-	f.seat.Release()
-	f.dropGuard()
+// attemptFailed handles an attempt without a response. It returns nil if another engine
+// should be tried.
+func (f *forwarder) attemptFailed(ctx context.Context, s *backs.Server, err error) *refuse.Refusal {
+	f.reservation.Release()
+	f.dropBackup()
 	if !task.IsUnsent(err) {
 		f.Record.Sent++
 		f.ran = refuse.RanMaybe
@@ -127,53 +130,55 @@
 		}
 	}
 	if task.IsUnsent(err) {
-		f.failed = append(f.failed, s.ID)
+		f.unreachable = append(f.unreachable, s.ID)
 	}
 	f.Note("no answer", zap.String("server", string(s.ID)), zap.Bool("unsent", task.IsUnsent(err)), zap.Error(err))
 	switch {
 	case ctx.Err() != nil:
 		return f.Over(ctx, f.ran)
 	case task.IsUnsent(err):
-		if f.unsent++; f.PassOver(f.unsent) {
+		if f.connectFailures++; f.PassOver(f.connectFailures) {
 			return nil
 		}
 		return refuse.New(refuse.NoServer, "no server of service %s could be reached", f.Service.Name).With(f.ran).After(task.RoomRetry)
-	case f.again():
+	case f.mayRetry():
 		return nil
 	}
 	return refuse.New(refuse.ServerDied, "server %s broke off: %v", s.ID, err).With(refuse.RanMaybe)
 }
 
-// declined judges an answer that is no stream.
-func (f *flight) declined(s *backs.Server, a *port.Answer) (*refuse.Refusal, bool) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, whole.MaxBody))
-	_ = a.Body.Close()
-	f.seat.Release()
-	f.dropGuard()
-	f.Note("server declined", zap.String("server", string(s.ID)), zap.Int("status", a.Status), zap.Bool("not-run", a.NotRun))
-	if a.Gone {
+// handleNonStream handles a response that is not a stream. It reports false if another
+// engine should be tried; otherwise the call has ended, with the refusal if it is not
+// nil.
+func (f *forwarder) handleNonStream(s *backs.Server, resp *port.Answer) (*refuse.Refusal, bool) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, whole.MaxBody))
+	_ = resp.Body.Close()
+	f.reservation.Release()
+	f.dropBackup()
+	f.Note("response is not a stream", zap.String("server", string(s.ID)), zap.Int("status", resp.Status), zap.Bool("not-run", resp.NotRun))
+	if resp.Gone {
 		f.Lost(s)
 	}
-	if a.NotRun {
-		if f.again() {
+	if resp.NotRun {
+		if f.mayRetry() {
 			return nil, false
 		}
-		return refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, a.Status).With(f.ran).After(task.RoomRetry), true
+		return refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).With(f.ran).After(task.RoomRetry), true
 	}
 	f.ran = refuse.RanMaybe
 	if err != nil {
-		return refuse.New(refuse.ServerDied, "server %s failed with status %d and broke off", s.ID, a.Status).With(f.ran), true
+		return refuse.New(refuse.ServerDied, "server %s failed with status %d and broke off", s.ID, resp.Status).With(f.ran), true
 	}
 	f.Completed()
-	if a.Status >= http.StatusInternalServerError && f.again() {
+	if resp.Status >= http.StatusInternalServerError && f.mayRetry() {
 		return nil, false
 	}
-	return f.Deliver(&task.Whole{Status: a.Status, Fields: a.Fields, Body: body}), true
+	return f.Deliver(&task.Whole{Status: resp.Status, Fields: resp.Fields, Body: body}), true
 }
 
-// again reports whether the call may be sent once more from its start or from
-// the last event.
-func (f *flight) again() bool {
+// mayRetry reports whether the call may be sent again, from its start or after the last
+// event. It takes a retry from the budget.
+func (f *forwarder) mayRetry() bool {
 	if f.Record.Sent >= f.Route.Attempts {
 		return false
 	}
@@ -183,94 +188,101 @@
 	return f.Budget.Spend(f.Service.Name, time.Now())
 }
 
-// open sends the call to an engine.
-func (f *flight) open(ctx context.Context, s *backs.Server, from port.Copy) (*port.Answer, error) {
+// send sends the call to an engine and returns the response.
+func (f *forwarder) send(ctx context.Context, s *backs.Server, from port.Copy) (*port.Answer, error) {
 	f.server = s
 	f.Record.Server = s.ID
 	send := port.Send{Call: f.Call, Server: s, Workspace: f.Workspace, Left: f.Left(), Copy: from, After: f.lastID}
-	if f.guard != nil {
-		send.Backup = f.guard.at.Addr
+	if f.backup != nil {
+		send.Backup = f.backup.engine.Addr
 	}
 	sent := time.Now()
 	f.Rates.Sent(s.ID, sent)
-	a, err := f.Backend.Send(ctx, send)
+	resp, err := f.Backend.Send(ctx, send)
 	if err != nil {
 		f.Health.Failure(s.ID, time.Now())
 		return nil, err
 	}
-	f.Observe(s, a, sent)
-	return a, nil
+	f.Observe(s, resp, sent)
+	return resp, nil
 }
 
-func (f *flight) head(a *port.Answer) *refuse.Refusal {
-	f.begun = true
-	f.Record.Status = a.Status
-	if err := f.Reply.Start(a.Status, a.Fields); err != nil {
+// startResponse writes the response header to the client.
+func (f *forwarder) startResponse(resp *port.Answer) *refuse.Refusal {
+	f.headSent = true
+	f.Record.Status = resp.Status
+	if err := f.Reply.Start(resp.Status, resp.Fields); err != nil {
 		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).With(refuse.RanPartial)
 	}
 	return nil
 }
 
-// place takes a seat at an engine with room; it waits a little for one.
-func (f *flight) place(ctx context.Context) (*backs.Server, *refuse.Refusal) {
+// place reserves capacity at an engine. If no engine has any, it waits for a limited
+// time.
+func (f *forwarder) place(ctx context.Context) (*backs.Server, *refuse.Refusal) {
 	if e := f.Service.Engine; e != nil && f.Call.Prompt != nil && f.Call.Prompt.Tokens > e.Memory {
 		return nil, refuse.New(refuse.TooLarge, "the prompt of %d tokens is larger than an engine's memory of %d", f.Call.Prompt.Tokens, e.Memory)
 	}
-	w := f.want(pick.Call, f.Config.Domain, slices.Collect(maps.Keys(f.tried)))
+	req := f.placementRequest(pick.Call, f.Config.Domain, slices.Collect(maps.Keys(f.tried)))
 	start := time.Now()
 	since := start.Sub(f.Call.Arrived)
-	w.Read, w.Backup, w.Mark = f.read(), f.guardable(), uint64(f.Record.Fingerprint)
-	w.Failed, f.failed = f.failed, nil
-	w.Due = room.Due(f.Route.Target, since, w.Read)
-	w.Wait = room.Wait(w.Due, f.End.Sub(f.Call.Arrived), since)
-	spot, err := f.Places.Place(ctx, w)
+	req.Read, req.Backup, req.Mark = f.prefillTokens(), f.canBackUp(), uint64(f.Record.Fingerprint)
+	req.Failed, f.unreachable = f.unreachable, nil
+	req.Due = room.Due(f.Route.Target, since, req.Read)
+	req.Wait = room.Wait(req.Due, f.End.Sub(f.Call.Arrived), since)
+	placement, err := f.Places.Place(ctx, req)
 	f.Record.Queued += time.Since(start)
 	if q := f.Quarantined(); q != nil {
 		return nil, q
 	}
-	var full *pick.NoRoomError
+	var noCapacity *pick.NoRoomError
 	switch {
 	case err == nil:
-		f.seat = f.Seats.Take(spot.Server.ID, f.load(true))
-		f.setGuard(spot.Backup)
-		f.Note("placed", zap.String("server", string(spot.Server.ID)), zap.Int("tokens", w.Need),
-			zap.Bool("backup", spot.Backup != nil), zap.Duration("waited", time.Since(start)))
-		return spot.Server, nil
+		f.reservation = f.Seats.Take(placement.Server.ID, f.load(true))
+		f.setBackup(placement.Backup)
+		f.Note("placed", zap.String("server", string(placement.Server.ID)), zap.Int("tokens", req.Need),
+			zap.Bool("backup", placement.Backup != nil), zap.Duration("waited", time.Since(start)))
+		return placement.Server, nil
 	case errors.Is(err, pick.ErrNoServer):
 		return nil, f.NoServer()
-	case errors.As(err, &full):
+	case errors.As(err, &noCapacity):
 		return nil, refuse.New(refuse.NoRoom, "no engine of service %s has room for %d tokens within %s, %d calls wait",
-			f.Service.Name, w.Need, w.Wait.Round(time.Millisecond), full.Ahead).After(room.Retry(full.Retry, f.Left()))
+			f.Service.Name, req.Need, req.Wait.Round(time.Millisecond), noCapacity.Ahead).After(room.Retry(noCapacity.Retry, f.Left()))
 	default:
 		return nil, f.Over(ctx, f.ran)
 	}
 }
 
-// read returns how many tokens an engine has to read before the first event.
-func (f *flight) read() int {
+// prefillTokens returns the number of prompt tokens that an engine has to prefill before
+// the first event.
+func (f *forwarder) prefillTokens() int {
 	if f.Call.Prompt == nil {
 		return 0
 	}
 	return f.Call.Prompt.Tokens
 }
 
-func (f *flight) load(reading bool) seats.Load {
-	l := seats.Load{Seats: 1, Tokens: f.need()}
-	if reading {
-		l.Backlog = f.read()
+// load returns the load that the stream puts on its engine, with the prefill if
+// withPrefill is set.
+func (f *forwarder) load(withPrefill bool) seats.Load {
+	l := seats.Load{Seats: 1, Tokens: f.tokensNeeded()}
+	if withPrefill {
+		l.Backlog = f.prefillTokens()
 	}
 	return l
 }
 
-// want describes the room that the stream needs.
-func (f *flight) want(u pick.Use, from ident.Domain, skip []ident.Server) pick.Want {
-	return pick.Want{Service: f.Service.Name, Use: u, Rank: f.rank(), Need: f.need(), Memory: f.memory(), From: from, Skip: skip}
+// placementRequest describes the capacity that the stream needs.
+func (f *forwarder) placementRequest(u pick.Use, from ident.Domain, skip []ident.Server) pick.Want {
+	return pick.Want{Service: f.Service.Name, Use: u, Rank: f.priority(), Need: f.tokensNeeded(), Memory: f.engineCapacity(), From: from, Skip: skip}
 }
 
-// rank returns how urgent the stream is; 0 goes first.
-func (f *flight) rank() int { return f.Route.Priority }
+// priority returns the stream's priority; 0 is the most urgent.
+func (f *forwarder) priority() int { return f.Route.Priority }
 
-func (f *flight) memory() int {
+// engineCapacity returns the memory of an engine in tokens. It is practically unlimited
+// for services without a configured capacity.
+func (f *forwarder) engineCapacity() int {
 	if f.Service.Engine == nil || f.Service.Engine.Memory <= 0 {
 		return 1 << 30
 	}
--- a/internal/route/stream/watch.go
+++ b/internal/route/stream/watch.go
@@ -10,88 +10,92 @@
 	"umberladder/internal/route/mover"
 )
 
-// ripeWait is how long an engine's notice may pass before a stream leaves for a
-// copy that is on its way: it leaves time to change over in the shortest notice.
-const ripeWait = 1100 * time.Millisecond
+// backupReadyWait is how long a stream on a retired engine may wait for the backup copy
+// to be complete. It leaves enough of the shortest notice for the switch.
+const backupReadyWait = 1100 * time.Millisecond
 
-// moveRest is the pause after a move that failed. Room comes free as streams end.
-const moveRest = 150 * time.Millisecond
+// migrationRetryDelay is the pause after a failed migration. Capacity becomes available
+// as streams end.
+const migrationRetryDelay = 150 * time.Millisecond
 
-// watch is what a stream's present leg waits for beside its events.
-type watch struct {
-	f       *flight
-	leave   <-chan struct{}  // the engine begins to leave
-	hop     <-chan time.Time // it is time to go on at the guard
-	moved   <-chan departure // a move has come to its end
-	bare    <-chan struct{}  // the guard begins to leave
-	leaving bool
-	rest    time.Time // no move is tried before it
+// watcher holds what a stream waits for on its current connection, besides events.
+type watcher struct {
+	f                 *forwarder
+	engineRetired     <-chan struct{}  // closed when the engine is retired
+	switchTimer       <-chan time.Time // fires when the stream should switch to the backup
+	migrated          <-chan migration // result of the migration in progress
+	backupRetired     <-chan struct{}  // closed when the backup engine is retired
+	engineIsRetired   bool
+	noMigrationBefore time.Time // no migration starts before this time
 }
 
-// watch returns what the present leg waits for.
-func (f *flight) watch() *watch {
-	w := &watch{f: f, leave: f.server.Leave()}
-	if f.guard != nil {
-		w.bare = f.guard.at.Leave()
+// newWatcher returns the watcher for the current connection.
+func (f *forwarder) newWatcher() *watcher {
+	w := &watcher{f: f, engineRetired: f.server.Leave()}
+	if f.backup != nil {
+		w.backupRetired = f.backup.engine.Leave()
 	}
 	return w
 }
 
-// depart begins to take the stream away from an engine that leaves. A run that
-// has made no event yet can't be moved; it is asked for again with each event.
-func (w *watch) depart(ctx context.Context) {
-	w.leave, w.leaving = nil, true
-	if !w.f.movable() || w.f.Record.Events == 0 || w.moved != nil || w.hop != nil || time.Now().Before(w.rest) {
+// onRetired starts to take the stream away from its retired engine, if that is possible
+// now. A run that has produced no event cannot migrate, so onRetired is called again
+// after each event.
+func (w *watcher) onRetired(ctx context.Context) {
+	w.engineRetired, w.engineIsRetired = nil, true
+	if !w.f.canMigrate() || w.f.Record.Events == 0 || w.migrated != nil || w.switchTimer != nil || time.Now().Before(w.noMigrationBefore) {
 		return
 	}
-	if g := w.f.guard; w.f.serves(g) && time.Until(g.ripe) < ripeWait {
-		w.hop = time.After(time.Until(g.ripe))
+	if b := w.f.backup; w.f.backupUsable(b) && time.Until(b.readyAt) < backupReadyWait {
+		w.switchTimer = time.After(time.Until(b.readyAt))
 		return
 	}
-	w.moved = w.f.depart(ctx)
+	w.migrated = w.f.startMigration(ctx)
 }
 
-// unguarded gives up a guard that leaves.
-func (w *watch) unguarded(ctx context.Context) {
-	w.bare = nil
-	w.f.Note("backup lost", zap.String("server", string(w.f.guard.at.ID)))
-	w.f.dropGuard()
-	if w.leaving {
-		w.hop = nil
-		w.depart(ctx)
+// onBackupRetired drops the backup at a retired engine.
+func (w *watcher) onBackupRetired(ctx context.Context) {
+	w.backupRetired = nil
+	w.f.Note("backup engine retired", zap.String("server", string(w.f.backup.engine.ID)))
+	w.f.dropBackup()
+	if w.engineIsRetired {
+		w.switchTimer = nil
+		w.onRetired(ctx)
 	}
 }
 
-// change goes on at the guard, or later if the budget does not allow it now.
-func (w *watch) change(ctx context.Context) (*watch, *refuse.Refusal) {
-	if !w.f.pay() {
+// onSwitchTimer switches to the backup, or schedules another try if the retry budget
+// does not allow it now.
+func (w *watcher) onSwitchTimer(ctx context.Context) (*watcher, *refuse.Refusal) {
+	if !w.f.spendRetry() {
 		w.f.Note("stream stays", zap.String("server", string(w.f.server.ID)), zap.Error(mover.ErrUnpaid))
-		w.hop = time.After(moveRest)
+		w.switchTimer = time.After(migrationRetryDelay)
 		return w, nil
 	}
-	if refusal := w.f.hop(ctx); refusal != nil {
+	if refusal := w.f.switchToBackup(ctx); refusal != nil {
 		return w, refusal
 	}
-	return w.f.watch(), nil
+	return w.f.newWatcher(), nil
 }
 
-// arrived goes on where a move has led, and returns what the next leg waits for.
-func (w *watch) arrived(ctx context.Context, d departure) (*watch, *refuse.Refusal) {
-	if d.err != nil {
-		w.stays(d.err)
+// onMigrated continues the stream at the engine it was migrated to and returns the
+// watcher for the next connection.
+func (w *watcher) onMigrated(ctx context.Context, m migration) (*watcher, *refuse.Refusal) {
+	if m.err != nil {
+		w.migrationFailed(m.err)
 		return w, nil //nolint:nilerr // the stream stays where it is
 	}
-	w.moved = nil
-	if refusal := w.f.follow(ctx, d); refusal != nil {
+	w.migrated = nil
+	if refusal := w.f.continueAt(ctx, m); refusal != nil {
 		return w, refusal
 	}
-	return w.f.watch(), nil
+	return w.f.newWatcher(), nil
 }
 
-// stays notes a move that failed.
-func (w *watch) stays(err error) {
-	w.moved = nil
-	w.f.stopping = false
-	w.rest = time.Now().Add(moveRest)
+// migrationFailed records a failed migration; the stream stays where it is.
+func (w *watcher) migrationFailed(err error) {
+	w.migrated = nil
+	w.f.stopRequested = false
+	w.noMigrationBefore = time.Now().Add(migrationRetryDelay)
 	w.f.Note("stream stays", zap.String("server", string(w.f.server.ID)), zap.Error(err))
 }
