--- a/internal/route/entry/generate.go
+++ b/internal/route/entry/generate.go
@@ -43,7 +43,7 @@
 		s.complete(len(w.Text))
 		return w, nil
 	}
-	if w.Text, w.Finish, refusal = s.stream.Whole(); refusal != nil {
+	if w.Text, w.Finish, refusal = s.stream.ReadAll(); refusal != nil {
 		return openai.Whole{}, s.refuse(refusal)
 	}
 	s.response = generationResponse(w.Text, w.Finish)
@@ -84,7 +84,7 @@
 		Prompt:     g.Prompt,
 		MaxTokens:  g.MaxTokens,
 		AtMostOnce: info.service.AtMostOnce,
-		Ask:        info.placementRequest(g.Prompt),
+		Placement:  info.placementRequest(g.Prompt),
 	})
 	if refusal != nil {
 		return nil, s.refuse(refusal)
@@ -113,7 +113,7 @@
 	}
 	s := &callerStream{handler: h, info: info, chat: rh.GetChat()}
 	call := gener.Call{Request: info.request, Service: info.service, Class: info.class}
-	s.stream, refusal = h.runner.Rejoin(ctx, call, addr, ident.Generation(rh.GetGeneration()), r.Next)
+	s.stream, refusal = h.runner.Reattach(ctx, call, addr, ident.Generation(rh.GetGeneration()), r.Next)
 	if refusal != nil {
 		return nil, s.refuse(refusal)
 	}
@@ -138,7 +138,7 @@
 	info     callInfo
 	permit   *gate.Permit
 	claim    *claim
-	stream   *gener.Flight
+	stream   *gener.Stream
 	chat     bool
 	ended    bool // Next returned the end of the response
 	closed   bool
--- a/internal/route/gener/doc.go
+++ b/internal/route/gener/doc.go
@@ -1,8 +1,8 @@
-// Package gener carries one generation from an engine to its caller.
+// Package infer runs generations on engines and delivers their tokens.
 //
-// A Flight yields each token once, in order, and all from one generation. A
-// broken link is resumed at the next token. A lost engine is replaced by a
-// whole new run elsewhere, but only while no token has reached the caller and
-// the call may be repeated; otherwise the flight ends in a refusal that says
-// how much of it ran.
+// A Stream delivers each token once, in order, and all from one generation. After
+// a broken connection it resumes at the next token. If the engine is lost, the
+// generation is run again on another engine, but only while no token has reached
+// the caller and the call may be repeated; otherwise the stream ends with a refusal
+// that states how much of it ran.
 package gener
--- a/internal/route/gener/flight.go
+++ b/internal/route/gener/flight.go
@@ -17,10 +17,9 @@
 	"umberladder/internal/route/pool"
 )
 
-// Flight is one generation on its way to its caller. One goroutine at a time
-// uses it.
-type Flight struct {
-	Record final.Record // how it went; whose it is and how it ended are for the caller to say
+// Stream delivers the tokens of one generation. It is not safe for concurrent use.
+type Stream struct {
+	Record final.Record // measurements; the user of the stream adds the identity and outcome of the request
 
 	runner  *Runner
 	placer  Placer
@@ -29,270 +28,280 @@
 	cancel  context.CancelFunc
 	exclude map[ident.Server]struct{}
 
-	seat   Seat
-	addr   netip.AddrPort
-	cursor *token.Cursor // nil: no generation is running
-	link   *engine.Stream
-	next   func() (engine.Event, error, bool)
-	stop   func()
+	reservation Seat
+	engineAddr  netip.AddrPort
+	cursor      *token.Cursor // nil: no generation is running
+	conn        *engine.Stream
+	nextEvent   func() (engine.Event, error, bool)
+	stopEvents  func()
 
-	shown     ident.Generation // whose tokens the caller has
-	started   bool             // some engine was given the generation and may have run it
-	delivered bool             // some token has reached the caller
-	resumes   int              // in a row that the engine did not answer, or answered wrongly
-	cuts      int              // in a row of links that broke off before a token
-	refusals  int              // engines that did not start it
-	kept      *Token
-	last      time.Time     // when the last token came, or the flight began
-	pace      time.Duration // expected time to the next token
-	closed    bool
+	shownGeneration ident.Generation // whose tokens the caller has received
+	started         bool             // an engine has received the generation and may have run it
+	delivered       bool             // a token has reached the caller
+	failedResumes   int              // consecutive times that the engine did not respond, or responded incorrectly
+	disconnects     int              // consecutive connections that broke before delivering a token
+	rejections      int              // number of engines that did not start the generation
+	firstToken      *Token           // fetched by awaitFirst and not returned yet
+	lastTokenAt     time.Time        // time of the last token, or of the start of the stream
+	expectedGap     time.Duration    // expected time to the next token
+	closed          bool
 }
 
-// Engine returns where the generation runs, for a resume handle.
-func (f *Flight) Engine() (netip.AddrPort, ident.Generation) {
-	return f.addr, f.cursor.Generation()
+// Engine returns the address of the engine and the generation, for a resume handle.
+func (s *Stream) Engine() (netip.AddrPort, ident.Generation) {
+	return s.engineAddr, s.cursor.Generation()
 }
 
-// first fetches the first token and keeps it for Next.
-func (f *Flight) first() (*Flight, *refuse.Refusal) {
-	t, refusal := f.step()
+// awaitFirst fetches the first token and stores it for Next.
+func (s *Stream) awaitFirst() (*Stream, *refuse.Refusal) {
+	t, refusal := s.nextToken()
 	if refusal != nil {
-		f.Close(refusal)
+		s.Close(refusal)
 		return nil, refusal
 	}
-	f.kept = &t
-	f.Record.First = time.Since(f.Record.Start)
-	return f, nil
+	s.firstToken = &t
+	s.Record.First = time.Since(s.Record.Start)
+	return s, nil
 }
 
-// Next returns the next token for the caller, the end of the answer, or the
-// refusal that ends it.
-func (f *Flight) Next() (Token, *refuse.Refusal) {
-	f.delivered = true
-	t, refusal := f.fetch()
+// Next returns the next token, the end of the response, or the refusal that ends the
+// stream.
+func (s *Stream) Next() (Token, *refuse.Refusal) {
+	s.delivered = true
+	t, refusal := s.firstOrNext()
 	if refusal != nil || t.End() {
 		return t, refusal
 	}
-	g := f.cursor.Generation()
-	f.runner.book.Assert(invar.OneGeneration, f.shown == "" || f.shown == g, "request %s shows tokens of two generations", f.call.Request)
-	f.shown = g
+	g := s.cursor.Generation()
+	s.runner.invariants.Assert(invar.OneGeneration, s.shownGeneration == "" || s.shownGeneration == g, "request %s shows tokens of two generations", s.call.Request)
+	s.shownGeneration = g
 	return t, nil
 }
 
-// fetch returns the kept first token, or the next one.
-func (f *Flight) fetch() (Token, *refuse.Refusal) {
-	if t := f.kept; t != nil {
-		f.kept = nil
+// firstOrNext returns the stored first token, or else fetches the next one.
+func (s *Stream) firstOrNext() (Token, *refuse.Refusal) {
+	if t := s.firstToken; t != nil {
+		s.firstToken = nil
 		return *t, nil
 	}
-	return f.step()
+	return s.nextToken()
 }
 
-// Whole returns the whole answer. Until it does, no token has reached the
-// caller, so a lost engine may still be replaced.
-func (f *Flight) Whole() (string, string, *refuse.Refusal) {
+// ReadAll returns the text and finish reason of the complete generation. No token
+// reaches the caller before that, so the generation may be run again if its engine is
+// lost.
+func (s *Stream) ReadAll() (string, string, *refuse.Refusal) {
 	var text strings.Builder
-	reruns := f.Record.Reruns
-	t := *f.kept
-	f.kept = nil
+	reruns := s.Record.Reruns
+	t := *s.firstToken
+	s.firstToken = nil
 	for !t.End() {
 		text.WriteString(t.Text)
 		var refusal *refuse.Refusal
-		if t, refusal = f.step(); refusal != nil {
+		if t, refusal = s.nextToken(); refusal != nil {
 			return "", "", refusal
 		}
-		if f.Record.Reruns != reruns {
-			reruns = f.Record.Reruns
+		if s.Record.Reruns != reruns {
+			reruns = s.Record.Reruns
 			text.Reset()
 		}
 	}
 	return text.String(), t.Finish, nil
 }
 
-// Close ends the flight. The generation itself goes on for its detach time if
-// it has not ended, so that the caller may come back to it.
-func (f *Flight) Close(refusal *refuse.Refusal) {
-	if f.closed {
+// Close closes the stream. An unfinished generation continues on its engine for the
+// detach timeout, so that the caller can resume it.
+func (s *Stream) Close(refusal *refuse.Refusal) {
+	if s.closed {
 		return
 	}
-	f.closed = true
-	f.unlink()
-	f.release(pool.CutOff)
-	f.cancel()
-	truthful := refusal == nil || refusal.Ran != refuse.RanNo || !f.started
-	f.runner.book.Assert(invar.NotRun, truthful, "request %s was started, and its refusal says it never ran", f.call.Request)
+	s.closed = true
+	s.disconnect()
+	s.release(pool.CutOff)
+	s.cancel()
+	ranCorrect := refusal == nil || refusal.Ran != refuse.RanNo || !s.started
+	s.runner.invariants.Assert(invar.NotRun, ranCorrect, "request %s was started, and its refusal says it never ran", s.call.Request)
 }
 
-// step yields the next accepted token, resuming and running again as needed.
-func (f *Flight) step() (Token, *refuse.Refusal) {
+// nextToken returns the next token in order. It resumes the generation or runs it again
+// as needed.
+func (s *Stream) nextToken() (Token, *refuse.Refusal) {
 	for {
-		if f.link == nil {
-			if refusal := f.connect(); refusal != nil {
+		if s.conn == nil {
+			if refusal := s.connect(); refusal != nil {
 				return Token{}, refusal
 			}
 			continue
 		}
-		ev, err, _ := f.next()
+		ev, err, _ := s.nextEvent()
 		if err != nil {
-			if refusal := f.broken(err); refusal != nil {
+			if refusal := s.connFailed(err); refusal != nil {
 				return Token{}, refusal
 			}
 			continue
 		}
-		if t, ok := f.take(ev); ok {
+		if t, ok := s.handleEvent(ev); ok {
 			return t, nil
 		}
 	}
 }
 
-// take judges one event; ok says that it is something for the caller.
-func (f *Flight) take(ev engine.Event) (Token, bool) {
+// handleEvent handles one event. It returns true if the event yields a token, or the end,
+// for the caller.
+func (s *Stream) handleEvent(ev engine.Event) (Token, bool) {
 	switch ev.Kind {
 	case engine.Paused:
-		f.Record.Preemptions++
+		s.Record.Preemptions++
 	case engine.Done:
-		return f.end(ev)
+		return s.handleDone(ev)
 	case engine.Token:
-		switch f.cursor.Offer(ev.Generation, ev.Index) {
+		switch s.cursor.Offer(ev.Generation, ev.Index) {
 		case token.Accept:
-			f.progress()
+			s.recordToken()
 			return Token{Index: ev.Index, Text: ev.Text}, true
 		case token.Gap, token.Foreign:
-			f.unlink()
-			f.resumes++
+			s.disconnect()
+			s.failedResumes++
 		}
 	}
 	return Token{}, false
 }
 
-// end takes the end of a generation, if every token before it came.
-func (f *Flight) end(ev engine.Event) (Token, bool) {
-	if ev.Generation != f.cursor.Generation() || ev.Index != f.cursor.Next() || ev.Finish == "" {
-		f.unlink()
-		f.resumes++
+// handleDone accepts the end of the generation if every token before it was received;
+// otherwise the stream is resumed.
+func (s *Stream) handleDone(ev engine.Event) (Token, bool) {
+	if ev.Generation != s.cursor.Generation() || ev.Index != s.cursor.Next() || ev.Finish == "" {
+		s.disconnect()
+		s.failedResumes++
 		return Token{}, false
 	}
-	f.unlink()
-	f.release(pool.Whole)
-	f.runner.book.Assert(invar.TokenOrder, f.cursor.Next() == ev.Index, "%d tokens in place of %d", f.cursor.Next(), ev.Index)
+	s.disconnect()
+	s.release(pool.Whole)
+	s.runner.invariants.Assert(invar.TokenOrder, s.cursor.Next() == ev.Index, "%d tokens in place of %d", s.cursor.Next(), ev.Index)
 	return Token{Index: ev.Index, Finish: ev.Finish}, true
 }
 
-// progress accounts for one token.
-func (f *Flight) progress() {
+// recordToken updates the record for one received token.
+func (s *Stream) recordToken() {
 	now := time.Now()
-	gap := now.Sub(f.last)
-	if gap > f.pace {
-		f.Record.Stall += gap - f.pace
-		f.Record.Slow++
+	gap := now.Sub(s.lastTokenAt)
+	if gap > s.expectedGap {
+		s.Record.Stall += gap - s.expectedGap
+		s.Record.Slow++
 	}
-	if f.Record.Tokens > 0 {
-		f.runner.rec.Gap(gap)
+	if s.Record.Tokens > 0 {
+		s.runner.recorder.Gap(gap)
 	}
-	f.last = now
-	f.pace = f.runner.cfg.TokenPace
-	f.resumes, f.cuts = 0, 0
-	f.Record.Tokens++
-	if f.seat != nil {
-		f.seat.Progress(int(f.cursor.Next()))
+	s.lastTokenAt = now
+	s.expectedGap = s.runner.cfg.TokenPace
+	s.failedResumes, s.disconnects = 0, 0
+	s.Record.Tokens++
+	if s.reservation != nil {
+		s.reservation.Progress(int(s.cursor.Next()))
 	}
 }
 
-// connect starts the generation, or links to the one that runs.
-func (f *Flight) connect() *refuse.Refusal {
-	if f.cursor == nil {
-		return f.start()
+// connect starts the generation, or reconnects to the running one.
+func (s *Stream) connect() *refuse.Refusal {
+	if s.cursor == nil {
+		return s.start()
 	}
-	if f.resumes > f.runner.cfg.ResumeTry {
-		return f.lost(refuse.ServerDied, "the engine could not be reached again")
+	if s.failedResumes > s.runner.cfg.ResumeTry {
+		return s.engineLost(refuse.ServerDied, "the engine could not be reached again")
 	}
-	if n := max(f.resumes, f.cuts); n > 0 && !f.sleep(f.runner.delay(n)) {
-		return f.lost(refuse.CallerStalled, "the request was cut off")
+	if n := max(s.failedResumes, s.disconnects); n > 0 && !s.sleep(s.runner.backoff(n)) {
+		return s.engineLost(refuse.CallerStalled, "the request was cut off")
 	}
-	if time.Since(f.last) > f.runner.cfg.Patience {
-		return f.lost(refuse.ServerSilent, "the engine produced no token for "+f.runner.cfg.Patience.String())
+	if time.Since(s.lastTokenAt) > s.runner.cfg.Patience {
+		return s.engineLost(refuse.ServerSilent, "the engine produced no token for "+s.runner.cfg.Patience.String())
 	}
-	link, err := f.runner.engines.Resume(f.ctx, f.addr, f.cursor.Generation(), f.cursor.Next())
+	conn, err := s.runner.engines.Resume(s.ctx, s.engineAddr, s.cursor.Generation(), s.cursor.Next())
 	if err != nil {
-		return f.broken(err)
+		return s.connFailed(err)
 	}
-	f.Record.Resumes++
-	f.attach(link)
+	s.Record.Resumes++
+	s.attach(conn)
 	return nil
 }
 
-func (f *Flight) attach(link *engine.Stream) {
-	f.link = link
-	f.next, f.stop = iter.Pull2(link.Events())
+// attach makes conn the stream's current connection.
+func (s *Stream) attach(conn *engine.Stream) {
+	s.conn = conn
+	s.nextEvent, s.stopEvents = iter.Pull2(conn.Events())
 }
 
-func (f *Flight) unlink() {
-	if f.link == nil {
+// disconnect closes the current connection, if any.
+func (s *Stream) disconnect() {
+	if s.conn == nil {
 		return
 	}
-	f.link.Close()
-	f.stop()
-	f.link = nil
+	s.conn.Close()
+	s.stopEvents()
+	s.conn = nil
 }
 
-// broken judges a link that failed.
-func (f *Flight) broken(err error) *refuse.Refusal {
-	live := f.link != nil
-	f.unlink()
+// connFailed handles the failure of a connection or of an attempt to reconnect.
+func (s *Stream) connFailed(err error) *refuse.Refusal {
+	wasConnected := s.conn != nil
+	s.disconnect()
 	var e *engine.Error
 	if errors.As(err, &e) && e.Fault == engine.Unknown {
-		return f.lost(refuse.ServerDied, "the engine no longer knows the generation")
+		return s.engineLost(refuse.ServerDied, "the engine no longer knows the generation")
 	}
 	switch {
-	case live && e != nil && e.Fault == engine.Silent:
-		// The engine answered this link; a quiet stream may just be waiting
-		// for memory. Whether the engine lives shows when the link is resumed.
-	case live:
-		f.cuts++
+	case wasConnected && e != nil && e.Fault == engine.Silent:
+		// The engine responded on this connection, and the generation may only be
+		// waiting for memory. Resuming it shows whether the engine is alive.
+	case wasConnected:
+		s.disconnects++
 	default:
-		f.resumes++
+		s.failedResumes++
 	}
 	return nil
 }
 
-// lost gives the engine up: the generation runs again elsewhere, or ends.
-func (f *Flight) lost(reason refuse.Reason, detail string) *refuse.Refusal {
-	f.release(pool.Lost)
-	if f.mayRerun() {
-		f.exclude[f.Record.Server] = struct{}{}
-		f.runner.abandon(f.addr, f.cursor.Generation())
-		f.cursor = nil
-		f.resumes, f.cuts = 0, 0
-		f.Record.Reruns++
-		f.Record.Tokens = 0
+// engineLost abandons the engine. It prepares to run the generation again on another
+// engine, or returns the refusal that ends the stream.
+func (s *Stream) engineLost(reason refuse.Reason, detail string) *refuse.Refusal {
+	s.release(pool.Lost)
+	if s.canRerun() {
+		s.exclude[s.Record.Server] = struct{}{}
+		s.runner.cancelGeneration(s.engineAddr, s.cursor.Generation())
+		s.cursor = nil
+		s.failedResumes, s.disconnects = 0, 0
+		s.Record.Reruns++
+		s.Record.Tokens = 0
 		return nil
 	}
 	ran := refuse.RanMaybe
-	if f.delivered {
+	if s.delivered {
 		ran = refuse.RanPartial
 	}
-	return refuse.New(reason, "%s; %d tokens had come", detail, f.cursor.Next()).With(ran).After(time.Second)
+	return refuse.New(reason, "%s; %d tokens had come", detail, s.cursor.Next()).With(ran).After(time.Second)
 }
 
-func (f *Flight) mayRerun() bool {
-	return !f.delivered && !f.call.AtMostOnce && f.ctx.Err() == nil && f.runner.budget.Spend()
+// canRerun reports whether the generation may be run again. It takes a retry from the
+// budget.
+func (s *Stream) canRerun() bool {
+	return !s.delivered && !s.call.AtMostOnce && s.ctx.Err() == nil && s.runner.budget.Spend()
 }
 
-func (f *Flight) release(end pool.Ending) {
-	if f.seat != nil {
-		f.seat.Release(end, time.Now())
-		f.seat = nil
+// release releases the reservation, if any.
+func (s *Stream) release(end pool.Ending) {
+	if s.reservation != nil {
+		s.reservation.Release(end, time.Now())
+		s.reservation = nil
 	}
 }
 
-// sleep waits for d; false if the flight was cut off.
-func (f *Flight) sleep(d time.Duration) bool {
+// sleep waits for d. It returns false if the context was cancelled meanwhile.
+func (s *Stream) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
-	case <-f.ctx.Done():
+	case <-s.ctx.Done():
 		return false
 	}
 }
--- a/internal/route/gener/flight_test.go
+++ b/internal/route/gener/flight_test.go
@@ -29,39 +29,40 @@
 	"umberladder/internal/test/check"
 )
 
-// length is how many tokens every generation of these tests has.
-const length = 6
+// numTokens is the number of tokens of every generation in these tests.
+const numTokens = 6
 
-var errDown = &engine.Error{Fault: engine.Unsent, Err: io.EOF}
+var errUnreachable = &engine.Error{Fault: engine.Unsent, Err: io.EOF}
 
-// act is what an engine does with one call: it fails, or sends tokens
-// [from, to) and then ends in some way.
-type act struct {
+// behaviour describes an engine's response to one call: it fails, or sends tokens
+// [from, to) and then ends in the given way.
+type behaviour struct {
 	err      error
 	from, to uint64
 	end      string // "done", "cut", "silent", "foreign" or "short"
 }
 
-// fake is every engine of a test. decide chooses what each call meets.
-type fake struct {
-	decide  func(call string, server netip.AddrPort, next uint64) act
-	started map[ident.Generation]int // how often it was taken
+// fakeEngines simulates all engines of a test. respond returns the behaviour for each
+// call.
+type fakeEngines struct {
+	respond func(call string, server netip.AddrPort, next uint64) behaviour
+	started map[ident.Generation]int // number of starts that may have run
 	calls   []string
 }
 
-func (f *fake) Start(_ context.Context, addr netip.AddrPort, s engine.Start) (*engine.Stream, error) {
-	return f.answer("start", addr, s.Generation, 0)
+func (f *fakeEngines) Start(_ context.Context, addr netip.AddrPort, s engine.Start) (*engine.Stream, error) {
+	return f.serve("start", addr, s.Generation, 0)
 }
 
-func (f *fake) Resume(_ context.Context, addr netip.AddrPort, g ident.Generation, next uint64) (*engine.Stream, error) {
-	return f.answer("resume", addr, g, next)
+func (f *fakeEngines) Resume(_ context.Context, addr netip.AddrPort, g ident.Generation, next uint64) (*engine.Stream, error) {
+	return f.serve("resume", addr, g, next)
 }
 
-func (f *fake) Cancel(context.Context, netip.AddrPort, ident.Generation) error { return nil }
+func (f *fakeEngines) Cancel(context.Context, netip.AddrPort, ident.Generation) error { return nil }
 
-func (f *fake) answer(call string, addr netip.AddrPort, g ident.Generation, next uint64) (*engine.Stream, error) {
+func (f *fakeEngines) serve(call string, addr netip.AddrPort, g ident.Generation, next uint64) (*engine.Stream, error) {
 	f.calls = append(f.calls, fmt.Sprintf("%s %d", call, addr.Port()))
-	a := f.decide(call, addr, next)
+	a := f.respond(call, addr, next)
 	var e *engine.Error
 	if call == "start" && (a.err == nil || errors.As(a.err, &e) && !e.NotRun()) {
 		f.started[g]++
@@ -69,16 +70,16 @@
 	if a.err != nil {
 		return nil, a.err
 	}
-	return engine.NewStream(&body{Reader: strings.NewReader(events(g, a)), end: a.end}), nil
+	return engine.NewStream(&fakeBody{Reader: strings.NewReader(events(g, a)), end: a.end}), nil
 }
 
-// body ends a stream as a link would.
-type body struct {
+// fakeBody is a response body that ends like a connection.
+type fakeBody struct {
 	*strings.Reader
 	end string
 }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *fakeBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if errors.Is(err, io.EOF) && b.end == "silent" {
 		time.Sleep(2 * time.Second)
@@ -87,9 +88,9 @@
 	return n, err
 }
 
-func (b *body) Close() error { return nil }
+func (b *fakeBody) Close() error { return nil }
 
-func events(g ident.Generation, a act) string {
+func events(g ident.Generation, a behaviour) string {
 	var b strings.Builder
 	for i := a.from; i < a.to; i++ {
 		fmt.Fprintf(&b, "data: {\"id\":%q,\"index\":%d,\"text\":\"%d.%s \"}\n\n", g, i, i, g)
@@ -98,72 +99,72 @@
 	case "foreign":
 		fmt.Fprintf(&b, "data: {\"id\":\"other\",\"index\":%d,\"text\":\"x\"}\n\n", a.to)
 	case "done", "short": // short: the end comes before the last tokens
-		fmt.Fprintf(&b, "event: done\ndata: {\"id\":%q,\"tokens\":%d,\"finish\":\"stop\"}\n\n", g, length)
+		fmt.Fprintf(&b, "event: done\ndata: {\"id\":%q,\"tokens\":%d,\"finish\":\"stop\"}\n\n", g, numTokens)
 	}
 	return b.String()
 }
 
-// alone places with one pool.
-type alone struct{ *pool.Pool }
+// localPlacer places generations with one pool.
+type localPlacer struct{ *pool.Pool }
 
-func (a alone) Acquire(ctx context.Context, ask *pool.Ask) (Seat, *refuse.Refusal) {
-	s, refusal := a.Pool.Acquire(ctx, ask)
+func (p localPlacer) Acquire(ctx context.Context, req *pool.Ask) (Seat, *refuse.Refusal) {
+	s, refusal := p.Pool.Acquire(ctx, req)
 	if refusal != nil {
 		return nil, refusal
 	}
 	return s, nil
 }
 
-type silent struct{}
+type noopRecorder struct{}
 
-func (silent) Done(*final.Record) {}
-func (silent) Gap(time.Duration)  {}
+func (noopRecorder) Done(*final.Record) {}
+func (noopRecorder) Gap(time.Duration)  {}
 
-// trial is one flight's surroundings.
-type trial struct {
-	fake   *fake
-	book   *invar.Book
-	runner *Runner
-	pool   *pool.Pool
-	group  *errgroup.Group
-	call   Call
+// harness is a runner with fake engines.
+type harness struct {
+	engines    *fakeEngines
+	invariants *invar.Book
+	runner     *Runner
+	pool       *pool.Pool
+	group      *errgroup.Group
+	call       Call
 }
 
-func newTrial(decide func(string, netip.AddrPort, uint64) act) *trial {
-	t := &trial{fake: &fake{decide: decide, started: map[ident.Generation]int{}}, book: &invar.Book{}, group: &errgroup.Group{}}
+func newHarness(respond func(string, netip.AddrPort, uint64) behaviour) *harness {
+	h := &harness{engines: &fakeEngines{respond: respond, started: map[ident.Generation]int{}}, invariants: &invar.Book{}, group: &errgroup.Group{}}
 	rng := rand.New(rand.NewPCG(1, 1))
-	t.runner = New(DefaultConfig(), t.fake, retry.NewBudget(), t.book, silent{}, t.group, rng)
-	t.pool = pool.New("m", place.Predicted{}, func() int { return 1 }, t.book, rng)
+	h.runner = New(DefaultConfig(), h.engines, retry.NewBudget(), h.invariants, noopRecorder{}, h.group, rng)
+	h.pool = pool.New("m", place.Predicted{}, func() int { return 1 }, h.invariants, rng)
 	var servers []config.Server
 	for i := range 3 {
 		addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1))
 		servers = append(servers, config.Server{Name: ident.Server(fmt.Sprintf("e%d", i+1)), Address: addr})
 	}
-	t.pool.Update(servers)
-	t.report()
+	h.pool.Update(servers)
+	h.reportLoads()
 	class := &config.Class{Name: "standard", Rank: 1, MaxWait: 10 * time.Second}
 	service := &config.Service{Name: "s", OverflowChance: 0.05}
-	t.call = Call{Request: "r", Service: service, Class: class, Ask: pool.Ask{Service: service, Class: class, Prompt: 4}}
-	return t
+	h.call = Call{Request: "r", Service: service, Class: class, Placement: pool.Ask{Service: service, Class: class, Prompt: 4}}
+	return h
 }
 
-func (t *trial) report() {
-	for _, s := range t.pool.Servers() {
-		t.pool.Report(s.Name, engine.Load{MemorySize: 1 << 20, At: time.Now()}, time.Now())
+func (h *harness) reportLoads() {
+	for _, s := range h.pool.Servers() {
+		h.pool.Report(s.Name, engine.Load{MemorySize: 1 << 20, At: time.Now()}, time.Now())
 	}
 }
 
-// stream runs a streamed call to its end and returns the tokens that the
-// caller got.
-func (t *trial) stream() ([]Token, *refuse.Refusal) {
-	f, refusal := t.runner.Open(context.Background(), alone{t.pool}, t.call)
+// stream runs a streaming call to its end and returns the tokens that the caller
+// received.
+func (h *harness) stream() ([]Token, *refuse.Refusal) {
+	s, refusal := h.runner.Open(context.Background(), localPlacer{h.pool}, h.call)
 	if refusal != nil {
 		return nil, refusal
 	}
-	defer func() { f.Close(nil) }()
+	defer func() { s.Close(nil) }()
 	var got []Token
 	for {
-		tok, refusal := f.Next()
+		tok, refusal := s.Next()
 		if refusal != nil || tok.End() {
 			return got, refusal
 		}
@@ -171,18 +172,19 @@
 	}
 }
 
-func (t *trial) whole() (string, *refuse.Refusal) {
-	f, refusal := t.runner.Open(context.Background(), alone{t.pool}, t.call)
+func (h *harness) readAll() (string, *refuse.Refusal) {
+	s, refusal := h.runner.Open(context.Background(), localPlacer{h.pool}, h.call)
 	if refusal != nil {
 		return "", refusal
 	}
-	defer func() { f.Close(nil) }()
-	text, _, refusal := f.Whole()
+	defer func() { s.Close(nil) }()
+	text, _, refusal := s.ReadAll()
 	return text, refusal
 }
 
-// oneRun fails unless the tokens are 0, 1, 2 and so on of one generation.
-func oneRun(t assert.TestingT, got []Token) {
+// assertOneGeneration fails the test unless the tokens have the indices 0, 1, 2 and so on
+// and come from one generation.
+func assertOneGeneration(t assert.TestingT, got []Token) {
 	run := ""
 	for i, tok := range got {
 		index, g, _ := strings.Cut(strings.TrimSpace(tok.Text), ".")
@@ -192,9 +194,10 @@
 	}
 }
 
-// steps makes an engine do one act after another, whatever it is asked.
-func steps(list ...act) func(string, netip.AddrPort, uint64) act {
-	return func(string, netip.AddrPort, uint64) act {
+// sequence returns the behaviours in order, regardless of the call, and repeats the last
+// one.
+func sequence(list ...behaviour) func(string, netip.AddrPort, uint64) behaviour {
+	return func(string, netip.AddrPort, uint64) behaviour {
 		a := list[0]
 		if len(list) > 1 {
 			list = list[1:]
@@ -204,102 +207,102 @@
 }
 
 func TestLinkFaults(t *testing.T) {
-	for name, list := range map[string][]act{
-		"none":                  {{to: length, end: "done"}},
-		"cut and resumed":       {{to: 2, end: "cut"}, {from: 2, to: length, end: "done"}},
-		"repeated indices":      {{to: 4, end: "cut"}, {from: 1, to: length, end: "done"}},
-		"missing indices":       {{to: 2, end: "cut"}, {from: 4, to: length, end: "done"}, {from: 2, to: length, end: "done"}},
-		"another generation":    {{to: 2, end: "foreign"}, {from: 2, to: length, end: "done"}},
-		"an end that is short":  {{to: 3, end: "short"}, {from: 3, to: length, end: "done"}},
-		"silence":               {{to: 3, end: "silent"}, {from: 3, to: 3, end: "silent"}, {from: 3, to: length, end: "done"}},
-		"a link that is slow":   {{to: 3, end: "cut"}, {err: errDown}, {err: errDown}, {from: 3, to: length, end: "done"}},
-		"an end on its own":     {{to: length, end: "cut"}, {from: length, to: length, end: "done"}},
-		"cut before any token":  append(repeat(act{from: 2, to: 2, end: "cut"}, 12, act{to: 2, end: "cut"}), act{from: 2, to: length, end: "done"}),
-		"cut after every token": {{to: 1, end: "cut"}, {from: 1, to: 2, end: "cut"}, {from: 2, to: 3, end: "cut"}, {from: 3, to: length, end: "done"}},
+	for name, list := range map[string][]behaviour{
+		"none":                  {{to: numTokens, end: "done"}},
+		"cut and resumed":       {{to: 2, end: "cut"}, {from: 2, to: numTokens, end: "done"}},
+		"repeated indices":      {{to: 4, end: "cut"}, {from: 1, to: numTokens, end: "done"}},
+		"missing indices":       {{to: 2, end: "cut"}, {from: 4, to: numTokens, end: "done"}, {from: 2, to: numTokens, end: "done"}},
+		"another generation":    {{to: 2, end: "foreign"}, {from: 2, to: numTokens, end: "done"}},
+		"an end that is short":  {{to: 3, end: "short"}, {from: 3, to: numTokens, end: "done"}},
+		"silence":               {{to: 3, end: "silent"}, {from: 3, to: 3, end: "silent"}, {from: 3, to: numTokens, end: "done"}},
+		"a link that is slow":   {{to: 3, end: "cut"}, {err: errUnreachable}, {err: errUnreachable}, {from: 3, to: numTokens, end: "done"}},
+		"an end on its own":     {{to: numTokens, end: "cut"}, {from: numTokens, to: numTokens, end: "done"}},
+		"cut before any token":  append(repeat(behaviour{from: 2, to: 2, end: "cut"}, 12, behaviour{to: 2, end: "cut"}), behaviour{from: 2, to: numTokens, end: "done"}),
+		"cut after every token": {{to: 1, end: "cut"}, {from: 1, to: 2, end: "cut"}, {from: 2, to: 3, end: "cut"}, {from: 3, to: numTokens, end: "done"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTrial(steps(list...))
-				got, refusal := tr.stream()
+				h := newHarness(sequence(list...))
+				got, refusal := h.stream()
 				assert.Assert(t, refusal == nil, "%v", refusal)
-				assert.Equal(t, len(got), length)
-				oneRun(t, got)
-				assert.Equal(t, len(tr.fake.started), 1, "one generation, resumed and not run again")
-				check.Invariants(t, tr.book)
+				assert.Equal(t, len(got), numTokens)
+				assertOneGeneration(t, got)
+				assert.Equal(t, len(h.engines.started), 1, "the generation must be resumed, not run again")
+				check.Invariants(t, h.invariants)
 			})
 		})
 	}
 }
 
-// repeat returns first and then n times a.
-func repeat(a act, n int, first act) []act {
-	out := []act{first}
+// repeat returns first followed by n times a.
+func repeat(a behaviour, n int, first behaviour) []behaviour {
+	out := []behaviour{first}
 	for range n {
 		out = append(out, a)
 	}
 	return out
 }
 
-// firstDies makes the engine of the first start die after n tokens; every
-// other engine works.
-func firstDies(n uint64) func(string, netip.AddrPort, uint64) act {
+// firstEngineFails makes the engine of the first start fail after n tokens; every other
+// engine works.
+func firstEngineFails(n uint64) func(string, netip.AddrPort, uint64) behaviour {
 	var dead netip.AddrPort
-	return func(call string, addr netip.AddrPort, _ uint64) act {
+	return func(call string, addr netip.AddrPort, _ uint64) behaviour {
 		if call == "start" && !dead.IsValid() {
 			dead = addr
-			return act{to: n, end: "cut"}
+			return behaviour{to: n, end: "cut"}
 		}
 		if addr == dead {
-			return act{err: errDown}
+			return behaviour{err: errUnreachable}
 		}
-		return act{to: length, end: "done"}
+		return behaviour{to: numTokens, end: "done"}
 	}
 }
 
 func TestEngineDies(t *testing.T) {
 	t.Run("before the first token: it runs elsewhere", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrial(firstDies(0))
-			got, refusal := tr.stream()
+			h := newHarness(firstEngineFails(0))
+			got, refusal := h.stream()
 			assert.Assert(t, refusal == nil, "%v", refusal)
-			assert.Equal(t, len(got), length)
-			oneRun(t, got)
-			assert.NilError(t, tr.group.Wait())
+			assert.Equal(t, len(got), numTokens)
+			assertOneGeneration(t, got)
+			assert.NilError(t, h.group.Wait())
 		})
 	})
 	t.Run("after it: a partial refusal, at once", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
-			tr := newTrial(firstDies(3))
-			got, refusal := tr.stream()
+			h := newHarness(firstEngineFails(3))
+			got, refusal := h.stream()
 			check.Refusal(t, refusal, refuse.ServerDied, refuse.RanPartial)
 			assert.Equal(t, len(got), 3)
-			oneRun(t, got)
+			assertOneGeneration(t, got)
 			assert.Assert(t, time.Since(start) < 3*time.Second)
-			assert.Equal(t, len(tr.fake.started), 1)
+			assert.Equal(t, len(h.engines.started), 1)
 		})
 	})
 	t.Run("a whole answer is run again", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrial(firstDies(3))
-			text, refusal := tr.whole()
+			h := newHarness(firstEngineFails(3))
+			text, refusal := h.readAll()
 			assert.Assert(t, refusal == nil, "%v", refusal)
 			var got []Token
 			for _, w := range strings.Fields(text) {
 				got = append(got, Token{Text: w})
 			}
-			assert.Equal(t, len(got), length)
-			oneRun(t, got)
-			assert.NilError(t, tr.group.Wait())
+			assert.Equal(t, len(got), numTokens)
+			assertOneGeneration(t, got)
+			assert.NilError(t, h.group.Wait())
 		})
 	})
 	t.Run("a call at most once is not", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrial(firstDies(0))
-			tr.call.AtMostOnce = true
-			_, refusal := tr.stream()
+			h := newHarness(firstEngineFails(0))
+			h.call.AtMostOnce = true
+			_, refusal := h.stream()
 			check.Refusal(t, refusal, refuse.ServerDied, refuse.RanMaybe)
-			assert.Equal(t, len(tr.fake.started), 1)
+			assert.Equal(t, len(h.engines.started), 1)
 		})
 	})
 }
@@ -315,22 +318,22 @@
 		starts     int
 	}{
 		"every engine refuses":              {refused, false, refuse.ServerRefused, refuse.RanNo, 3},
-		"none can be reached":               {errDown, false, refuse.ServerRefused, refuse.RanNo, 3},
+		"none can be reached":               {errUnreachable, false, refuse.ServerRefused, refuse.RanNo, 3},
 		"refusals are safe at most once":    {refused, true, refuse.ServerRefused, refuse.RanNo, 3},
 		"no word, and at most once":         {maybe, true, refuse.ServerSilent, refuse.RanMaybe, 1},
 		"no word from any, and it may have": {maybe, false, refuse.NoServer, refuse.RanMaybe, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				tr := newTrial(steps(act{err: c.err}))
-				tr.call.AtMostOnce = c.atMostOnce
+				h := newHarness(sequence(behaviour{err: c.err}))
+				h.call.AtMostOnce = c.atMostOnce
 				begun := time.Now()
-				_, refusal := tr.stream()
-				assert.Assert(t, time.Since(begun) < time.Second, "the answer is sent at once")
+				_, refusal := h.stream()
+				assert.Assert(t, time.Since(begun) < time.Second, "the refusal must be immediate")
 				check.Refusal(t, refusal, c.reason, c.ran)
-				assert.Equal(t, len(tr.fake.calls), c.starts)
-				assert.Assert(t, refusal.RetryAfter > 0, "it says when to come back")
-				assert.NilError(t, tr.group.Wait())
+				assert.Equal(t, len(h.engines.calls), c.starts)
+				assert.Assert(t, refusal.RetryAfter > 0, "the refusal must have a retry delay")
+				assert.NilError(t, h.group.Wait())
 			})
 		})
 	}
@@ -338,60 +341,61 @@
 
 func TestPausedTooLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := newTrial(func(_ string, _ netip.AddrPort, next uint64) act {
-			return act{from: next, to: max(next, 2), end: "silent"}
+		h := newHarness(func(_ string, _ netip.AddrPort, next uint64) behaviour {
+			return behaviour{from: next, to: max(next, 2), end: "silent"}
 		})
 		start := time.Now()
-		got, refusal := tr.stream()
+		got, refusal := h.stream()
 		check.Refusal(t, refusal, refuse.ServerSilent, refuse.RanPartial)
 		assert.Equal(t, len(got), 2)
 		assert.Assert(t, time.Since(start) < DefaultConfig().Patience+10*time.Second)
 	})
 }
 
-// TestAnything draws what each call to an engine meets. Whatever it is, the
-// caller gets tokens of one generation in order; a refusal tells the truth; a
-// call at most once is given to one engine; and there is an end.
-func TestAnything(t *testing.T) {
+// TestRandomFaults draws a random behaviour for each call to an engine. In every case the
+// caller must receive tokens of one generation in order, a refusal must state correctly
+// whether the call ran, an at-most-once call must be given to at most one engine, and the
+// stream must end.
+func TestRandomFaults(t *testing.T) {
 	check.Checks(t, 400)
 	rapid.Check(t, func(rt *rapid.T) {
 		atMostOnce := rapid.Bool().Draw(rt, "at most once")
 		synctest.Test(t, func(t *testing.T) {
-			tr := newTrial(func(call string, _ netip.AddrPort, next uint64) act {
+			h := newHarness(func(call string, _ netip.AddrPort, next uint64) behaviour {
 				switch rapid.IntRange(0, 9).Draw(rt, call) {
 				case 0:
-					return act{err: errDown}
+					return behaviour{err: errUnreachable}
 				case 1:
-					return act{err: &engine.Error{Fault: engine.Maybe, Err: io.EOF}}
+					return behaviour{err: &engine.Error{Fault: engine.Maybe, Err: io.EOF}}
 				case 2:
 					if call == "start" {
-						return act{err: &engine.Error{Fault: engine.Refused, Err: io.EOF}}
+						return behaviour{err: &engine.Error{Fault: engine.Refused, Err: io.EOF}}
 					}
-					return act{err: &engine.Error{Fault: engine.Unknown, Err: io.EOF}}
+					return behaviour{err: &engine.Error{Fault: engine.Unknown, Err: io.EOF}}
 				}
 				from := next
 				if call == "resume" {
-					from = uint64(rapid.IntRange(max(0, int(next)-2), min(length, int(next)+1)).Draw(rt, "from"))
+					from = uint64(rapid.IntRange(max(0, int(next)-2), min(numTokens, int(next)+1)).Draw(rt, "from"))
 				}
-				to := uint64(rapid.IntRange(int(from), length).Draw(rt, "to"))
+				to := uint64(rapid.IntRange(int(from), numTokens).Draw(rt, "to"))
 				end := rapid.SampledFrom([]string{"cut", "silent", "foreign", "short", "done"}).Draw(rt, "end")
 				if end == "done" {
-					to = length
+					to = numTokens
 				}
-				return act{from: from, to: to, end: end}
+				return behaviour{from: from, to: to, end: end}
 			})
-			tr.call.AtMostOnce = atMostOnce
-			got, refusal := tr.stream()
-			oneRun(t, got)
-			check.Invariants(t, tr.book)
+			h.call.AtMostOnce = atMostOnce
+			got, refusal := h.stream()
+			assertOneGeneration(t, got)
+			check.Invariants(t, h.invariants)
 			if refusal == nil {
-				assert.Equal(t, len(got), length)
+				assert.Equal(t, len(got), numTokens)
 			}
 			if refusal != nil && refusal.Ran == refuse.RanNo {
-				assert.Equal(t, len(tr.fake.started), 0, "said not run")
+				assert.Equal(t, len(h.engines.started), 0, "refused as not run, but started")
 			}
-			assert.Assert(t, !atMostOnce || len(tr.fake.started) <= 1)
-			assert.NilError(t, tr.group.Wait())
+			assert.Assert(t, !atMostOnce || len(h.engines.started) <= 1)
+			assert.NilError(t, h.group.Wait())
 		})
 	})
 }
--- a/internal/route/gener/runner.go
+++ b/internal/route/gener/runner.go
@@ -18,14 +18,14 @@
 	"umberladder/internal/state/config"
 )
 
-// Config bounds how long a flight waits.
+// Config holds the timeouts and retry limits of streams.
 type Config struct {
-	Patience   time.Duration // longest time without a token from a live engine
-	Detach     time.Duration // how long an engine goes on while nobody reads
-	ResumeBase time.Duration // first delay before a link is resumed
-	ResumeMax  time.Duration // longest such delay
-	ResumeTry  int           // failed resumes in a row that make an engine lost
-	StartTry   int           // engines tried that provably did not start
+	Patience   time.Duration // maximum time without a token from a live engine
+	Detach     time.Duration // how long an engine continues a generation that nobody reads
+	ResumeBase time.Duration // initial backoff before a generation is resumed
+	ResumeMax  time.Duration // maximum backoff
+	ResumeTry  int           // consecutive failed resumes after which an engine is considered lost
+	StartTry   int           // maximum number of engines tried while each provably did not start the generation
 	FirstPace  time.Duration // expected time to the first token
 	TokenPace  time.Duration // expected time between two tokens
 }
@@ -44,109 +44,110 @@
 	}
 }
 
-// Engines is what a flight needs of the engines' protocol.
-type Engines interface {
+// EngineClient is the part of the engine protocol that streams use.
+type EngineClient interface {
 	Start(ctx context.Context, addr netip.AddrPort, s engine.Start) (*engine.Stream, error)
 	Resume(ctx context.Context, addr netip.AddrPort, g ident.Generation, next uint64) (*engine.Stream, error)
 	Cancel(ctx context.Context, addr netip.AddrPort, g ident.Generation) error
 }
 
-// Seat is a generation's place on an engine.
+// Reservation is the capacity reserved for a generation on an engine.
 type Seat interface {
 	At() config.Server
 	Progress(n int)
 	Release(end pool.Ending, now time.Time)
 }
 
-// Placer finds places for generations of one model.
+// Placer reserves capacity for generations of one model.
 type Placer interface {
 	Model() ident.Model
-	Acquire(ctx context.Context, ask *pool.Ask) (Seat, *refuse.Refusal)
+	Acquire(ctx context.Context, req *pool.Ask) (Seat, *refuse.Refusal)
 }
 
-// Call is one generation that a caller asked for.
+// Call describes a generation requested by a caller.
 type Call struct {
 	Request    ident.Request
 	Service    *config.Service
 	Class      *config.Class
 	Prompt     string
 	MaxTokens  int
-	AtMostOnce bool // it may be started once, ever
-	Ask        pool.Ask
+	AtMostOnce bool // the generation must not be started more than once
+	Placement  pool.Ask
 }
 
-// Token is one token for the caller, or the end of the answer.
+// Token is one token for the caller, or the end of the response.
 type Token struct {
 	Index  uint64
 	Text   string
 	Finish string // set at the end: "stop" or "length"
 }
 
-// End reports whether t is the end of the answer.
+// End reports whether t is the end of the response.
 func (t Token) End() bool { return t.Finish != "" }
 
-// Group runs what outlives the call that asked for it.
+// Group runs goroutines that may outlive the call that started them.
 type Group interface {
 	Go(f func() error)
 }
 
-// Runner starts flights. It is safe for use by several goroutines.
+// Runner starts streams. It is safe for concurrent use.
 type Runner struct {
-	cfg     Config
-	engines Engines
-	budget  *retry.Budget
-	book    *invar.Book
-	rec     final.Recorder
-	group   Group
+	cfg        Config
+	engines    EngineClient
+	budget     *retry.Budget
+	invariants *invar.Book
+	recorder   final.Recorder
+	group      Group
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// New makes a runner.
-func New(cfg Config, engines Engines, budget *retry.Budget, book *invar.Book, rec final.Recorder, group Group, rng *rand.Rand) *Runner {
-	return &Runner{cfg: cfg, engines: engines, budget: budget, book: book, rec: rec, group: group, rng: rng}
+// New returns a Runner.
+func New(cfg Config, engines EngineClient, budget *retry.Budget, book *invar.Book, rec final.Recorder, group Group, rng *rand.Rand) *Runner {
+	return &Runner{cfg: cfg, engines: engines, budget: budget, invariants: book, recorder: rec, group: group, rng: rng}
 }
 
-// Open starts a generation and returns once its first token is at hand.
-func (r *Runner) Open(ctx context.Context, p Placer, call Call) (*Flight, *refuse.Refusal) {
+// Open starts a generation and returns its stream once the first token has been received.
+func (r *Runner) Open(ctx context.Context, p Placer, call Call) (*Stream, *refuse.Refusal) {
 	r.budget.Earn()
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Flight{
-		runner:  r,
-		placer:  p,
-		call:    call,
-		ctx:     ctx,
-		cancel:  cancel,
-		exclude: map[ident.Server]struct{}{},
-		last:    time.Now(),
-		pace:    r.cfg.FirstPace,
+	s := &Stream{
+		runner:      r,
+		placer:      p,
+		call:        call,
+		ctx:         ctx,
+		cancel:      cancel,
+		exclude:     map[ident.Server]struct{}{},
+		lastTokenAt: time.Now(),
+		expectedGap: r.cfg.FirstPace,
 	}
-	f.Record.Start = f.last
-	return f.first()
+	s.Record.Start = s.lastTokenAt
+	return s.awaitFirst()
 }
 
-// Rejoin goes on with a generation that another VM started, from token next
-// on. The generation is followed and never run again.
-func (r *Runner) Rejoin(ctx context.Context, call Call, addr netip.AddrPort, g ident.Generation, next uint64) (*Flight, *refuse.Refusal) {
+// Reattach resumes a generation that another VM may have started, from token next on. The
+// generation is never run again.
+func (r *Runner) Reattach(ctx context.Context, call Call, addr netip.AddrPort, g ident.Generation, next uint64) (*Stream, *refuse.Refusal) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Flight{
-		runner:    r,
-		call:      call,
-		ctx:       ctx,
-		cancel:    cancel,
-		addr:      addr,
-		cursor:    token.New(g, next),
-		started:   true,
-		delivered: true,
-		last:      time.Now(),
-		pace:      r.cfg.FirstPace,
+	s := &Stream{
+		runner:      r,
+		call:        call,
+		ctx:         ctx,
+		cancel:      cancel,
+		engineAddr:  addr,
+		cursor:      token.New(g, next),
+		started:     true,
+		delivered:   true,
+		lastTokenAt: time.Now(),
+		expectedGap: r.cfg.FirstPace,
 	}
-	f.Record.Start = f.last
-	return f.first()
+	s.Record.Start = s.lastTokenAt
+	return s.awaitFirst()
 }
 
-func (r *Runner) delay(attempt int) time.Duration {
+// backoff returns the delay before the given attempt to resume.
+func (r *Runner) backoff(attempt int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return retry.Delay(r.rng, attempt, r.cfg.ResumeBase, r.cfg.ResumeMax)
--- a/internal/route/gener/start.go
+++ b/internal/route/gener/start.go
@@ -14,87 +14,89 @@
 	"umberladder/internal/route/pool"
 )
 
-// cancelTime bounds the call that tells an engine to drop a generation.
-const cancelTime = time.Second
+// cancelTimeout bounds the call that cancels a generation at an engine.
+const cancelTimeout = time.Second
 
-// start takes a place on an engine and gives it the generation.
-func (f *Flight) start() *refuse.Refusal {
-	ask := f.call.Ask
-	ask.Exclude = f.exclude
-	before := time.Now()
-	seat, refusal := f.placer.Acquire(f.ctx, &ask)
-	f.Record.Queued += time.Since(before)
+// start reserves capacity on an engine and starts the generation there.
+func (s *Stream) start() *refuse.Refusal {
+	req := s.call.Placement
+	req.Exclude = s.exclude
+	waitStart := time.Now()
+	reservation, refusal := s.placer.Acquire(s.ctx, &req)
+	s.Record.Queued += time.Since(waitStart)
 	if refusal != nil {
-		return f.truth(refusal)
+		return s.correctRan(refusal)
 	}
-	f.seat = seat
-	f.addr = seat.At().Address
-	f.Record.Server = seat.At().Name
+	s.reservation = reservation
+	s.engineAddr = reservation.At().Address
+	s.Record.Server = reservation.At().Name
 	g := ident.NewGeneration()
-	f.runner.book.Assert(invar.AtMostOnce, !f.call.AtMostOnce || !f.started, "request %s is started twice", f.call.Request)
-	link, err := f.runner.engines.Start(f.ctx, f.addr, engine.Start{
+	s.runner.invariants.Assert(invar.AtMostOnce, !s.call.AtMostOnce || !s.started, "request %s is started twice", s.call.Request)
+	conn, err := s.runner.engines.Start(s.ctx, s.engineAddr, engine.Start{
 		Generation: g,
-		Model:      f.placer.Model(),
-		Prompt:     f.call.Prompt,
-		MaxTokens:  f.call.MaxTokens,
-		Priority:   f.call.Class.Rank,
-		Detach:     f.runner.cfg.Detach,
+		Model:      s.placer.Model(),
+		Prompt:     s.call.Prompt,
+		MaxTokens:  s.call.MaxTokens,
+		Priority:   s.call.Class.Rank,
+		Detach:     s.runner.cfg.Detach,
 	})
 	if err != nil {
-		return f.failed(g, err)
+		return s.startFailed(g, err)
 	}
-	f.started = true
-	f.cursor = token.New(g, 0)
-	f.attach(link)
+	s.started = true
+	s.cursor = token.New(g, 0)
+	s.attach(conn)
 	return nil
 }
 
-// failed judges a start that brought no stream.
-func (f *Flight) failed(g ident.Generation, err error) *refuse.Refusal {
-	f.exclude[f.Record.Server] = struct{}{}
+// startFailed handles a start that returned no stream.
+func (s *Stream) startFailed(g ident.Generation, err error) *refuse.Refusal {
+	s.exclude[s.Record.Server] = struct{}{}
 	var e *engine.Error
 	if errors.As(err, &e) && e.NotRun() {
-		return f.notStarted(e)
+		return s.handleNotStarted(e)
 	}
-	f.started = true
-	f.release(pool.Lost)
-	f.runner.abandon(f.addr, g)
-	if !f.mayRerun() {
-		return refuse.New(refuse.ServerSilent, "engine %s was given the request and did not answer", f.Record.Server).
+	s.started = true
+	s.release(pool.Lost)
+	s.runner.cancelGeneration(s.engineAddr, g)
+	if !s.canRerun() {
+		return refuse.New(refuse.ServerSilent, "engine %s was given the request and did not answer", s.Record.Server).
 			With(refuse.RanMaybe).After(time.Second)
 	}
-	f.Record.Reruns++
+	s.Record.Reruns++
 	return nil
 }
 
-// notStarted tries another engine after one that provably did not start.
-func (f *Flight) notStarted(e *engine.Error) *refuse.Refusal {
+// handleNotStarted handles an engine that provably did not start the generation. It
+// returns nil if another engine should be tried.
+func (s *Stream) handleNotStarted(e *engine.Error) *refuse.Refusal {
 	end := pool.Refused
 	if e.Fault == engine.Unsent {
 		end = pool.Lost
 	}
-	f.release(end)
-	f.refusals++
-	if f.refusals < f.runner.cfg.StartTry && f.runner.budget.Spend() {
+	s.release(end)
+	s.rejections++
+	if s.rejections < s.runner.cfg.StartTry && s.runner.budget.Spend() {
 		return nil
 	}
-	return f.truth(refuse.New(refuse.ServerRefused, "engine %s did not start the request (%s)", f.Record.Server, e.Fault).
+	return s.correctRan(refuse.New(refuse.ServerRefused, "engine %s did not start the request (%s)", s.Record.Server, e.Fault).
 		After(max(e.RetryAfter, time.Second)))
 }
 
-// truth corrects a refusal of a request that an engine was given before.
-func (f *Flight) truth(r *refuse.Refusal) *refuse.Refusal {
-	if f.started {
+// correctRan marks the refusal of a request that an engine received earlier as possibly
+// run.
+func (s *Stream) correctRan(r *refuse.Refusal) *refuse.Refusal {
+	if s.started {
 		r.Ran = refuse.RanMaybe
 	}
 	return r
 }
 
-// abandon tells an engine to drop a generation that nobody will read. It is
-// a courtesy: an engine that does not hear it drops it after its detach time.
-func (r *Runner) abandon(addr netip.AddrPort, g ident.Generation) {
+// cancelGeneration cancels, in the background, a generation that nobody will read. Errors
+// are ignored: an engine drops such a generation anyway after the detach timeout.
+func (r *Runner) cancelGeneration(addr netip.AddrPort, g ident.Generation) {
 	r.group.Go(func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		_ = r.engines.Cancel(ctx, addr, g)
 		return nil
