--- a/internal/route/plain/doc.go
+++ b/internal/route/plain/doc.go
@@ -1,4 +1,5 @@
-// Package plain routes calls to the teams' own HTTP servers. A call that may
-// not be repeated is written once, ever. One that may be is tried again on
-// another server, inside the retry budget.
+// Package plain routes calls to the HTTP servers of plain services, which the
+// workspaces run themselves. A call that must not be repeated is written only once: it
+// is sent to another server only if nothing of it was written before. Other calls are
+// retried on another server. All retries are within the retry budget.
 package plain
--- a/internal/route/plain/router.go
+++ b/internal/route/plain/router.go
@@ -17,38 +17,39 @@
 )
 
 const (
-	maxTries  = 3
-	comeAgain = time.Second
+	maxAttempts = 3           // servers tried per call
+	retryAfter  = time.Second // retry delay of refused calls
 )
 
-// Caller is what a router needs of the plain servers' protocol.
-type Caller interface {
+// Client sends calls to plain servers.
+type Client interface {
 	Do(ctx context.Context, addr netip.AddrPort, call plain.Call) (plain.Answer, error)
 }
 
-// Router chooses servers. It is safe for use by several goroutines.
+// Router sends calls to the servers of plain services. It is safe for concurrent use.
 type Router struct {
-	client Caller
-	budget *retry.Budget
-	book   *invar.Book
+	client     Client
+	budget     *retry.Budget
+	invariants *invar.Book
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	nodes map[netip.AddrPort]*node
+	mu      sync.Mutex
+	rng     *rand.Rand
+	servers map[netip.AddrPort]*serverState
 }
 
-type node struct {
-	open    int
-	breaker retry.Breaker
+// serverState is the state of one server, as seen by this VM.
+type serverState struct {
+	inFlight int
+	breaker  retry.Breaker
 }
 
-// New makes a router.
-func New(client Caller, budget *retry.Budget, book *invar.Book, rng *rand.Rand) *Router {
-	return &Router{client: client, budget: budget, book: book, rng: rng, nodes: map[netip.AddrPort]*node{}}
+// New returns a Router that sends calls with client.
+func New(client Client, budget *retry.Budget, book *invar.Book, rng *rand.Rand) *Router {
+	return &Router{client: client, budget: budget, invariants: book, rng: rng, servers: map[netip.AddrPort]*serverState{}}
 }
 
-// Do sends the request's call to one of the service's servers and returns its
-// answer and server, or the refusal that says whether the call ran.
+// Do sends the call of a request to a server of the service. It returns the response and
+// the server, or a refusal that states whether the call ran.
 func (r *Router) Do(ctx context.Context, id ident.Request, svc *config.Service, call plain.Call) (plain.Answer, ident.Server, *refuse.Refusal) {
 	r.budget.Earn()
 	failed := map[netip.AddrPort]struct{}{}
@@ -57,96 +58,100 @@
 		server := r.pick(svc.Servers, failed)
 		if server == nil {
 			return plain.Answer{}, "", refuse.New(refuse.NoServer, "none of the %d servers of service %s takes calls now",
-				len(svc.Servers), svc.Name).With(ran).After(comeAgain)
+				len(svc.Servers), svc.Name).With(ran).After(retryAfter)
 		}
-		r.book.Assert(invar.AtMostOnce, call.Repeatable || ran == refuse.RanNo, "call %s may have run and is written again", id)
-		answer, err := r.client.Do(ctx, server.Address, call)
-		r.done(server.Address, err)
-		if err == nil && r.own(id, server, answer) {
-			return answer, server.Name, nil
+		r.invariants.Assert(invar.AtMostOnce, call.Repeatable || ran == refuse.RanNo, "call %s may have run and is written again", id)
+		resp, err := r.client.Do(ctx, server.Address, call)
+		r.recordResult(server.Address, err)
+		if err == nil && r.isOwnResponse(id, server, resp) {
+			return resp, server.Name, nil
 		}
-		refusal := judge(server, err)
+		refusal := refusalFor(server, err)
 		ran = max(ran, refusal.Ran)
 		refusal.Ran = ran
 		failed[server.Address] = struct{}{}
-		safe := refusal.Ran == refuse.RanNo || call.Repeatable
-		if !safe || len(failed) >= maxTries || !r.budget.Spend() {
+		mayRepeat := refusal.Ran == refuse.RanNo || call.Repeatable
+		if !mayRepeat || len(failed) >= maxAttempts || !r.budget.Spend() {
 			return plain.Answer{}, server.Name, refusal
 		}
 	}
 }
 
-// own reports whether an answer is the request's: a server that returns the
-// request's identifier must return the right one.
-func (r *Router) own(id ident.Request, server *config.Server, a plain.Answer) bool {
-	return r.book.Assert(invar.OwnAnswer, a.Echo == "" || a.Echo == string(id),
-		"server %s answers request %s with the answer to %s", server.Name, id, a.Echo)
+// isOwnResponse reports whether a response belongs to the request: a server that returns
+// a request identifier must return that of the request.
+func (r *Router) isOwnResponse(id ident.Request, server *config.Server, resp plain.Answer) bool {
+	return r.invariants.Assert(invar.OwnAnswer, resp.Echo == "" || resp.Echo == string(id),
+		"server %s answers request %s with the answer to %s", server.Name, id, resp.Echo)
 }
 
-func judge(server *config.Server, err error) *refuse.Refusal {
+// refusalFor returns the refusal for an attempt at server that failed with err.
+func refusalFor(server *config.Server, err error) *refuse.Refusal {
 	var e *plain.Error
 	if !errors.As(err, &e) {
-		return refuse.New(refuse.ServerDied, "server %s failed", server.Name).With(refuse.RanMaybe).After(comeAgain)
+		return refuse.New(refuse.ServerDied, "server %s failed", server.Name).With(refuse.RanMaybe).After(retryAfter)
 	}
 	switch e.Fault {
 	case plain.Unsent:
-		return refuse.New(refuse.NoServer, "server %s can't be reached", server.Name).After(comeAgain)
+		return refuse.New(refuse.NoServer, "server %s can't be reached", server.Name).After(retryAfter)
 	case plain.Silent:
 		return refuse.New(refuse.ServerSilent, "server %s was given the call and did not answer in time", server.Name).
-			With(refuse.RanMaybe).After(comeAgain)
+			With(refuse.RanMaybe).After(retryAfter)
 	default:
 		return refuse.New(refuse.ServerDied, "server %s was given the call and the answer broke off", server.Name).
-			With(refuse.RanMaybe).After(comeAgain)
+			With(refuse.RanMaybe).After(retryAfter)
 	}
 }
 
-// pick draws two servers that are not failed or broken and takes the one with
-// fewer open calls.
+// pick chooses two random servers that have not failed and whose breaker admits calls,
+// and takes the one with fewer calls in flight. It returns nil if there is no such
+// server.
 func (r *Router) pick(servers []config.Server, failed map[netip.AddrPort]struct{}) *config.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	var open []int
+	var available []int
 	for i := range servers {
-		if _, bad := failed[servers[i].Address]; !bad && r.takes(servers[i].Address, now) {
-			open = append(open, i)
+		if _, isFailed := failed[servers[i].Address]; !isFailed && r.isAvailable(servers[i].Address, now) {
+			available = append(available, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return nil
 	}
-	a, b := open[r.rng.IntN(len(open))], open[r.rng.IntN(len(open))]
-	if r.node(servers[b].Address).open < r.node(servers[a].Address).open {
+	a, b := available[r.rng.IntN(len(available))], available[r.rng.IntN(len(available))]
+	if r.state(servers[b].Address).inFlight < r.state(servers[a].Address).inFlight {
 		a = b
 	}
-	r.node(servers[a].Address).open++
+	r.state(servers[a].Address).inFlight++
 	return &servers[a]
 }
 
-// takes reports whether a server may get a call: its breaker is closed, or
-// due for a trial, which this call then is.
-func (r *Router) takes(addr netip.AddrPort, now time.Time) bool {
-	n := r.node(addr)
-	return !n.breaker.Open() || n.breaker.Trial(now) && n.open == 0
+// isAvailable reports whether a server may be sent a call: its breaker is closed, or is
+// due for a probe, for which the call is used.
+func (r *Router) isAvailable(addr netip.AddrPort, now time.Time) bool {
+	s := r.state(addr)
+	return !s.breaker.Open() || s.breaker.Trial(now) && s.inFlight == 0
 }
 
-func (r *Router) node(addr netip.AddrPort) *node {
-	n := r.nodes[addr]
-	if n == nil {
-		n = &node{}
-		r.nodes[addr] = n
+// state returns the state of the server at addr, creating it if necessary.
+func (r *Router) state(addr netip.AddrPort) *serverState {
+	s := r.servers[addr]
+	if s == nil {
+		s = &serverState{}
+		r.servers[addr] = s
 	}
-	return n
+	return s
 }
 
-func (r *Router) done(addr netip.AddrPort, err error) {
+// recordResult records the end of a call to the server at addr.
+func (r *Router) recordResult(addr netip.AddrPort, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.node(addr)
-	n.open--
+	s := r.state(addr)
+	s.inFlight--
 	if err == nil {
-		n.breaker.Success(time.Now())
+		s.breaker.Success(time.Now())
 		return
 	}
-	n.breaker.Failure(time.Now(), r.rng.Float64())
+	s.breaker.Failure(time.Now(), r.rng.Float64())
 }
--- a/internal/route/whole/doc.go
+++ b/internal/route/whole/doc.go
@@ -1,5 +1,6 @@
-// Package whole serves calls that a plain server answers with one whole body.
+// Package unary serves calls to plain HTTP servers, which respond with one complete
+// body.
 //
-// What may not repeat is written to one server at most, unless that server says
-// that it did not run it.
+// A call that must not run twice is sent to at most one server, unless that server
+// reports that it did not run it.
 package whole
--- a/internal/route/whole/whole.go
+++ b/internal/route/whole/whole.go
@@ -20,48 +20,48 @@
 )
 
 const (
-	// MaxBody is the largest whole answer of a server that is taken, in bytes.
+	// MaxBody is the maximum size of a complete response, in bytes.
 	MaxBody = 16 << 20
-	// shedRetry is when a call should come back whose server was full: the
-	// queue of a plain server empties within it at 15 ms a call.
-	shedRetry = 100 * time.Millisecond
+	// overloadRetryAfter is the retry delay of calls rejected by an overloaded server.
+	// The queue of a plain server empties in this time at 15 ms per call.
+	overloadRetryAfter = 100 * time.Millisecond
 )
 
-// trial is the way of a plain call from server to server.
-type trial struct {
+// requester sends a plain call to one server after another.
+type requester struct {
 	*task.Task
-	tried   map[ident.Server]bool
-	limited map[ident.Server]bool // excluded by their rate limits; nil: not evaluated, or none is limited
-	unsent  int                   // servers that could not be connected to
-	last    *task.Whole           // failure of the last server that answered
-	refusal *refuse.Refusal       // what is said if no server answers any more; nil: none was found
+	tried           map[ident.Server]bool
+	limited         map[ident.Server]bool // true: excluded by its rate limit; nil: not evaluated, or none is limited
+	connectFailures int                   // number of servers to which the connection failed
+	lastFailure     *task.Whole           // failure response of the last server that responded
+	refusal         *refuse.Refusal       // refusal if no further server responds; nil: no server was reached
 }
 
-// Serve serves a call with one whole answer.
+// Serve serves a call whose response is one complete body.
 func Serve(ctx context.Context, t *task.Task) *refuse.Refusal {
-	r := &trial{Task: t, tried: make(map[ident.Server]bool)}
-	for r.more() {
+	r := &requester{Task: t, tried: make(map[ident.Server]bool)}
+	for r.mayTryNext() {
 		s := r.pick()
 		if s == nil {
 			break
 		}
 		r.tried[s.ID] = true
-		a, err := r.ask(ctx, s)
+		resp, err := r.send(ctx, s)
 		if err != nil && ctx.Err() != nil {
-			return t.Over(ctx, r.ranBy(err))
+			return t.Over(ctx, r.ranAfter(err))
 		}
-		if err != nil && !r.broken(ctx, s, err) {
+		if err != nil && !r.attemptFailed(ctx, s, err) {
 			break
 		}
-		if err == nil && r.answered(s, a) {
-			return t.Deliver(a)
+		if err == nil && r.handleResponse(s, resp) {
+			return t.Deliver(resp)
 		}
-		if err == nil && !a.NotRun && t.Route.Kind != call.Idempotent {
+		if err == nil && !resp.NotRun && t.Route.Kind != call.Idempotent {
 			break
 		}
 	}
-	if r.last != nil {
-		return t.Deliver(r.last)
+	if r.lastFailure != nil {
+		return t.Deliver(r.lastFailure)
 	}
 	if r.refusal == nil {
 		return t.NoServer()
@@ -69,17 +69,18 @@
 	return task.Truthful(r.refusal)
 }
 
-// ran returns what is known of the call's runs so far.
-func (r *trial) ran() refuse.Ran {
+// ran returns whether the call may have run so far.
+func (r *requester) ran() refuse.Ran {
 	if r.refusal == nil {
 		return refuse.RanNo
 	}
 	return r.refusal.Ran
 }
 
-// more reports whether another server may be asked.
-func (r *trial) more() bool {
-	if r.Record.Sent >= r.Route.Attempts || !r.PassOver(r.unsent) {
+// mayTryNext reports whether the call may be sent to another server. From the second
+// attempt on it takes a retry from the budget.
+func (r *requester) mayTryNext() bool {
+	if r.Record.Sent >= r.Route.Attempts || !r.PassOver(r.connectFailures) {
 		return false
 	}
 	if q := r.Quarantined(); q != nil {
@@ -93,62 +94,64 @@
 	return false
 }
 
-// ranBy returns what is known of the call's runs after a sending that failed.
-func (r *trial) ranBy(err error) refuse.Ran {
+// ranAfter returns whether the call may have run after an attempt that failed with err.
+func (r *requester) ranAfter(err error) refuse.Ran {
 	if task.IsUnsent(err) {
 		return r.ran()
 	}
 	return refuse.RanMaybe
 }
 
-// broken judges a sending without a whole answer; false ends the trial.
-func (r *trial) broken(ctx context.Context, s *backs.Server, err error) bool {
+// attemptFailed handles an attempt without a complete response. It reports whether
+// another server may be tried.
+func (r *requester) attemptFailed(ctx context.Context, s *backs.Server, err error) bool {
 	if task.IsUnsent(err) {
-		r.unsent++
+		r.connectFailures++
 		r.Note("server not reached", zap.String("server", string(s.ID)), zap.Error(err))
 		return true
 	}
 	r.Record.Sent++
-	r.last = nil
+	r.lastFailure = nil
 	r.Note("no whole answer", zap.String("server", string(s.ID)), zap.Error(err))
 	r.CheckCrash(ctx, s)
 	r.refusal = refuse.New(refuse.ServerDied, "server %s broke off: %v", s.ID, err).With(refuse.RanMaybe)
 	return r.Route.Kind == call.Idempotent
 }
 
-// answered judges a whole answer; true if it is the client's.
-func (r *trial) answered(s *backs.Server, a *task.Whole) bool {
-	if a.Gone {
+// handleResponse handles a complete response. It reports whether the response is to be
+// delivered to the client.
+func (r *requester) handleResponse(s *backs.Server, resp *task.Whole) bool {
+	if resp.Gone {
 		r.Lost(s)
 	}
 	r.Record.Sent++
 	switch {
-	case a.NotRun:
-		r.refusal = refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, a.Status).With(r.ran()).After(shedRetry)
+	case resp.NotRun:
+		r.refusal = refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).With(r.ran()).After(overloadRetryAfter)
 		return false
-	case a.Status < http.StatusInternalServerError:
+	case resp.Status < http.StatusInternalServerError:
 		return true
 	}
-	r.last = a
-	r.refusal = refuse.New(refuse.ServerDied, "server %s failed with status %d", s.ID, a.Status).With(refuse.RanMaybe)
+	r.lastFailure = resp
+	r.refusal = refuse.New(refuse.ServerDied, "server %s failed with status %d", s.ID, resp.Status).With(refuse.RanMaybe)
 	return false
 }
 
-// ask sends the call to a server and reads the whole answer.
-func (r *trial) ask(ctx context.Context, s *backs.Server) (*task.Whole, error) {
-	seat := r.Seats.Take(s.ID, seats.Load{Seats: 1})
-	defer seat.Release()
+// send sends the call to a server and reads the complete response.
+func (r *requester) send(ctx context.Context, s *backs.Server) (*task.Whole, error) {
+	reservation := r.Seats.Take(s.ID, seats.Load{Seats: 1})
+	defer reservation.Release()
 	r.Record.Server = s.ID
 	sent := time.Now()
 	r.Rates.Sent(s.ID, sent)
-	a, err := r.Backend.Send(ctx, port.Send{Call: r.Call, Server: s, Workspace: r.Workspace, Left: r.Left(), After: r.Call.After})
+	resp, err := r.Backend.Send(ctx, port.Send{Call: r.Call, Server: s, Workspace: r.Workspace, Left: r.Left(), After: r.Call.After})
 	if err != nil {
 		r.Health.Failure(s.ID, time.Now())
 		return nil, err
 	}
-	defer func() { _ = a.Body.Close() }()
-	r.Observe(s, a, sent)
-	body, err := io.ReadAll(io.LimitReader(a.Body, MaxBody+1))
+	defer func() { _ = resp.Body.Close() }()
+	r.Observe(s, resp, sent)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	if err == nil && len(body) > MaxBody {
 		err = errors.New("the answer is too large")
 	}
@@ -156,20 +159,21 @@
 		r.Health.Failure(s.ID, time.Now())
 		return nil, &port.SendError{Err: err}
 	}
-	if !a.NotRun {
+	if !resp.NotRun {
 		r.Completed()
 	}
-	if a.Status < http.StatusInternalServerError {
+	if resp.Status < http.StatusInternalServerError {
 		r.Health.Success(s.ID, time.Now())
 	} else {
 		r.Health.Failure(s.ID, time.Now())
 	}
-	return &task.Whole{Status: a.Status, Fields: a.Fields, NotRun: a.NotRun, Gone: a.Gone, Body: body}, nil
+	return &task.Whole{Status: resp.Status, Fields: resp.Fields, NotRun: resp.NotRun, Gone: resp.Gone, Body: body}, nil
 }
 
-// skips returns the servers that are excluded by their rate limits. The random selection is
-// made once for a call, so that retries do not raise the chance of using a limited server.
-func (r *trial) skips(list []*backs.Server, now time.Time) map[ident.Server]bool {
+// rateLimited returns the servers that are excluded by their rate limits. The random
+// selection is made once per call, so that retries do not raise the chance of using a
+// limited server.
+func (r *requester) rateLimited(list []*backs.Server, now time.Time) map[ident.Server]bool {
 	if r.limited != nil {
 		return r.limited
 	}
@@ -186,12 +190,12 @@
 	return r.limited
 }
 
-// pick chooses a server that was not tried yet.
-func (r *trial) pick() *backs.Server {
+// pick chooses a server that has not been tried yet, or returns nil if none is usable.
+func (r *requester) pick() *backs.Server {
 	now := time.Now()
 	list := r.Servers.View().Service(r.Service.Name)
 	loads := r.Seats.All(now)
-	limited := r.skips(list, now)
+	limited := r.rateLimited(list, now)
 	servers := make([]assign.Server, len(list))
 	for i, s := range list {
 		servers[i] = assign.Server{
