--- a/internal/route/stream/watch.go
+++ b/internal/route/stream/watch.go
@@ -11,7 +11,8 @@
 )
 
 // backupReadyWait is how long a stream on a retired engine may wait for the backup copy
-// to be complete. It leaves enough of the shortest notice for the switch.
+// to be complete. Of the shortest notice that an engine gives before it ends, it leaves
+// enough time for the switch.
 const backupReadyWait = 1100 * time.Millisecond
 
 // migrationRetryDelay is the pause after a failed migration. Capacity becomes available
