--- a/internal/peer/front/conn.go
+++ b/internal/peer/front/conn.go
@@ -13,19 +13,19 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// conn is one client connection.
+// conn is a client connection with buffered reads and writes.
 type conn struct {
 	net.Conn
-	r      *bufio.Reader
-	w      *bufio.Writer
-	remote netip.AddrPort
-	once   sync.Once
+	r         *bufio.Reader
+	w         *bufio.Writer
+	remote    netip.AddrPort
+	closeOnce sync.Once
 }
 
 func newConn(nc net.Conn) *conn {
 	c := &conn{Conn: nc}
-	c.r = bufio.NewReaderSize(nc, firstBuffer)
-	c.w = bufio.NewWriterSize(stallWriter{nc}, firstBuffer)
+	c.r = bufio.NewReaderSize(nc, initialBufferSize)
+	c.w = bufio.NewWriterSize(deadlineWriter{nc}, initialBufferSize)
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		c.remote = a.AddrPort()
 	}
@@ -37,25 +37,28 @@
 	if !ok {
 		return
 	}
-	_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: 3})
+	_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: 3})
 }
 
-// fit makes the read buffer as large as the largest head allowed: the head's
-// codec reads a head whole or not at all.
-func (c *conn) fit(header int) {
-	if c.r.Size() < header {
-		c.r = bufio.NewReaderSize(c.r, header)
+// growReadBuffer makes the read buffer hold at least size bytes, the largest
+// header section allowed: fasthttp parses a header section only when all of it
+// fits in the buffer.
+func (c *conn) growReadBuffer(size int) {
+	if c.r.Size() < size {
+		c.r = bufio.NewReaderSize(c.r, size)
 	}
 }
 
 const (
-	// lingerTime and lingerBytes bound what is read of a rejected request. Closing
-	// a connection with unread bytes resets it, and the client may lose the answer.
+	// lingerTime and lingerBytes bound how much of a rejected request is read and
+	// discarded before the connection is closed. Closing a connection with unread
+	// data resets it, and the client may lose the response.
 	lingerTime  = 300 * time.Millisecond
 	lingerBytes = 256 << 10
 )
 
-// linger lets the client read the answer before the connection is closed.
+// linger performs a lingering close: it shuts down the write side and discards
+// incoming data for a limited time, so that the client can read the response.
 func (c *conn) linger() {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
@@ -65,34 +68,35 @@
 	_, _ = io.CopyN(io.Discard, c.r, lingerBytes)
 }
 
-func (c *conn) close() { c.once.Do(func() { _ = c.Close() }) }
+func (c *conn) close() { c.closeOnce.Do(func() { _ = c.Close() }) }
 
-// watch calls left when the client closes the connection. The function it
-// returns ends the watch and reports whether the connection still lives.
-func (c *conn) watch(g *errgroup.Group, left func()) func() bool {
+// watchDisconnect calls onDisconnect when the client closes the connection. The
+// returned function stops watching and reports whether the connection is still
+// open.
+func (c *conn) watchDisconnect(g *errgroup.Group, onDisconnect func()) func() bool {
 	_ = c.SetReadDeadline(time.Time{})
 	done := make(chan bool, 1)
 	g.Go(func() error {
 		_, err := c.r.Peek(1)
 		alive := err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 		if !alive {
-			left()
+			onDisconnect()
 		}
 		done <- alive
 		return nil
 	})
 	return func() bool {
-		// A deadline in the past ends the read under way.
+		// A deadline in the past interrupts the pending Peek.
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 		return <-done
 	}
 }
 
-// stallWriter gives each write a deadline of its own.
-type stallWriter struct{ net.Conn }
+// deadlineWriter sets a new deadline of writeTimeout before each write.
+type deadlineWriter struct{ net.Conn }
 
-func (w stallWriter) Write(p []byte) (int, error) {
-	if err := w.SetWriteDeadline(time.Now().Add(writeStall)); err != nil {
+func (w deadlineWriter) Write(p []byte) (int, error) {
+	if err := w.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return w.Conn.Write(p)
--- a/internal/peer/front/doc.go
+++ b/internal/peer/front/doc.go
@@ -1,9 +1,11 @@
-// Package front serves HTTP/1.1 connections of clients, one exchange at a time
-// and byte for byte.
+// Package front serves the HTTP/1.1 connections of clients. It handles one
+// request at a time per connection and passes targets, header fields and bodies
+// on unchanged.
 //
-// The head's codec is fasthttp's and the chunked coding the standard library's.
-// The library's server is not used, because it does not tell a handler that
-// the client has left, and because a stream that breaks off must not look
-// complete. A request whose length can be read in two ways is refused and its
+// Header sections are parsed and written by fasthttp, the chunked transfer
+// coding by the standard library. The fasthttp server is not used because it
+// does not tell a handler that the client has disconnected, and because an
+// interrupted stream must not look complete to the client. To prevent request
+// smuggling, a request whose body length is ambiguous is rejected and its
 // connection closed.
 package front
--- a/internal/peer/front/front_test.go
+++ b/internal/peer/front/front_test.go
@@ -22,8 +22,9 @@
 
 var statuses = map[Fault]int{Malformed: 400, HeaderTooLarge: 431, BodyTooLarge: 413, TooSlow: 408}
 
-// start serves a handler on a loopback port and returns a dialer to it.
-func start(t *testing.T, h Handler) (*Server, func() net.Conn) {
+// startServer serves a handler on a loopback port and returns a function that
+// connects to it.
+func startServer(t *testing.T, h Handler) (*Server, func() net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -47,13 +48,14 @@
 	}
 }
 
-// echo answers with what it was asked.
+// echo responds with the parts of the request.
 func echo(_ context.Context, r *Request, w *Reply) {
 	_ = w.Whole(200, []call.Field{{Name: "X-Own", Value: "1"}}, fmt.Appendf(nil, "%s %s %s %q %d", r.Method, r.Target, r.Host, r.Body, len(r.Fields)))
 }
 
-// ask sends raw bytes and returns all that comes back until the connection ends.
-func ask(t *testing.T, c net.Conn, raw string) string {
+// send writes raw bytes and returns everything received until the connection is
+// closed.
+func send(t *testing.T, c net.Conn, raw string) string {
 	t.Helper()
 	_, err := io.WriteString(c, raw)
 	assert.NilError(t, err)
@@ -62,30 +64,30 @@
 }
 
 func TestRequests(t *testing.T) {
-	_, dial := start(t, echo)
+	_, dial := startServer(t, echo)
 	const last = "Connection: close\r\n\r\n"
 	for name, tc := range map[string]struct{ raw, want string }{
-		"no body":                      {"GET /a/b?c=%41 HTTP/1.1\r\nHost: h\r\n" + last, `GET /a/b?c=%41 h "" 0`},
-		"a length":                     {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + last + "abc", `"abc"`},
-		"chunks":                       {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + last + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", `"abc"`},
-		"a get with a body":            {"GET /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + last + "abc", `GET /a/ h "abc" 0`},
-		"fields of the connection go":  {"GET /a/ HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nX-B: 2\r\nKeep-Alive: 5\r\nConnection: close, X-B\r\n\r\n", `"" 1`},
-		"two lengths":                  {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "400"},
-		"a length and chunks":          {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
-		"a length that is no number":   {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: +3\r\n\r\nabc", "400"},
-		"another coding":               {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "400"},
-		"a space before the colon":     {"GET /a/ HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc", "400"},
-		"two hosts":                    {"GET /a/ HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n", "400"},
-		"no host":                      {"GET /a/ HTTP/1.1\r\n\r\n", "400"},
-		"a target that is no path":     {"GET http://h/a/ HTTP/1.1\r\nHost: h\r\n\r\n", "400"},
-		"a long head":                  {"GET /a/ HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 5000) + "\r\n\r\n", "431"},
-		"a long body":                  {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n", "413"},
-		"a long body in chunks":        {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + "3e9\r\n" + strings.Repeat("x", 1001) + "\r\n0\r\n\r\n", "413"},
-		"a head that does not end":     {"GET /a/ HTTP/1.1\r\nHost: h\r\n", "408"},
-		"bytes that are no request":    {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", "400"},
-		"a body behind 100 Continue":   {"POST /a/ HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n" + last + "abc", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"},
-		"a body cut by the client":     {"", ""},
-		"two requests, one after each": {"GET /1/ HTTP/1.1\r\nHost: h\r\n\r\nGET /2/ HTTP/1.1\r\nHost: h\r\n" + last, "GET /2/ h"},
+		"no body":                        {"GET /a/b?c=%41 HTTP/1.1\r\nHost: h\r\n" + last, `GET /a/b?c=%41 h "" 0`},
+		"a length":                       {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + last + "abc", `"abc"`},
+		"a chunked body":                 {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + last + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", `"abc"`},
+		"a get with a body":              {"GET /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + last + "abc", `GET /a/ h "abc" 0`},
+		"connection-specific fields":     {"GET /a/ HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nX-B: 2\r\nKeep-Alive: 5\r\nConnection: close, X-B\r\n\r\n", `"" 1`},
+		"two lengths":                    {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "400"},
+		"a length and chunked coding":    {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
+		"an invalid length":              {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: +3\r\n\r\nabc", "400"},
+		"an unsupported transfer coding": {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", "400"},
+		"a space before the colon":       {"GET /a/ HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc", "400"},
+		"two hosts":                      {"GET /a/ HTTP/1.1\r\nHost: h\r\nHost: i\r\n\r\n", "400"},
+		"no host":                        {"GET /a/ HTTP/1.1\r\n\r\n", "400"},
+		"an absolute target":             {"GET http://h/a/ HTTP/1.1\r\nHost: h\r\n\r\n", "400"},
+		"a long header section":          {"GET /a/ HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 5000) + "\r\n\r\n", "431"},
+		"a long body":                    {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n", "413"},
+		"a long chunked body":            {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + "3e9\r\n" + strings.Repeat("x", 1001) + "\r\n0\r\n\r\n", "413"},
+		"an incomplete header section":   {"GET /a/ HTTP/1.1\r\nHost: h\r\n", "408"},
+		"not HTTP":                       {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", "400"},
+		"a body after 100 Continue":      {"POST /a/ HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n" + last + "abc", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"},
+		"a truncated body":               {"", ""},
+		"two pipelined requests":         {"GET /1/ HTTP/1.1\r\nHost: h\r\n\r\nGET /2/ HTTP/1.1\r\nHost: h\r\n" + last, "GET /2/ h"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if tc.raw == "" {
@@ -96,33 +98,34 @@
 				assert.Equal(t, string(b), "")
 				return
 			}
-			got := ask(t, dial(), tc.raw)
+			got := send(t, dial(), tc.raw)
 			assert.Assert(t, strings.Contains(got, tc.want), "%q in %q", tc.want, got)
 			if strings.HasPrefix(tc.want, "4") {
-				assert.Equal(t, strings.Count(got, "HTTP/1.1"), 1, "nothing more is read from a connection that is out of step")
+				assert.Equal(t, strings.Count(got, "HTTP/1.1"), 1, "no further request is read after one that can't be parsed")
 			}
 		})
 	}
 }
 
-// TestLeaving has a client close its connection while it is being answered.
-func TestLeaving(t *testing.T) {
-	gone := make(chan time.Duration, 1)
-	_, dial := start(t, func(ctx context.Context, _ *Request, w *Reply) {
-		begin := time.Now()
+// TestClientDisconnect checks that a handler's context is canceled when the
+// client closes its connection during the request.
+func TestClientDisconnect(t *testing.T) {
+	elapsed := make(chan time.Duration, 1)
+	_, dial := startServer(t, func(ctx context.Context, _ *Request, w *Reply) {
+		start := time.Now()
 		<-ctx.Done()
-		gone <- time.Since(begin)
+		elapsed <- time.Since(start)
 		w.Abort()
 	})
 	c := dial()
 	_, _ = io.WriteString(c, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
 	time.Sleep(20 * time.Millisecond)
 	_ = c.Close()
-	assert.Assert(t, <-gone < 500*time.Millisecond)
+	assert.Assert(t, <-elapsed < 500*time.Millisecond)
 }
 
-func TestPieces(t *testing.T) {
-	_, dial := start(t, func(_ context.Context, r *Request, w *Reply) {
+func TestChunkedResponse(t *testing.T) {
+	_, dial := startServer(t, func(_ context.Context, r *Request, w *Reply) {
 		_ = w.Start(200, nil)
 		_ = w.Piece([]byte("one"))
 		if r.Path == "/cut/" {
@@ -132,14 +135,14 @@
 		_ = w.Piece([]byte("two"))
 		_ = w.End()
 	})
-	whole := ask(t, dial(), "GET /all/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-	assert.Assert(t, strings.HasSuffix(whole, "3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n"), "%q", whole)
-	cut := ask(t, dial(), "GET /cut/ HTTP/1.1\r\nHost: h\r\n\r\n")
-	assert.Assert(t, !strings.HasSuffix(cut, "0\r\n\r\n"), "what broke off looks whole: %q", cut)
+	complete := send(t, dial(), "GET /all/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	assert.Assert(t, strings.HasSuffix(complete, "3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n"), "%q", complete)
+	cut := send(t, dial(), "GET /cut/ HTTP/1.1\r\nHost: h\r\n\r\n")
+	assert.Assert(t, !strings.HasSuffix(cut, "0\r\n\r\n"), "an aborted response looks complete: %q", cut)
 }
 
 func TestDrain(t *testing.T) {
-	s, dial := start(t, echo)
+	s, dial := startServer(t, echo)
 	kept, idle := dial(), dial()
 	for _, c := range []net.Conn{kept, idle} {
 		_, _ = io.WriteString(c, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -149,7 +152,7 @@
 	}
 	time.Sleep(20 * time.Millisecond)
 	s.Drain()
-	got := ask(t, kept, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
+	got := send(t, kept, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
 	assert.Assert(t, strings.Contains(got, "Connection: close"), "%q", got)
 	s.CloseIdle(time.Millisecond)
 	_, err := idle.Read(make([]byte, 1))
@@ -157,5 +160,5 @@
 		_, err = idle.Read(make([]byte, 100))
 	}
 	assert.ErrorIs(t, err, io.EOF)
-	check.Within(t, time.Second, "both connections have ended", func() bool { return s.Open() == 0 })
+	check.Within(t, time.Second, "both connections are closed", func() bool { return s.Open() == 0 })
 }
--- a/internal/peer/front/reply.go
+++ b/internal/peer/front/reply.go
@@ -11,117 +11,121 @@
 	"umberladder/internal/core/call"
 )
 
-// ErrEnded says that the answer had begun or ended already.
-var ErrEnded = errors.New("front: the answer has begun already")
+// ErrStarted is returned when a response is started a second time.
+var ErrEnded = errors.New("front: the response has already started")
 
-// Reply writes the answer to one request.
+// ResponseWriter writes the response to one request, either complete with
+// WriteResponse or in chunks with WriteHeader, WriteChunk and Finish.
 type Reply struct {
-	c       *conn
-	last    bool         // the connection closes after the answer
-	drain   *atomic.Bool // set: every answer is the last of its connection
-	head    bool         // the request wants no body
-	begun   bool
-	whole   bool // the answer was written whole
-	broken  bool
-	chunked io.WriteCloser
+	c          *conn
+	closeAfter bool         // the connection is closed after the response
+	draining   *atomic.Bool // if set, the connection is closed after every response
+	isHead     bool         // the request is a HEAD request: the response has no body
+	started    bool
+	complete   bool // the complete response was written
+	broken     bool
+	chunked    io.WriteCloser
 }
 
 func newReply(c *conn) *Reply { return &Reply{c: c} }
 
-// proceed asks the client for the body it offered.
-func (w *Reply) proceed() error {
+// writeContinue sends the interim response 100 (Continue), which asks the
+// client to send the request body.
+func (w *Reply) writeContinue() error {
 	if _, err := w.c.w.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
 	}
 	return w.c.w.Flush()
 }
 
-// Begun reports whether anything of the answer was written.
-func (w *Reply) Begun() bool { return w.begun }
+// Started reports whether any part of the response was written.
+func (w *Reply) Begun() bool { return w.started }
 
-// Whole writes a whole answer.
+// WriteResponse writes a complete response.
 func (w *Reply) Whole(status int, fields []call.Field, body []byte) error {
-	if w.begun {
+	if w.started {
 		return ErrEnded
 	}
-	w.begun = true
+	w.started = true
 	var h fasthttp.ResponseHeader
-	w.prepare(&h, status, fields)
-	if bodiless(status) {
+	w.prepareHeader(&h, status, fields)
+	if omitsBody(status) {
 		h.SetNoDefaultContentType(true)
 		body = nil
 	} else {
 		h.SetContentLength(len(body))
 	}
-	if w.head {
+	if w.isHead {
 		body = nil
 	}
 	_, err := w.c.w.Write(h.Header())
 	if err == nil {
 		_, err = w.c.w.Write(body)
 	}
-	return w.flushed(err, true)
+	return w.flush(err, true)
 }
 
-// bodiless reports whether answers of a status have no body (RFC 9110, 6.4.1).
-func bodiless(status int) bool { return status == 204 || status == 304 }
+// omitsBody reports whether responses with the status have no body
+// (RFC 9110, section 6.4.1).
+func omitsBody(status int) bool { return status == 204 || status == 304 }
 
-// Start begins an answer that comes in pieces.
+// WriteHeader starts a chunked response.
 func (w *Reply) Start(status int, fields []call.Field) error {
-	if w.begun {
+	if w.started {
 		return ErrEnded
 	}
-	w.begun = true
+	w.started = true
 	var h fasthttp.ResponseHeader
-	w.prepare(&h, status, fields)
+	w.prepareHeader(&h, status, fields)
 	h.SetContentLength(-1)
 	if _, err := w.c.w.Write(h.Header()); err != nil {
-		return w.flushed(err, false)
+		return w.flush(err, false)
 	}
 	w.chunked = httputil.NewChunkedWriter(w.c.w)
-	return w.flushed(nil, false)
+	return w.flush(nil, false)
 }
 
-// Piece writes a piece of a started answer and sends it.
+// WriteChunk writes one chunk of a chunked response and flushes it.
 func (w *Reply) Piece(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
 	_, err := w.chunked.Write(p)
-	return w.flushed(err, false)
+	return w.flush(err, false)
 }
 
-// End completes a started answer.
+// Finish writes the last chunk of a chunked response.
 func (w *Reply) End() error {
 	err := w.chunked.Close()
 	if err == nil {
 		_, err = w.c.w.WriteString("\r\n")
 	}
-	return w.flushed(err, true)
+	return w.flush(err, true)
 }
 
-// Abort closes the connection, so that what was written does not look whole.
+// Abort closes the connection, so that the client detects that the response is
+// incomplete.
 func (w *Reply) Abort() {
 	w.broken = true
 	w.c.close()
 }
 
-func (w *Reply) prepare(h *fasthttp.ResponseHeader, status int, fields []call.Field) {
+func (w *Reply) prepareHeader(h *fasthttp.ResponseHeader, status int, fields []call.Field) {
 	h.DisableNormalizing()
 	h.SetNoDefaultContentType(true)
 	h.SetStatusCode(status)
-	if w.drain != nil && w.drain.Load() {
-		w.last = true
+	if w.draining != nil && w.draining.Load() {
+		w.closeAfter = true
 	}
 	for _, f := range fields {
 		h.Add(f.Name, f.Value)
 	}
-	if w.last {
+	if w.closeAfter {
 		h.SetConnectionClose()
 	}
 }
 
-func (w *Reply) flushed(err error, whole bool) error {
+func (w *Reply) flush(err error, complete bool) error {
 	if err == nil {
 		err = w.c.w.Flush()
 	}
@@ -129,9 +133,10 @@
 		w.broken = true
 		return err
 	}
-	w.whole = whole
+	w.complete = complete
 	return nil
 }
 
-// finish reports whether the connection can serve another request.
-func (w *Reply) finish() bool { return w.whole && !w.broken && !w.last }
+// reusable reports whether the connection can serve another request: the
+// response is complete, no write failed and the connection is not to be closed.
+func (w *Reply) reusable() bool { return w.complete && !w.broken && !w.closeAfter }
--- a/internal/peer/front/request.go
+++ b/internal/peer/front/request.go
@@ -16,19 +16,19 @@
 	"umberladder/internal/core/call"
 )
 
-// Request is one request as the client sent it.
+// Request is a request as the client sent it.
 type Request struct {
-	Method  string
-	Target  string // path and query, byte for byte
-	Path    string
-	Host    string
-	Fields  []call.Field // without those that concern the connection alone
-	Body    []byte
-	Arrived time.Time
-	last    bool // the client closes after the answer
+	Method     string
+	Target     string // path and query, byte for byte
+	Path       string
+	Host       string
+	Fields     []call.Field // without connection-specific fields
+	Body       []byte
+	Arrived    time.Time
+	closeAfter bool // the client closes the connection after the response
 }
 
-// Field returns the value of a header field, or nothing.
+// Field returns the value of the first header field with the name, or "".
 func (r *Request) Field(name string) string {
 	for _, f := range r.Fields {
 		if strings.EqualFold(f.Name, name) {
@@ -38,16 +38,16 @@
 	return ""
 }
 
-// Fault says what is wrong with a request that can't be read.
+// ErrorKind classifies a failure to read a request.
 type Fault uint8
 
-// The faults.
+// The kinds of read errors.
 const (
 	Malformed Fault = iota
 	HeaderTooLarge
 	BodyTooLarge
 	TooSlow
-	Gone // the client closed the connection; nobody reads an answer
+	Gone // the client closed the connection and can't receive a response
 )
 
 type readError struct {
@@ -57,51 +57,53 @@
 
 func (e *readError) Error() string { return e.err.Error() }
 
-func (e *readError) answerable() bool { return e.Fault != Gone }
+func (e *readError) canRespond() bool { return e.Fault != Gone }
 
-func fault(f Fault, format string, args ...any) *readError {
-	return &readError{Fault: f, err: fmt.Errorf(format, args...)}
+func newReadError(kind Fault, format string, args ...any) *readError {
+	return &readError{Fault: kind, err: fmt.Errorf(format, args...)}
 }
 
-// fromRead turns the failure of a read into a fault.
-func fromRead(err error, what string) *readError {
+// classifyReadError converts an error from reading the named part of a request.
+func classifyReadError(err error, what string) *readError {
 	var small *fasthttp.ErrSmallBuffer
 	var nothing fasthttp.ErrNothingRead
 	switch {
 	case errors.As(err, &small):
-		return fault(HeaderTooLarge, "the header section is too large")
+		return newReadError(HeaderTooLarge, "the header section is too large")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return fault(TooSlow, "%s did not come whole in time", what)
+		return newReadError(TooSlow, "%s did not come whole in time", what)
 	case errors.As(err, &nothing), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return fault(Gone, "the client closed the connection within %s", what)
-	case isNet(err):
-		return fault(Gone, "%s: %w", what, err)
+		return newReadError(Gone, "the client closed the connection while sending %s", what)
+	case isNetError(err):
+		return newReadError(Gone, "%s: %w", what, err)
 	default:
-		return fault(Malformed, "%s: %w", what, err)
+		return newReadError(Malformed, "%s: %w", what, err)
 	}
 }
 
-func isNet(err error) bool {
+func isNetError(err error) bool {
 	var n interface{ Timeout() bool }
 	return errors.As(err, &n)
 }
 
-// connectionFields concern one connection alone (RFC 9110, section 7.6.1).
-var connectionFields = map[string]bool{
+// connectionSpecific holds the fields that are not forwarded: the hop-by-hop
+// fields (RFC 9110, section 7.6.1) and those that are parsed here.
+var connectionSpecific = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "te": true, "trailer": true,
 	"transfer-encoding": true, "upgrade": true, "content-length": true, "host": true, "expect": true,
 	"proxy-authorization": true, "proxy-authenticate": true,
 }
 
-// framing is how the end of a body is known.
+// framing holds the header fields that determine the length of the body and
+// the use of the connection.
 type framing struct {
-	length  int // -1: none is given
-	lengths int // fields that give one
-	chunked bool
-	codings int
-	expect  bool
-	drop    []string // fields that the client names as of this connection
-	last    bool
+	length            int // value of Content-Length; -1 if it is missing
+	lengthFields      int // number of Content-Length fields
+	chunked           bool
+	codingFields      int // number of Transfer-Encoding fields
+	expectContinue    bool
+	connectionOptions []string // names listed in the Connection field
+	closeAfter        bool
 }
 
 func readRequest(c *conn, limits Limits, w *Reply) (*Request, *readError) {
@@ -110,109 +112,109 @@
 	h.DisableSpecialHeader()
 	h.DisableNormalizing()
 	if err := h.Read(c.r); err != nil {
-		return nil, fromRead(err, "the header section")
+		return nil, classifyReadError(err, "the header section")
 	}
 	r := &Request{Method: string(h.Method()), Target: string(h.RequestURI()), Arrived: time.Now()}
-	f, bad := r.fields(&h)
-	if bad != nil {
-		return nil, bad
+	f, rerr := r.parseFields(&h)
+	if rerr != nil {
+		return nil, rerr
 	}
-	r.last = f.last || string(h.Protocol()) != "HTTP/1.1"
-	if bad := r.split(); bad != nil {
-		return nil, bad
+	r.closeAfter = f.closeAfter || string(h.Protocol()) != "HTTP/1.1"
+	if rerr := r.parseTarget(); rerr != nil {
+		return nil, rerr
 	}
 	if f.length > limits.Body {
-		return nil, fault(BodyTooLarge, "the body of %d bytes is over the limit of %d", f.length, limits.Body)
+		return nil, newReadError(BodyTooLarge, "the body of %d bytes is over the limit of %d", f.length, limits.Body)
 	}
-	if f.expect && (f.chunked || f.length > 0) {
-		if err := w.proceed(); err != nil {
-			return nil, fault(Gone, "the client left before its body: %w", err)
+	if f.expectContinue && (f.chunked || f.length > 0) {
+		if err := w.writeContinue(); err != nil {
+			return nil, newReadError(Gone, "the client disconnected before sending the body: %w", err)
 		}
 	}
-	if bad := r.readBody(c, f, limits); bad != nil {
-		return nil, bad
+	if rerr := r.readBody(c, f, limits); rerr != nil {
+		return nil, rerr
 	}
 	r.Arrived = time.Now()
 	return r, nil
 }
 
-// fields takes the header section apart.
-func (r *Request) fields(h *fasthttp.RequestHeader) (framing, *readError) {
+// parseFields parses the header fields and rejects ambiguous framing.
+func (r *Request) parseFields(h *fasthttp.RequestHeader) (framing, *readError) {
 	f := framing{length: -1}
 	hosts := 0
-	var bad *readError
+	var rerr *readError
 	for k, v := range h.AllInOrder() {
 		name, value := string(k), strings.TrimSpace(string(v))
 		if strings.ContainsAny(name, " \t") {
-			bad = fault(Malformed, "the field name %q holds a space", name)
+			rerr = newReadError(Malformed, "the field name %q holds a space", name)
 		}
 		lower := strings.ToLower(name)
 		if lower == "host" {
 			hosts++
 			r.Host = value
 		}
-		if err := f.take(lower, value); err != nil {
-			bad = err
+		if err := f.parseField(lower, value); err != nil {
+			rerr = err
 		}
-		if !connectionFields[lower] {
+		if !connectionSpecific[lower] {
 			r.Fields = append(r.Fields, call.Field{Name: name, Value: value})
 		}
 	}
 	switch {
-	case bad != nil:
-		return f, bad
+	case rerr != nil:
+		return f, rerr
 	case hosts != 1 || r.Host == "":
-		return f, fault(Malformed, "the request must name one host")
-	case f.lengths > 1 || f.codings > 1 || f.lengths > 0 && f.codings > 0:
-		return f, fault(Malformed, "the length of the body is given in more than one way")
+		return f, newReadError(Malformed, "the request must name one host")
+	case f.lengthFields > 1 || f.codingFields > 1 || f.lengthFields > 0 && f.codingFields > 0:
+		return f, newReadError(Malformed, "the length of the body is given in more than one way")
 	}
-	r.dropNamed(f.drop)
+	r.removeFields(f.connectionOptions)
 	return f, nil
 }
 
-func (f *framing) take(name, value string) *readError {
+func (f *framing) parseField(name, value string) *readError {
 	switch name {
 	case "content-length":
-		f.lengths++
+		f.lengthFields++
 		n, err := strconv.ParseUint(value, 10, 31)
 		if err != nil {
-			return fault(Malformed, "the length %q of the body is not a number", value)
+			return newReadError(Malformed, "the length %q of the body is not a number", value)
 		}
 		f.length = int(n)
 	case "transfer-encoding":
-		f.codings++
+		f.codingFields++
 		if !strings.EqualFold(value, "chunked") {
-			return fault(Malformed, "the transfer coding %q is not supported", value)
+			return newReadError(Malformed, "the transfer coding %q is not supported", value)
 		}
 		f.chunked = true
 	case "expect":
-		f.expect = strings.EqualFold(value, "100-continue")
+		f.expectContinue = strings.EqualFold(value, "100-continue")
 	case "connection":
 		for token := range strings.SplitSeq(value, ",") {
 			token = strings.ToLower(strings.TrimSpace(token))
-			f.last = f.last || token == "close"
-			f.drop = append(f.drop, token)
+			f.closeAfter = f.closeAfter || token == "close"
+			f.connectionOptions = append(f.connectionOptions, token)
 		}
 	}
 	return nil
 }
 
-func (r *Request) dropNamed(names []string) {
+func (r *Request) removeFields(names []string) {
 	for _, n := range names {
-		keep := r.Fields[:0]
+		kept := r.Fields[:0]
 		for _, f := range r.Fields {
 			if !strings.EqualFold(f.Name, n) {
-				keep = append(keep, f)
+				kept = append(kept, f)
 			}
 		}
-		r.Fields = keep
+		r.Fields = kept
 	}
 }
 
-// split finds the path in the target.
-func (r *Request) split() *readError {
+// parseTarget sets the path from the request target.
+func (r *Request) parseTarget() *readError {
 	if !strings.HasPrefix(r.Target, "/") {
-		return fault(Malformed, "the target %.80q must begin with a slash", r.Target)
+		return newReadError(Malformed, "the target %.80q must begin with a slash", r.Target)
 	}
 	r.Path, _, _ = strings.Cut(r.Target, "?")
 	return nil
@@ -226,7 +228,7 @@
 	case f.length > 0:
 		r.Body = make([]byte, f.length)
 		if _, err := io.ReadFull(c.r, r.Body); err != nil {
-			return fromRead(err, "the body")
+			return classifyReadError(err, "the body")
 		}
 	}
 	return nil
@@ -236,21 +238,21 @@
 	var b bytes.Buffer
 	n, err := io.Copy(&b, io.LimitReader(httputil.NewChunkedReader(c.r), int64(limit)+1))
 	if err != nil {
-		return fromRead(err, "the body")
+		return classifyReadError(err, "the body")
 	}
 	if n > int64(limit) {
-		return fault(BodyTooLarge, "the body is over the limit of %d bytes", limit)
+		return newReadError(BodyTooLarge, "the body is over the limit of %d bytes", limit)
 	}
 	r.Body = b.Bytes()
 	return skipTrailer(c)
 }
 
-// skipTrailer reads the fields after the last chunk up to the empty line.
+// skipTrailer discards the trailer fields after the last chunk.
 func skipTrailer(c *conn) *readError {
 	for {
 		line, err := c.r.ReadSlice('\n')
 		if err != nil {
-			return fromRead(err, "the trailer")
+			return classifyReadError(err, "the trailer")
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return nil
--- a/internal/peer/front/server.go
+++ b/internal/peer/front/server.go
@@ -14,20 +14,23 @@
 )
 
 const (
-	// writeStall is how long a client may not read before its connection is
-	// given up. It is over every pause a client itself puts up with.
-	writeStall = 10 * time.Second
-	// idleSlack is added to the idle limit, so that a client that reuses a
-	// connection at the last allowed moment does not meet a close.
-	idleSlack = 500 * time.Millisecond
-	// keepAliveIdle and keepAliveEvery find clients that went away silently.
-	keepAliveIdle  = 5 * time.Second
-	keepAliveEvery = 2 * time.Second
-	// firstBuffer is the size of a connection's read buffer while heads are small.
-	firstBuffer = 4 << 10
+	// writeTimeout is how long a write may block because the client does not read,
+	// before its connection is closed. It is longer than any pause that a client
+	// itself tolerates.
+	writeTimeout = 10 * time.Second
+	// idleMargin is added to the idle timeout, so that a client that reuses a
+	// connection just before the timeout does not find it closed.
+	idleMargin = 500 * time.Millisecond
+	// keepAliveIdle and keepAliveInterval configure the TCP keep-alive probes that
+	// detect clients that vanished without closing the connection.
+	keepAliveIdle     = 5 * time.Second
+	keepAliveInterval = 2 * time.Second
+	// initialBufferSize is the initial size of a connection's read and write
+	// buffers. The read buffer grows to the header limit with the first request.
+	initialBufferSize = 4 << 10
 )
 
-// Limits bound what a client may send and how long it may take.
+// Limits bounds the size of a request and the time a client has to send it.
 type Limits struct {
 	Header     int // bytes
 	Body       int // bytes
@@ -35,28 +38,30 @@
 	Idle       time.Duration
 }
 
-// Handler answers one request. The context ends when the client leaves.
+// Handler responds to one request. The context is canceled when the client
+// disconnects.
 type Handler func(ctx context.Context, r *Request, w *Reply)
 
-// Rejector answers a request that can't be read; the connection is closed after it.
-type Rejector func(w *Reply, fault Fault, detail string)
+// ErrorHandler responds to a request that can't be read. The connection is
+// closed afterwards.
+type Rejector func(w *Reply, kind Fault, detail string)
 
 // Server serves the connections of one listener.
 type Server struct {
-	handle Handler
-	reject Rejector
-	limits func() Limits
-	log    *zap.Logger
-	group  errgroup.Group
-	open   atomic.Int64
-	idle   idleSet
+	handle      Handler
+	handleError Rejector
+	limits      func() Limits
+	log         *zap.Logger
+	group       errgroup.Group
+	openConns   atomic.Int64
+	idle        idleSet
 
 	draining atomic.Bool
 }
 
-// New makes a server. The limits are read anew for each request.
-func New(handle Handler, reject Rejector, limits func() Limits, log *zap.Logger) *Server {
-	return &Server{handle: handle, reject: reject, limits: limits, log: log}
+// New returns a server. It calls limits for each request.
+func New(handle Handler, handleError Rejector, limits func() Limits, log *zap.Logger) *Server {
+	return &Server{handle: handle, handleError: handleError, limits: limits, log: log}
 }
 
 // Serve accepts connections until the listener is closed.
@@ -64,37 +69,37 @@
 	for {
 		c, err := ln.Accept()
 		if err != nil {
-			return s.ended(ctx, err)
+			return s.acceptError(ctx, err)
 		}
-		s.open.Add(1)
+		s.openConns.Add(1)
 		s.group.Go(func() error {
-			defer s.open.Add(-1)
+			defer s.openConns.Add(-1)
 			s.serve(ctx, c)
 			return nil
 		})
 	}
 }
 
-// ended returns why no connection is taken any more; closing the listener to
-// stop is no error.
-func (s *Server) ended(ctx context.Context, err error) error {
+// acceptError returns the error that ended Serve. Closing the listener in order
+// to stop is not an error.
+func (s *Server) acceptError(ctx context.Context, err error) error {
 	if ctx.Err() != nil || s.draining.Load() {
 		return nil //nolint:nilerr // the listener was closed to stop
 	}
 	return trace.Wrap(err)
 }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenConns returns the number of open connections.
+func (s *Server) Open() int64 { return s.openConns.Load() }
 
-// Drain makes every further answer the last one of its connection.
+// Drain closes each connection after its next response.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// CloseIdle closes the connections on which nothing of a request has come for
-// the given time.
-func (s *Server) CloseIdle(quiet time.Duration) { s.idle.close(time.Now().Add(-quiet)) }
+// CloseIdle closes the connections that have been waiting for a request for
+// longer than minIdle.
+func (s *Server) CloseIdle(minIdle time.Duration) { s.idle.close(time.Now().Add(-minIdle)) }
 
-// Wait returns when all connections have ended.
+// Wait blocks until all connections are closed.
 func (s *Server) Wait() { _ = s.group.Wait() }
 
 func (s *Server) serve(ctx context.Context, nc net.Conn) {
@@ -102,47 +107,49 @@
 	c := newConn(nc)
 	defer c.close()
 	for first := true; ; first = false {
-		if !s.exchange(ctx, c, first) {
+		if !s.serveRequest(ctx, c, first) {
 			return
 		}
 	}
 }
 
-// exchange serves one request; false ends the connection.
-func (s *Server) exchange(ctx context.Context, c *conn, first bool) bool {
+// serveRequest serves one request and reports whether the connection can serve
+// another.
+func (s *Server) serveRequest(ctx context.Context, c *conn, first bool) bool {
 	limits := s.limits()
-	if !s.await(c, limits, first) {
+	if !s.waitForRequest(c, limits, first) {
 		return false
 	}
-	c.fit(limits.Header)
+	c.growReadBuffer(limits.Header)
 	w := newReply(c)
-	r, fault := readRequest(c, limits, w)
-	if fault != nil {
-		s.log.Info("request not readable", zap.Stringer("client", c.remote), zap.String("fault", fault.Error()))
-		if fault.answerable() {
-			w.last = true
-			s.reject(w, fault.Fault, fault.Error())
+	r, rerr := readRequest(c, limits, w)
+	if rerr != nil {
+		s.log.Info("request not readable", zap.Stringer("client", c.remote), zap.String("fault", rerr.Error()))
+		if rerr.canRespond() {
+			w.closeAfter = true
+			s.handleError(w, rerr.Fault, rerr.Error())
 			c.linger()
 		}
 		return false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w.last = r.last || s.draining.Load()
-	w.drain = &s.draining
-	w.head = r.Method == http.MethodHead
-	stop := c.watch(&s.group, cancel)
+	w.closeAfter = r.closeAfter || s.draining.Load()
+	w.draining = &s.draining
+	w.isHead = r.Method == http.MethodHead
+	stop := c.watchDisconnect(&s.group, cancel)
 	s.handle(ctx, r, w)
 	alive := stop()
-	return alive && w.finish()
+	return alive && w.reusable()
 }
 
-// await waits for the first byte of a request.
-func (s *Server) await(c *conn, limits Limits, first bool) bool {
+// waitForRequest blocks until the first byte of a request arrives and reports
+// whether one did.
+func (s *Server) waitForRequest(c *conn, limits Limits, first bool) bool {
 	if c.r.Buffered() > 0 {
 		return true
 	}
-	wait := limits.Idle + idleSlack
+	wait := limits.Idle + idleMargin
 	if first {
 		wait = max(wait, limits.HeaderTime)
 	}
@@ -153,7 +160,7 @@
 	return err == nil
 }
 
-// idleSet holds the connections that wait for a request.
+// idleSet holds the connections that wait for a request, and since when.
 type idleSet struct {
 	mu    sync.Mutex
 	conns map[*conn]time.Time
@@ -174,11 +181,11 @@
 	delete(s.conns, c)
 }
 
-func (s *idleSet) close(before time.Time) {
+func (s *idleSet) close(cutoff time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, since := range s.conns {
-		if since.Before(before) {
+		if since.Before(cutoff) {
 			c.close()
 		}
 	}
