--- a/internal/peer/caller/conn.go
+++ b/internal/peer/caller/conn.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// listener gives every write of its connections a deadline of its own.
+// listener accepts connections that set a new deadline before each write.
 type listener struct {
 	net.Listener
-	stall time.Duration
+	writeTimeout time.Duration
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -16,16 +16,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, stall: l.stall}, nil
+	return &conn{Conn: c, writeTimeout: l.writeTimeout}, nil
 }
 
 type conn struct {
 	net.Conn
-	stall time.Duration
+	writeTimeout time.Duration
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.stall)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
--- a/internal/peer/caller/doc.go
+++ b/internal/peer/caller/doc.go
@@ -1,8 +1,10 @@
-// Package caller serves the callers: the OpenAI-compatible HTTP interface for
-// completions and chat completions, plain services under a path, resumption
-// of a broken stream, and the explanation of refusal codes.
+// Package caller implements the HTTP server for callers, the clients of the
+// API: the OpenAI-compatible interface for completions and chat completions,
+// calls to plain services under a path, resumption of interrupted streams and
+// explanation of refusal codes.
 //
-// It turns HTTP into the values of its Handler and back. Refusals are problem
-// documents (RFC 9457). Every read and write has a deadline of its own, so a
-// stream may last for ever while a caller that stops reading may not.
+// It converts HTTP requests to calls of a Handler, and the results to HTTP
+// responses. Refusals are sent as problem documents (RFC 9457). Every read and
+// write has its own deadline, so that a stream may last indefinitely while a
+// caller that stops reading is disconnected.
 package caller
--- a/internal/peer/caller/handler.go
+++ b/internal/peer/caller/handler.go
@@ -8,33 +8,33 @@
 	"umberladder/internal/peer/openai"
 )
 
-// Generation is a caller's request for a generation.
+// GenerationRequest is a caller's request for a completion or chat completion.
 type Generation struct {
 	openai.Generation
 	Key            string      // bearer key
-	Class          ident.Class // empty: the service's
+	Class          ident.Class // empty: the default class of the service
 	IdempotencyKey string
 }
 
-// Resume asks to go on with a stream that broke off.
+// ResumeRequest is a request to resume an interrupted stream.
 type Resume struct {
-	Key    string
-	Handle string
-	Next   uint64 // first index the caller lacks
+	Key    string // bearer key
+	Handle string // resume handle, from the header Umberladder-Resume
+	Next   uint64 // index of the first token to send
 }
 
-// Plain is a caller's call to a plain service.
+// PlainRequest is a caller's call to a plain service.
 type Plain struct {
-	Key            string
+	Key            string // bearer key
 	Service        ident.Service
 	Method         string
-	Path           string // after the service's name, with the query
+	Path           string // path after the service name, including the query
 	ContentType    string
 	Body           []byte
 	IdempotencyKey string
 }
 
-// Answer is a whole answer.
+// PlainResponse is the complete response of a plain service.
 type Answer struct {
 	Request     ident.Request
 	Status      int
@@ -42,30 +42,32 @@
 	Body        []byte
 }
 
-// Stream is a generation that is under way. Close is called once, with
-// whether the caller has the whole answer or is known to have left.
+// Stream is a generation in progress. Handle returns its resume handle. Next
+// blocks until the next token. Close is called once, with whether the caller
+// disconnected before it got the complete response, and with the number of
+// bytes sent.
 type Stream interface {
 	Request() ident.Request
 	Service() ident.Service
 	Chat() bool
 	Handle() string
 	Next() (openai.Token, *refuse.Refusal)
-	Close(left bool, bytes int)
+	Close(disconnected bool, bytes int)
 }
 
-// Handler serves what callers ask for. Every refusal it returns names its
-// request and time.
+// Handler serves the requests of callers. Every refusal it returns has its
+// request identifier and time set.
 type Handler interface {
 	Stream(ctx context.Context, g Generation) (Stream, *refuse.Refusal)
 	Whole(ctx context.Context, g Generation) (openai.Whole, *refuse.Refusal)
 	Resume(ctx context.Context, r Resume) (Stream, *refuse.Refusal)
 	Plain(ctx context.Context, p Plain) (Answer, *refuse.Refusal)
 	Services(key string) ([]ident.Service, *refuse.Refusal)
-	// Refuse completes a refusal made while reading the request.
+	// RecordRefusal completes and records a refusal made while reading the request.
 	Refuse(r *refuse.Refusal) *refuse.Refusal
-	// Code returns a refusal's code, Explain what a code says.
+	// Code returns the code of a refusal. Explain returns the refusal of a code.
 	Code(r *refuse.Refusal) string
 	Explain(code string) (*refuse.Refusal, error)
-	// Ready reports whether the balancer should send callers here.
+	// Ready reports whether the load balancer should send callers to this VM.
 	Ready() bool
 }
--- a/internal/peer/caller/problem.go
+++ b/internal/peer/caller/problem.go
@@ -12,9 +12,9 @@
 
 const problemType = "application/problem+json"
 
-// problem returns a refusal as a problem document (RFC 9457). The member
-// "error" is what client libraries of the OpenAI interface show.
-func problem(a *fastjson.Arena, r *refuse.Refusal, code string) *fastjson.Value {
+// problemDocument encodes a refusal as a problem document (RFC 9457). Client
+// libraries of the OpenAI interface show the member "error".
+func problemDocument(a *fastjson.Arena, r *refuse.Refusal, code string) *fastjson.Value {
 	o := a.NewObject()
 	o.Set("type", a.NewString("urn:umberladder:refusal:"+r.Reason.String()))
 	o.Set("title", a.NewString(r.Reason.Title()))
@@ -47,7 +47,7 @@
 	return o
 }
 
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, r *refuse.Refusal) {
+func (s *Server) writeRefusal(ctx *fasthttp.RequestCtx, r *refuse.Refusal) {
 	var a fastjson.Arena
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(r.Reason.Status())
@@ -56,12 +56,13 @@
 		ctx.Response.Header.Set(headerRequest, string(r.Request))
 	}
 	if r.RetryAfter > 0 {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retrySeconds(r.RetryAfter))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfterSeconds(r.RetryAfter))
 	}
-	ctx.SetBody(problem(&a, r, s.handler.Code(r)).MarshalTo(nil))
+	ctx.SetBody(problemDocument(&a, r, s.handler.Code(r)).MarshalTo(nil))
 }
 
-// retrySeconds rounds up: coming back sooner would be refused again.
-func retrySeconds(d time.Duration) string {
+// retryAfterSeconds rounds up to whole seconds, because an earlier retry would
+// be refused again.
+func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int((d + time.Second - 1) / time.Second))
 }
--- a/internal/peer/caller/request.go
+++ b/internal/peer/caller/request.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	bearer        = "Bearer "
-	headerClass   = "Umberladder-Class"
-	headerKey     = "Idempotency-Key"
-	headerLast    = "Last-Event-ID"
-	headerRequest = "Umberladder-Request"
-	headerResume  = "Umberladder-Resume"
-	maxIdemKey    = 255
+	bearerPrefix         = "Bearer "
+	headerClass          = "Umberladder-Class"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerLastEventID    = "Last-Event-ID"
+	headerRequest        = "Umberladder-Request"
+	headerResume         = "Umberladder-Resume"
+	maxIdempotencyKey    = 255
 )
 
-func bad(format string, args ...any) *refuse.Refusal {
+func badInput(format string, args ...any) *refuse.Refusal {
 	return refuse.New(refuse.BadInput, format, args...)
 }
 
 func bearerKey(ctx *fasthttp.RequestCtx) string {
 	v := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	key, ok := strings.CutPrefix(v, bearer)
+	key, ok := strings.CutPrefix(v, bearerPrefix)
 	if !ok {
 		return ""
 	}
 	return key
 }
 
-// parseGeneration reads a request of the completions or chat interface.
+// parseGeneration parses a request for a completion or, with chat, for a chat
+// completion.
 func parseGeneration(ctx *fasthttp.RequestCtx, chat bool) (Generation, *refuse.Refusal) {
 	g := Generation{Key: bearerKey(ctx)}
 	class := string(ctx.Request.Header.Peek(headerClass))
 	if class != "" && ident.CheckName(class) != nil {
-		return g, bad("the header %s must be a class name", headerClass)
+		return g, badInput("the header %s must be a class name", headerClass)
 	}
 	g.Class = ident.Class(class)
 	var r *refuse.Refusal
@@ -50,9 +51,9 @@
 }
 
 func idempotencyKey(ctx *fasthttp.RequestCtx) (string, *refuse.Refusal) {
-	key := string(ctx.Request.Header.Peek(headerKey))
-	if len(key) > maxIdemKey {
-		return "", bad("the header %s is longer than %d bytes", headerKey, maxIdemKey)
+	key := string(ctx.Request.Header.Peek(headerIdempotencyKey))
+	if len(key) > maxIdempotencyKey {
+		return "", badInput("the header %s is longer than %d bytes", headerIdempotencyKey, maxIdempotencyKey)
 	}
 	return key, nil
 }
--- a/internal/peer/caller/server.go
+++ b/internal/peer/caller/server.go
@@ -19,45 +19,46 @@
 )
 
 const (
-	pathChat     = "/v1/chat/completions"
-	pathComplete = "/v1/completions"
-	pathModels   = "/v1/models"
-	pathServices = "/v1/services/"
-	pathResume   = "/v1/resume/"
-	pathRefusals = "/v1/refusals/"
-	pathHealth   = "/healthz"
-	pathReady    = "/readyz"
-	pathMetrics  = "/metrics"
+	pathChat        = "/v1/chat/completions"
+	pathCompletions = "/v1/completions"
+	pathModels      = "/v1/models"
+	pathServices    = "/v1/services/"
+	pathResume      = "/v1/resume/"
+	pathRefusals    = "/v1/refusals/"
+	pathHealth      = "/healthz"
+	pathReady       = "/readyz"
+	pathMetrics     = "/metrics"
 )
 
-// Config bounds what callers may cost.
+// Config holds the limits on requests and connections, and the logger.
 type Config struct {
 	Body       int           // largest request body, in bytes
 	Header     int           // largest request line and header section, in bytes
-	Read       time.Duration // longest time to send one request
+	Read       time.Duration // longest time for receiving one request
 	Idle       time.Duration // longest time between two requests
-	Stall      time.Duration // longest time a caller may not read
-	MaxConns   int           // open connections
-	DrainDelay time.Duration // from not ready to closing the listener
+	Stall      time.Duration // longest time that one write may block
+	MaxConns   int           // largest number of open connections
+	DrainDelay time.Duration // time from reporting not ready to closing the listener
 	Log        fasthttp.Logger
 }
 
-// Server serves callers over a handler.
+// Server is the HTTP server for callers. It passes requests to a Handler.
 type Server struct {
-	cfg     Config
-	handler Handler
-	metrics func(*fasthttp.RequestCtx)
-	http    *fasthttp.Server
-	base    context.Context
-	closing atomic.Bool
+	cfg      Config
+	handler  Handler
+	metrics  func(*fasthttp.RequestCtx)
+	http     *fasthttp.Server
+	baseCtx  context.Context
+	draining atomic.Bool
 }
 
-// New makes a server. Requests end when base does; metrics answers /metrics.
-func New(base context.Context, cfg Config, handler Handler, metrics func(*fasthttp.RequestCtx)) *Server {
-	s := &Server{cfg: cfg, handler: handler, metrics: metrics, base: base}
+// New returns a server. Canceling baseCtx cancels all requests. The function
+// metrics serves /metrics.
+func New(baseCtx context.Context, cfg Config, handler Handler, metrics func(*fasthttp.RequestCtx)) *Server {
+	s := &Server{cfg: cfg, handler: handler, metrics: metrics, baseCtx: baseCtx}
 	s.http = &fasthttp.Server{
 		Handler:            s.handle,
-		ErrorHandler:       s.unreadable,
+		ErrorHandler:       s.handleReadError,
 		Name:               "umberladder",
 		ReadTimeout:        cfg.Read,
 		IdleTimeout:        cfg.Idle,
@@ -71,16 +72,16 @@
 	return s
 }
 
-// Serve answers on ln until Shutdown.
+// Serve serves connections from ln until Shutdown is called.
 func (s *Server) Serve(ln net.Listener) error {
-	return trace.Wrap(s.http.Serve(&listener{Listener: ln, stall: s.cfg.Stall}))
+	return trace.Wrap(s.http.Serve(&listener{Listener: ln, writeTimeout: s.cfg.Stall}))
 }
 
-// Shutdown stops taking connections, after a time in which the balancer sees
-// that the VM is not ready, and returns when every request has ended, however
-// long that takes, or ctx is done.
+// Shutdown reports the VM as not ready, waits DrainDelay for the load balancer
+// to notice, and then stops accepting connections. It returns when all requests
+// have completed, without a time limit of its own, or when ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.closing.Store(true)
+	s.draining.Store(true)
 	select {
 	case <-time.After(s.cfg.DrainDelay):
 	case <-ctx.Done():
@@ -89,14 +90,14 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if s.closing.Load() {
+	if s.draining.Load() {
 		ctx.SetConnectionClose()
 	}
 	path := string(ctx.Path())
 	switch {
 	case path == pathChat:
 		s.generate(ctx, true)
-	case path == pathComplete:
+	case path == pathCompletions:
 		s.generate(ctx, false)
 	case path == pathModels:
 		s.models(ctx)
@@ -117,15 +118,15 @@
 	}
 }
 
-// reject answers with a refusal made before the handler saw the request.
+// reject responds with a refusal made before the request reached the handler.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, r *refuse.Refusal) {
-	s.refuse(ctx, s.handler.Refuse(r))
+	s.writeRefusal(ctx, s.handler.Refuse(r))
 }
 
 func (s *Server) generate(ctx *fasthttp.RequestCtx, chat bool) {
 	if !ctx.IsPost() {
 		ctx.Response.Header.Set(fasthttp.HeaderAllow, fasthttp.MethodPost)
-		s.reject(ctx, bad("%s takes POST, not %s", ctx.Path(), ctx.Method()))
+		s.reject(ctx, badInput("%s takes POST, not %s", ctx.Path(), ctx.Method()))
 		return
 	}
 	g, refusal := parseGeneration(ctx, chat)
@@ -134,41 +135,41 @@
 		return
 	}
 	if !g.Stream {
-		s.whole(ctx, g)
+		s.generateUnary(ctx, g)
 		return
 	}
-	st, refusal := s.handler.Stream(s.base, g)
+	st, refusal := s.handler.Stream(s.baseCtx, g)
 	if refusal != nil {
-		s.refuse(ctx, refusal)
+		s.writeRefusal(ctx, refusal)
 		return
 	}
 	s.stream(ctx, st)
 }
 
-func (s *Server) whole(ctx *fasthttp.RequestCtx, g Generation) {
-	w, refusal := s.handler.Whole(s.base, g)
+func (s *Server) generateUnary(ctx *fasthttp.RequestCtx, g Generation) {
+	completion, refusal := s.handler.Whole(s.baseCtx, g)
 	if refusal != nil {
-		s.refuse(ctx, refusal)
+		s.writeRefusal(ctx, refusal)
 		return
 	}
-	ctx.Response.Header.Set(headerRequest, string(w.Request))
+	ctx.Response.Header.Set(headerRequest, string(completion.Request))
 	ctx.SetContentType("application/json")
-	ctx.SetBody(w.Encode(&g.Generation, time.Now()))
+	ctx.SetBody(completion.Encode(&g.Generation, time.Now()))
 }
 
 func (s *Server) resume(ctx *fasthttp.RequestCtx, handle string) {
 	next := uint64(0)
-	if last := string(ctx.Request.Header.Peek(headerLast)); last != "" {
+	if last := string(ctx.Request.Header.Peek(headerLastEventID)); last != "" {
 		n, err := strconv.ParseUint(last, 10, 63)
 		if err != nil {
-			s.reject(ctx, bad("the header %s must be the index of the last token held", headerLast))
+			s.reject(ctx, badInput("the header %s must be the index of the last token held", headerLastEventID))
 			return
 		}
 		next = n + 1
 	}
-	st, refusal := s.handler.Resume(s.base, Resume{Key: bearerKey(ctx), Handle: handle, Next: next})
+	st, refusal := s.handler.Resume(s.baseCtx, Resume{Key: bearerKey(ctx), Handle: handle, Next: next})
 	if refusal != nil {
-		s.refuse(ctx, refusal)
+		s.writeRefusal(ctx, refusal)
 		return
 	}
 	s.stream(ctx, st)
@@ -177,7 +178,7 @@
 func (s *Server) plain(ctx *fasthttp.RequestCtx, rest string) {
 	name, _, _ := strings.Cut(rest, "/")
 	if err := ident.CheckName(name); err != nil {
-		s.reject(ctx, bad("service: %s", trace.UserMessage(err)))
+		s.reject(ctx, badInput("service: %s", trace.UserMessage(err)))
 		return
 	}
 	key, refusal := idempotencyKey(ctx)
@@ -189,7 +190,7 @@
 	if !strings.HasPrefix(uri, "/") {
 		uri = "/" + uri
 	}
-	answer, refusal := s.handler.Plain(s.base, Plain{
+	resp, refusal := s.handler.Plain(s.baseCtx, Plain{
 		Key:            bearerKey(ctx),
 		Service:        ident.Service(name),
 		Method:         string(ctx.Method()),
@@ -199,19 +200,19 @@
 		IdempotencyKey: key,
 	})
 	if refusal != nil {
-		s.refuse(ctx, refusal)
+		s.writeRefusal(ctx, refusal)
 		return
 	}
-	ctx.Response.Header.Set(headerRequest, string(answer.Request))
-	ctx.SetStatusCode(answer.Status)
-	ctx.SetContentType(answer.ContentType)
-	ctx.SetBody(answer.Body)
+	ctx.Response.Header.Set(headerRequest, string(resp.Request))
+	ctx.SetStatusCode(resp.Status)
+	ctx.SetContentType(resp.ContentType)
+	ctx.SetBody(resp.Body)
 }
 
 func (s *Server) models(ctx *fasthttp.RequestCtx) {
 	names, refusal := s.handler.Services(bearerKey(ctx))
 	if refusal != nil {
-		s.refuse(ctx, refusal)
+		s.writeRefusal(ctx, refusal)
 		return
 	}
 	ctx.SetContentType("application/json")
@@ -225,14 +226,14 @@
 		return
 	}
 	var a fastjson.Arena
-	o := problem(&a, r, "")
+	o := problemDocument(&a, r, "")
 	o.Set("explanation", a.NewString(r.Explain()))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(o.MarshalTo(nil))
 }
 
 func (s *Server) ready(ctx *fasthttp.RequestCtx) {
-	if s.closing.Load() || !s.handler.Ready() {
+	if s.draining.Load() || !s.handler.Ready() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.SetBodyString("not ready\n")
 		return
@@ -240,18 +241,18 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// unreadable answers a request that could not be read.
-func (s *Server) unreadable(ctx *fasthttp.RequestCtx, err error) {
-	var small *fasthttp.ErrSmallBuffer
+// handleReadError responds to a request that could not be read.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
+	var tooSmall *fasthttp.ErrSmallBuffer
 	var timeout interface{ Timeout() bool }
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &tooSmall):
 		s.reject(ctx, refuse.New(refuse.HeaderTooLarge, "the header section is over %d bytes", s.cfg.Header))
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		s.reject(ctx, refuse.New(refuse.TooLarge, "the body is over %d bytes", s.cfg.Body))
 	case errors.As(err, &timeout) && timeout.Timeout():
 		s.reject(ctx, refuse.New(refuse.CallerStalled, "the request was not sent whole within %s", s.cfg.Read))
 	default:
-		s.reject(ctx, bad("the request is not valid HTTP"))
+		s.reject(ctx, badInput("the request is not valid HTTP"))
 	}
 }
--- a/internal/peer/caller/stream.go
+++ b/internal/peer/caller/stream.go
@@ -11,27 +11,27 @@
 	"umberladder/internal/peer/openai"
 )
 
-// stream answers with the tokens of st as they come.
+// stream sends the tokens of st as server-sent events as they arrive.
 func (s *Server) stream(ctx *fasthttp.RequestCtx, st Stream) {
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-store")
 	ctx.Response.Header.Set(headerRequest, string(st.Request()))
 	ctx.Response.Header.Set(headerResume, st.Handle())
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		c := &copier{w: w, encoder: openai.NewEncoder(st.Request(), st.Service(), st.Chat(), time.Now())}
-		left := s.relay(c, st)
-		st.Close(left, c.bytes)
+		c := &eventWriter{w: w, encoder: openai.NewEncoder(st.Request(), st.Service(), st.Chat(), time.Now())}
+		disconnected := s.copyEvents(c, st)
+		st.Close(disconnected, c.bytes)
 	})
 }
 
-// copier writes events to a caller.
-type copier struct {
+// eventWriter writes server-sent events to a caller and counts their bytes.
+type eventWriter struct {
 	w       *bufio.Writer
 	encoder *openai.Encoder
 	bytes   int
 }
 
-func (c *copier) write(event []byte) error {
+func (c *eventWriter) write(event []byte) error {
 	c.bytes += len(event)
 	if _, err := c.w.Write(event); err != nil {
 		return err
@@ -39,9 +39,10 @@
 	return c.w.Flush()
 }
 
-// relay copies the stream and reports whether the caller left early. A stream
-// that does not end whole ends with an event "error", without [DONE].
-func (s *Server) relay(c *copier, st Stream) bool {
+// copyEvents sends all tokens of the stream and reports whether the caller
+// disconnected before the end. A stream that fails ends with an event "error",
+// without [DONE].
+func (s *Server) copyEvents(c *eventWriter, st Stream) bool {
 	for {
 		t, refusal := st.Next()
 		switch {
@@ -58,6 +59,6 @@
 
 func (s *Server) errorEvent(r *refuse.Refusal) []byte {
 	var a fastjson.Arena
-	b := problem(&a, r, s.handler.Code(r)).MarshalTo([]byte("event: error\ndata: "))
+	b := problemDocument(&a, r, s.handler.Code(r)).MarshalTo([]byte("event: error\ndata: "))
 	return append(b, "\n\n"...)
 }
