--- a/internal/peer/engine/client.go
+++ b/internal/peer/engine/client.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	generations = "/v1/generations"
-	loads       = "/v1/load"
-	maxAnswer   = 1 << 16
+	pathGenerations = "/v1/generations"
+	pathLoad        = "/v1/load"
+	maxResponse     = 1 << 16 // bytes
 )
 
-// Start is the order for one generation.
+// StartRequest holds the parameters of a new generation.
 type Start struct {
 	Generation ident.Generation
 	Model      ident.Model
 	Prompt     string
-	MaxTokens  int           // zero: as long as it gets
-	Priority   int           // 0 goes first
-	Detach     time.Duration // how long it goes on while nobody reads
+	MaxTokens  int           // zero: no limit
+	Priority   int           // 0 is the most urgent
+	Detach     time.Duration // how long the generation continues while no client reads it
 }
 
-// Load is an engine's report of itself. At is when it was true, by this VM's
-// clock: the time of the answer less the age the engine gave.
+// Load is the load report of an engine. AsOf is the time the report describes,
+// by this VM's clock: the time of the response minus the age stated in it.
 type Load struct {
 	Running    int
 	Waiting    int
@@ -48,18 +48,18 @@
 	dialer *link.Dialer
 }
 
-// New makes a client over a dialer.
+// New returns a client that uses the dialer.
 func New(dialer *link.Dialer) *Client { return &Client{dialer: dialer} }
 
-// Start starts a generation and returns its stream from token 0 on.
+// Start starts a generation and returns its stream, beginning with token 0.
 func (c *Client) Start(ctx context.Context, addr netip.AddrPort, s Start) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
-	req.SetRequestURI(generations)
+	req.SetRequestURI(pathGenerations)
 	req.Header.SetContentType("application/json")
 	req.SetBodyRaw(s.encode())
-	st, err := c.open(ctx, addr, req)
+	st, err := c.openStream(ctx, addr, req)
 	return st, trace.Wrap(err)
 }
 
@@ -77,34 +77,34 @@
 	return o.MarshalTo(nil)
 }
 
-// Resume returns the stream of a started generation from token next on.
+// Resume returns the stream of a started generation, beginning with token next.
 func (c *Client) Resume(ctx context.Context, addr netip.AddrPort, g ident.Generation, next uint64) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	req.SetRequestURI(generations + "/" + string(g) + "?from=" + strconv.FormatUint(next, 10))
-	st, err := c.open(ctx, addr, req)
+	req.SetRequestURI(pathGenerations + "/" + string(g) + "?from=" + strconv.FormatUint(next, 10))
+	st, err := c.openStream(ctx, addr, req)
 	return st, trace.Wrap(err)
 }
 
-// Cancel ends a generation and frees its memory.
+// Cancel stops a generation and frees its memory.
 func (c *Client) Cancel(ctx context.Context, addr netip.AddrPort, g ident.Generation) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(fasthttp.MethodDelete)
-	req.SetRequestURI(generations + "/" + string(g))
-	return trace.Wrap(c.dialer.Do(ctx, addr, req, resp, link.Options{Body: maxAnswer}))
+	req.SetRequestURI(pathGenerations + "/" + string(g))
+	return trace.Wrap(c.dialer.Do(ctx, addr, req, resp, link.Options{Body: maxResponse}))
 }
 
-// Load reads an engine's load report.
+// Load requests the load report of an engine.
 func (c *Client) Load(ctx context.Context, addr netip.AddrPort) (Load, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI(loads)
-	if err := c.dialer.Do(ctx, addr, req, resp, link.Options{Body: maxAnswer}); err != nil {
+	req.SetRequestURI(pathLoad)
+	if err := c.dialer.Do(ctx, addr, req, resp, link.Options{Body: maxResponse}); err != nil {
 		return Load{}, trace.Wrap(err)
 	}
 	v, err := fastjson.ParseBytes(resp.Body())
@@ -121,21 +121,21 @@
 	}, nil
 }
 
-func (c *Client) open(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request) (*Stream, error) {
+func (c *Client) openStream(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request) (*Stream, error) {
 	resp := &fasthttp.Response{}
-	body, err := c.dialer.Open(ctx, addr, req, resp, link.Options{Fresh: true, Body: maxAnswer})
+	body, err := c.dialer.Open(ctx, addr, req, resp, link.Options{Fresh: true, Body: maxResponse})
 	if err != nil {
-		return nil, fromLink(err)
+		return nil, linkError(err)
 	}
 	if resp.StatusCode() == fasthttp.StatusOK {
 		return NewStream(body), nil
 	}
 	defer func() { _ = body.Close() }()
-	return nil, refusal(resp)
+	return nil, responseError(resp)
 }
 
-// fromLink turns the failure of an exchange into what is known of the run.
-func fromLink(err error) *Error {
+// linkError classifies a failed exchange by whether the request may have run.
+func linkError(err error) *Error {
 	fault := Maybe
 	var le *link.Error
 	if errors.As(err, &le) && le.Unsent() {
@@ -144,14 +144,15 @@
 	return &Error{Fault: fault, Err: err}
 }
 
-func refusal(resp *fasthttp.Response) *Error {
-	body, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxAnswer))
+// responseError classifies a response other than 200 by the member "started".
+func responseError(resp *fasthttp.Response) *Error {
+	body, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxResponse))
 	if err != nil {
 		return &Error{Fault: Maybe, Err: err}
 	}
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return &Error{Fault: Maybe, Err: trace.BadParameter("status %d without a word of whether it started", resp.StatusCode())}
+		return &Error{Fault: Maybe, Err: trace.BadParameter("status %d without a JSON body that says whether the generation started", resp.StatusCode())}
 	}
 	e := &Error{Fault: Maybe, Err: trace.BadParameter("status %d: %s", resp.StatusCode(), v.GetStringBytes("error"))}
 	started := v.Get("started")
--- a/internal/peer/engine/doc.go
+++ b/internal/peer/engine/doc.go
@@ -1,5 +1,5 @@
-// Package engine speaks to model engines: it starts, follows, resumes and
-// cancels generations and reads load reports, by the protocol in
-// docs/ENGINE.md. It never retries; its errors say what is known of whether
-// the generation ran.
+// Package engine is a client for model engines, which run generations. It
+// starts, streams, resumes and cancels generations and reads load reports, using
+// the protocol in docs/ENGINE.md. It never retries. Its errors state whether the
+// generation may have run.
 package engine
--- a/internal/peer/engine/error.go
+++ b/internal/peer/engine/error.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Fault says how a call to an engine failed.
+// ErrorKind classifies a failed call to an engine.
 type Fault uint8
 
-// The faults.
+// The kinds of errors.
 const (
-	Unsent  Fault = iota // nothing was written: it can't have run
-	Refused              // the engine said that it did not start
-	Unknown              // the engine knows no such generation
-	Maybe                // written, and no word came back
-	Broken               // the stream broke off; it may be resumed
-	Silent               // nothing came for the longest silence allowed
-	Invalid              // the engine broke its protocol
+	Unsent  Fault = iota // nothing was written: the generation can't have run
+	Refused              // the engine responded that it did not start the generation
+	Unknown              // the engine has no such generation
+	Maybe                // the request was written, but whether it ran is not known
+	Broken               // the stream was interrupted; it can be resumed
+	Silent               // nothing was received within the idle timeout
+	Invalid              // the response violates the protocol
 )
 
 func (f Fault) String() string {
@@ -26,7 +26,7 @@
 // Error is a failed call to an engine.
 type Error struct {
 	Fault      Fault
-	RetryAfter time.Duration // set by an engine that refused
+	RetryAfter time.Duration // delay requested by an engine that refused; zero if none
 	Err        error
 }
 
@@ -36,5 +36,5 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun reports whether the failed start provably never ran.
+// NotRun reports whether the generation is known not to have run.
 func (e *Error) NotRun() bool { return e.Fault == Unsent || e.Fault == Refused }
--- a/internal/peer/engine/stream.go
+++ b/internal/peer/engine/stream.go
@@ -12,45 +12,45 @@
 	"umberladder/internal/peer/link"
 )
 
-// Kind says what an event tells.
+// EventKind is the kind of an Event.
 type Kind uint8
 
 // The kinds of events.
 const (
 	Token   Kind = iota // one token
-	Paused              // the engine took the stream's memory
-	Resumed             // the stream has memory again
-	Done                // the generation ended
+	Paused              // the engine preempted the generation: its memory was reclaimed
+	Resumed             // the generation has memory again
+	Done                // the generation is complete
 )
 
 // Event is one event of a stream.
 type Event struct {
 	Kind       Kind
 	Generation ident.Generation
-	Index      uint64 // of a token; of Done, how many tokens there were
+	Index      uint64 // Token: its index; Done: the number of tokens
 	Text       string
-	Finish     string // of Done: "stop" or "length"
+	Finish     string // Done: "stop" or "length"
 }
 
-// Stream is one link to a running generation.
+// Stream is a connection that receives the events of a running generation.
 type Stream struct {
 	body   io.ReadCloser
 	parser fastjson.Parser
 }
 
-// NewStream returns the stream of events that body holds.
+// NewStream returns a stream that reads events from body.
 func NewStream(body io.ReadCloser) *Stream { return &Stream{body: body} }
 
-// Close ends the link. The generation goes on for its detach time.
+// Close closes the connection. The generation continues for its detach timeout.
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Events yields the stream's events. It ends after Done or after one error,
-// which is always an *Error: Silent, Broken or Invalid.
+// Events iterates over the events of the stream. It ends after Done or after the
+// first error, which is always an *Error of kind Timeout, Interrupted or Invalid.
 func (s *Stream) Events() iter.Seq2[Event, error] {
 	return func(yield func(Event, error) bool) {
 		for raw, err := range sse.Read(s.body, nil) {
 			if err != nil {
-				yield(Event{}, broken(err))
+				yield(Event{}, streamError(err))
 				return
 			}
 			ev, err := s.decode(raw)
@@ -58,11 +58,11 @@
 				return
 			}
 		}
-		yield(Event{}, broken(io.ErrUnexpectedEOF))
+		yield(Event{}, streamError(io.ErrUnexpectedEOF))
 	}
 }
 
-func broken(err error) *Error {
+func streamError(err error) *Error {
 	if link.Timeout(err) {
 		return &Error{Fault: Silent, Err: err}
 	}
@@ -88,7 +88,7 @@
 		ev.Index = v.GetUint64("tokens")
 		ev.Finish = string(v.GetStringBytes("finish"))
 	default:
-		return Event{}, &Error{Fault: Invalid, Err: trace.BadParameter("event of type %q", raw.Type)}
+		return Event{}, &Error{Fault: Invalid, Err: trace.BadParameter("unknown event type %q", raw.Type)}
 	}
 	return ev, nil
 }
