--- a/internal/peer/openai/doc.go
+++ b/internal/peer/openai/doc.go
@@ -1,5 +1,5 @@
-// Package openai reads and writes the bodies of the OpenAI HTTP interface for
-// completions and chat completions, streamed and whole, so that existing
-// client libraries work unchanged. Members that it does not know are ignored,
-// as that interface grows.
+// Package openai parses request bodies and encodes response bodies of the OpenAI
+// HTTP interface for completions and chat completions, streaming and unary, so
+// that existing client libraries work unchanged. Unknown members are ignored,
+// because new ones are added to that interface.
 package openai
--- a/internal/peer/openai/encode.go
+++ b/internal/peer/openai/encode.go
@@ -9,14 +9,14 @@
 	"umberladder/internal/core/ident"
 )
 
-// Token is one token of a stream, or its end.
+// Token is one token of a stream, or the end of the stream.
 type Token struct {
 	Index  uint64
 	Text   string
-	Finish string // set at the end: "stop" or "length"
+	Finish string // only at the end: "stop" or "length"
 }
 
-// Whole is a whole generation.
+// Completion is the complete result of a generation.
 type Whole struct {
 	Request      ident.Request
 	Text         string
@@ -25,7 +25,7 @@
 	Tokens       int
 }
 
-// Encode returns the body that answers g with the whole generation.
+// Encode returns the body of the unary response to g.
 func (w *Whole) Encode(g *Generation, now time.Time) []byte {
 	var a fastjson.Arena
 	o, choice, usage := a.NewObject(), a.NewObject(), a.NewObject()
@@ -56,7 +56,7 @@
 	return o.MarshalTo(nil)
 }
 
-// EncodeModels returns the body that lists services as models.
+// EncodeModels returns the body of a response that lists the services as models.
 func EncodeModels(names []ident.Service) []byte {
 	var a fastjson.Arena
 	o, list := a.NewObject(), a.NewArray()
@@ -72,48 +72,49 @@
 	return o.MarshalTo(nil)
 }
 
-// Encoder writes the events of one stream. The parts of an event that do not
-// change are made once, and its buffer is used again by the next call.
+// Encoder encodes the server-sent events of one stream. The constant parts of
+// the events are encoded once, and the buffer is reused by the next call.
 type Encoder struct {
-	middle, tail []byte
-	finishHead   []byte
-	finishTail   []byte
-	arena        fastjson.Arena
-	buf          []byte
+	tokenMiddle, tokenTail []byte
+	finishHead             []byte
+	finishTail             []byte
+	arena                  fastjson.Arena
+	buf                    []byte
 }
 
-// NewEncoder makes the encoder of a stream.
+// NewEncoder returns the encoder for a stream.
 func NewEncoder(r ident.Request, s ident.Service, chat bool, created time.Time) *Encoder {
 	id, object := "cmpl-", "text_completion"
-	open, shut := `"choices":[{"index":0,"text":`, `,"logprobs":null,"finish_reason":null}]}`
-	end := `"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
+	tokenOpen, tokenClose := `"choices":[{"index":0,"text":`, `,"logprobs":null,"finish_reason":null}]}`
+	finishOpen := `"choices":[{"index":0,"text":"","logprobs":null,"finish_reason":`
 	if chat {
 		id, object = "chatcmpl-", "chat.completion.chunk"
-		open, shut = `"choices":[{"index":0,"delta":{"content":`, `},"finish_reason":null}]}`
-		end = `"choices":[{"index":0,"delta":{},"finish_reason":`
+		tokenOpen, tokenClose = `"choices":[{"index":0,"delta":{"content":`, `},"finish_reason":null}]}`
+		finishOpen = `"choices":[{"index":0,"delta":{},"finish_reason":`
 	}
 	common := `{"id":"` + id + string(r) + `","object":"` + object + `","created":` +
 		strconv.FormatInt(created.Unix(), 10) + `,"model":"` + string(s) + `",`
 	return &Encoder{
-		middle:     []byte("\ndata: " + common + open),
-		tail:       []byte(shut + "\n\n"),
-		finishHead: []byte("data: " + common + end),
-		finishTail: []byte("}]}\n\ndata: [DONE]\n\n"),
+		tokenMiddle: []byte("\ndata: " + common + tokenOpen),
+		tokenTail:   []byte(tokenClose + "\n\n"),
+		finishHead:  []byte("data: " + common + finishOpen),
+		finishTail:  []byte("}]}\n\ndata: [DONE]\n\n"),
 	}
 }
 
-// Token returns the event of one token, valid until the next call.
+// Token returns the event for one token. It is valid until the next call.
 func (e *Encoder) Token(t Token) []byte {
 	e.arena.Reset()
 	b := append(e.buf[:0], "id: "...)
 	b = strconv.AppendUint(b, t.Index, 10)
-	b = append(b, e.middle...)
+	b = append(b, e.tokenMiddle...)
 	b = e.arena.NewString(t.Text).MarshalTo(b)
-	e.buf = append(b, e.tail...)
+	e.buf = append(b, e.tokenTail...)
 	return e.buf
 }
 
-// Finish returns the events of the end, valid until the next call.
+// Finish returns the events that end the stream. They are valid until the next
+// call.
 func (e *Encoder) Finish(t Token) []byte {
 	e.arena.Reset()
 	b := append(e.buf[:0], e.finishHead...)
--- a/internal/peer/openai/parse.go
+++ b/internal/peer/openai/parse.go
@@ -10,64 +10,64 @@
 	"umberladder/internal/core/refuse"
 )
 
-// MaxTokens is the largest bound on its tokens that a caller may give.
+// MaxTokens is the largest value that a caller may set for max_tokens.
 const MaxTokens = 1_000_000
 
-// Generation is a caller's request for a generation.
+// Request is a parsed request for a completion or chat completion.
 type Generation struct {
 	Service   ident.Service // the member "model"
 	Prompt    string
-	MaxTokens int // zero: not bounded by the caller
+	MaxTokens int // zero: the caller sets no limit
 	Stream    bool
 	Chat      bool
 }
 
-func bad(format string, args ...any) *refuse.Refusal {
+func badInput(format string, args ...any) *refuse.Refusal {
 	return refuse.New(refuse.BadInput, format, args...)
 }
 
-// Parse reads the body of a request for a completion or, with chat, for a
-// chat completion. A refusal names the member at fault.
+// Parse parses the body of a request for a completion or, with chat, for a chat
+// completion. A refusal names the invalid member.
 func Parse(body []byte, chat bool) (Generation, *refuse.Refusal) {
 	g := Generation{Chat: chat}
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return g, bad("the body is not valid JSON: %.120s", err)
+		return g, badInput("the body is not valid JSON: %.120s", err)
 	}
 	if v.Type() != fastjson.TypeObject {
-		return g, bad("the body must be a JSON object")
+		return g, badInput("the body must be a JSON object")
 	}
-	return g, g.fill(v)
+	return g, g.decode(v)
 }
 
-func (g *Generation) fill(v *fastjson.Value) *refuse.Refusal {
+func (g *Generation) decode(v *fastjson.Value) *refuse.Refusal {
 	model := v.Get("model")
 	if model == nil || model.Type() != fastjson.TypeString || ident.CheckName(string(model.GetStringBytes())) != nil {
-		return bad("model: want the name of a service, as a string")
+		return badInput("model: want the name of a service, as a string")
 	}
 	g.Service = ident.Service(model.GetStringBytes())
-	if r := g.fillPrompt(v); r != nil {
+	if r := g.decodePrompt(v); r != nil {
 		return r
 	}
-	if r := g.fillTokens(v); r != nil {
+	if r := g.decodeMaxTokens(v); r != nil {
 		return r
 	}
 	if s := v.Get("stream"); s != nil && s.Type() != fastjson.TypeNull {
 		b, err := s.Bool()
 		if err != nil {
-			return bad("stream: want true or false")
+			return badInput("stream: want true or false")
 		}
 		g.Stream = b
 	}
 	if n := v.Get("n"); n != nil && n.Type() != fastjson.TypeNull {
 		if k, err := n.Int(); err != nil || k != 1 {
-			return bad("n: only 1 is served")
+			return badInput("n: only 1 is served")
 		}
 	}
 	return nil
 }
 
-func (g *Generation) fillTokens(v *fastjson.Value) *refuse.Refusal {
+func (g *Generation) decodeMaxTokens(v *fastjson.Value) *refuse.Refusal {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		m := v.Get(name)
 		if m == nil || m.Type() == fastjson.TypeNull {
@@ -75,41 +75,41 @@
 		}
 		f, err := m.Float64()
 		if err != nil || f != math.Trunc(f) || f < 1 || f > MaxTokens {
-			return bad("%s: want a whole number from 1 to %d", name, MaxTokens)
+			return badInput("%s: want a whole number from 1 to %d", name, MaxTokens)
 		}
 		g.MaxTokens = int(f)
 	}
 	return nil
 }
 
-func (g *Generation) fillPrompt(v *fastjson.Value) *refuse.Refusal {
+func (g *Generation) decodePrompt(v *fastjson.Value) *refuse.Refusal {
 	if g.Chat {
-		return g.fillMessages(v.Get("messages"))
+		return g.decodeMessages(v.Get("messages"))
 	}
 	p := v.Get("prompt")
 	if p != nil && p.Type() == fastjson.TypeArray && len(p.GetArray()) == 1 {
 		p = p.GetArray()[0]
 	}
 	if p == nil || p.Type() != fastjson.TypeString {
-		return bad("prompt: want one string")
+		return badInput("prompt: want one string")
 	}
 	g.Prompt = string(p.GetStringBytes())
 	return nil
 }
 
-func (g *Generation) fillMessages(m *fastjson.Value) *refuse.Refusal {
+func (g *Generation) decodeMessages(m *fastjson.Value) *refuse.Refusal {
 	if m == nil || m.Type() != fastjson.TypeArray || len(m.GetArray()) == 0 {
-		return bad("messages: want a list of at least one message")
+		return badInput("messages: want a list of at least one message")
 	}
 	var b strings.Builder
 	for i, msg := range m.GetArray() {
 		role := msg.GetStringBytes("role")
 		if len(role) == 0 {
-			return bad("messages/%d/role: want a string", i)
+			return badInput("messages/%d/role: want a string", i)
 		}
-		text, ok := content(msg.Get("content"))
+		text, ok := messageText(msg.Get("content"))
 		if !ok {
-			return bad("messages/%d/content: want a string or a list of text parts", i)
+			return badInput("messages/%d/content: want a string or a list of text parts", i)
 		}
 		b.Write(role)
 		b.WriteString(": ")
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func content(v *fastjson.Value) (string, bool) {
+func messageText(v *fastjson.Value) (string, bool) {
 	switch {
 	case v == nil:
 		return "", false
--- a/internal/peer/plain/client.go
+++ b/internal/peer/plain/client.go
@@ -12,17 +12,17 @@
 	"umberladder/internal/peer/link"
 )
 
-// Fault says what is known of a failed call.
+// ErrorKind classifies a failed call by whether it may have run.
 type Fault uint8
 
-// The faults.
+// The kinds of errors.
 const (
-	Unsent Fault = iota // nothing was written: it can't have run
-	Maybe               // written, and no whole answer came back
-	Silent              // written, and the time ran out
+	Unsent Fault = iota // nothing was written: the call can't have run
+	Maybe               // the call was written, but no complete response was received
+	Silent              // the call was written, but the timeout expired
 )
 
-// Error is a failed call.
+// Error describes a failed call.
 type Error struct {
 	Fault Fault
 	Err   error
@@ -35,7 +35,7 @@
 // Call is one call to a plain server.
 type Call struct {
 	Method      string
-	Path        string // with the query
+	Path        string // including the query
 	ContentType string
 	Body        []byte
 	Headers     [][2]string
@@ -43,13 +43,14 @@
 	Timeout     time.Duration
 }
 
-// EchoHeader is the header in which a server may return the request's
-// identifier, so that its answer is told from another's.
+// RequestIDHeader is the header that carries the request identifier. A server
+// may return it in its response, so that a response to another request can be
+// detected.
 const EchoHeader = "Umberladder-Request"
 
-// Answer is a whole answer.
+// Response is a complete response.
 type Answer struct {
-	Echo        string // what EchoHeader holds
+	Echo        string // value of RequestIDHeader
 	Status      int
 	ContentType string
 	Body        []byte
@@ -57,14 +58,15 @@
 
 // Client calls plain servers. It is safe for use by several goroutines.
 type Client struct {
-	dialer *link.Dialer
-	body   int
+	dialer  *link.Dialer
+	maxBody int
 }
 
-// New makes a client that takes answers of up to body bytes.
-func New(dialer *link.Dialer, body int) *Client { return &Client{dialer: dialer, body: body} }
+// New returns a client that accepts response bodies of up to maxBody bytes.
+func New(dialer *link.Dialer, maxBody int) *Client { return &Client{dialer: dialer, maxBody: maxBody} }
 
-// Do sends the call and returns the whole answer.
+// Do sends the call and returns the complete response. Its error is always an
+// *Error.
 func (c *Client) Do(ctx context.Context, addr netip.AddrPort, call Call) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
@@ -72,14 +74,14 @@
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	call.fill(req)
+	call.writeTo(req)
 	err := c.dialer.Do(ctx, addr, req, resp, link.Options{
 		Fresh: !call.Repeatable,
-		Body:  c.body,
+		Body:  c.maxBody,
 		Idle:  call.Timeout,
 	})
 	if err != nil {
-		return Answer{}, classify(ctx, err)
+		return Answer{}, newError(ctx, err)
 	}
 	return Answer{
 		Echo:        string(resp.Header.Peek(EchoHeader)),
@@ -89,7 +91,7 @@
 	}, nil
 }
 
-func (c Call) fill(req *fasthttp.Request) {
+func (c Call) writeTo(req *fasthttp.Request) {
 	req.Header.SetMethod(c.Method)
 	req.SetRequestURI(c.Path)
 	if c.ContentType != "" {
@@ -101,7 +103,7 @@
 	req.SetBodyRaw(c.Body)
 }
 
-func classify(ctx context.Context, err error) *Error {
+func newError(ctx context.Context, err error) *Error {
 	var le *link.Error
 	switch {
 	case errors.As(err, &le) && le.Unsent():
--- a/internal/peer/plain/doc.go
+++ b/internal/peer/plain/doc.go
@@ -1,4 +1,6 @@
-// Package plain calls the teams' own HTTP servers. A call is written once,
-// ever: there is no retry here, and a call that may not be repeated gets a
-// connection of its own, so that a stale one can't make its end uncertain.
+// Package plain is a client for the HTTP servers of plain services, which belong
+// to workspaces. A call is written at most once: the package never retries, and
+// a call that is not retryable uses a new connection, because on a reused
+// connection that the server has closed it would be uncertain whether the call
+// ran.
 package plain
