--- a/internal/peer/engine/client.go
+++ b/internal/peer/engine/client.go
@@ -43,7 +43,7 @@
 	At         time.Time
 }
 
-// Client calls engines. It is safe for use by several goroutines.
+// Client calls engines. It is safe for concurrent use.
 type Client struct {
 	dialer *link.Dialer
 }
--- a/internal/peer/oper/auth.go
+++ b/internal/peer/oper/auth.go
@@ -10,38 +10,41 @@
 	"umberladder/internal/state/config"
 )
 
-// access is what a key opens.
-type access struct {
-	system    bool
-	workspace ident.Workspace // of a team's key
-	name      string          // for the history
+// principal is the owner of an operators' key: the operators of the system or of
+// one workspace.
+type principal struct {
+	isSystem    bool
+	workspace   ident.Workspace // empty for the system's operators
+	historyName string          // recorded in the history of settings changes
 }
 
-func (a *access) opens(path string) bool {
-	return a.system || path == config.WorkspacePath(a.workspace)
+func (p *principal) mayAccess(path string) bool {
+	return p.isSystem || path == config.WorkspacePath(p.workspace)
 }
 
-// access finds what the bearer key opens; false if it opens nothing.
-func (s *Server) access(ctx *fasthttp.RequestCtx) (access, bool) {
+// authenticate returns the principal of the bearer key, or false if the key is
+// missing or unknown.
+func (s *Server) authenticate(ctx *fasthttp.RequestCtx) (principal, bool) {
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	if !ok || key == "" {
-		return access{}, false
+		return principal{}, false
 	}
 	h := config.HashKey(key)
 	snap := s.settings.Load()
-	if matches(h, s.operators) || snap.System != nil && matches(h, snap.System.Operators) {
-		return access{system: true, name: "system-operator"}, true
+	if matchesAny(h, s.operators) || snap.System != nil && matchesAny(h, snap.System.Operators) {
+		return principal{isSystem: true, historyName: "system-operator"}, true
 	}
 	for _, w := range snap.All() {
-		if matches(h, w.Operators) {
-			return access{workspace: w.Name, name: "operator-of-" + string(w.Name)}, true
+		if matchesAny(h, w.Operators) {
+			return principal{workspace: w.Name, historyName: "operator-of-" + string(w.Name)}, true
 		}
 	}
-	return access{}, false
+	return principal{}, false
 }
 
-// matches compares with every hash, in constant time for each.
-func matches(h config.KeyHash, list []config.KeyHash) bool {
+// matchesAny reports whether h is in the list. It compares h with every element,
+// each in constant time.
+func matchesAny(h config.KeyHash, list []config.KeyHash) bool {
 	found := 0
 	for i := range list {
 		found |= subtle.ConstantTimeCompare(h[:], list[i][:])
--- a/internal/peer/oper/doc.go
+++ b/internal/peer/oper/doc.go
@@ -1,5 +1,6 @@
-// Package oper serves the operators: settings with compare-and-swap, their
-// history, the state of this VM, the report on service-level burn, and
-// draining. A team's key opens its own subtree alone; the system's operators'
-// key opens all.
+// Package oper implements the HTTP server for operators: reading and changing
+// settings with compare-and-swap, their history, the status of this VM, the
+// report on the burn rate of service-level objectives, and draining the VM. The
+// key of a workspace's operators grants access only to the settings and usage of
+// that workspace; the key of the system's operators grants access to everything.
 package oper
--- a/internal/peer/oper/server.go
+++ b/internal/peer/oper/server.go
@@ -27,59 +27,59 @@
 	pathBurn     = "/v1/burn"
 	pathDrain    = "/v1/drain"
 	maxBody      = 1 << 20
-	readTime     = 30 * time.Second
-	callTime     = 10 * time.Second
+	readTimeout  = 30 * time.Second
+	callTimeout  = 10 * time.Second
 )
 
-// Settings is where the snapshot in force is read.
+// Settings provides the snapshot of the settings in force.
 type Settings interface {
 	Load() *config.Snapshot
 }
 
-// Amender accepts changes of settings.
+// Editor applies operators' changes of settings and reports on them.
 type Amender interface {
 	Apply(ctx context.Context, c amend.Change) (amend.Result, error)
 	Read(ctx context.Context, path string) (*spread.Value, uint64, error)
-	Ask(ctx context.Context, path, id string, want uint64) amend.Status
+	Ask(ctx context.Context, path, id string, baseVersion uint64) amend.Status
 }
 
-// Node is what operators see and do of the VM itself.
+// VM provides the status, reports and draining of this VM.
 type Node interface {
 	Status(a *fastjson.Arena) *fastjson.Value
-	// Burn returns the report as JSON: of this VM, or merged over all; of one
-	// workspace, unless only is empty.
-	Burn(ctx context.Context, merged bool, only ident.Workspace) ([]byte, error)
-	// Workspace tells what a workspace uses on every VM, or nil if there is
-	// none of that name.
+	// BurnReport returns the burn report as JSON, for this VM or merged over all
+	// VMs. If workspace is not empty, it covers only that workspace.
+	Burn(ctx context.Context, merged bool, workspace ident.Workspace) ([]byte, error)
+	// WorkspaceUsage returns the usage of a workspace on each VM, or nil if there
+	// is no such workspace.
 	Workspace(ctx context.Context, a *fastjson.Arena, name ident.Workspace) *fastjson.Value
 	Drain()
 }
 
-// Server serves operators.
+// Server is the HTTP server for operators.
 type Server struct {
 	settings  Settings
-	amender   Amender
-	node      Node
-	operators []config.KeyHash // from the node's own settings
+	editor    Amender
+	vm        Node
+	operators []config.KeyHash // from the configuration file of the VM
 	http      *fasthttp.Server
 }
 
-// New makes a server. The keys in operators open everything, also before any
-// settings are there.
-func New(s Settings, a Amender, n Node, operators []config.KeyHash, log fasthttp.Logger) *Server {
-	o := &Server{settings: s, amender: a, node: n, operators: operators}
-	o.http = &fasthttp.Server{
-		Handler:            o.handle,
+// New returns a server. The keys in operators grant access to everything, also
+// before any settings have been loaded.
+func New(settings Settings, editor Amender, vm Node, operators []config.KeyHash, log fasthttp.Logger) *Server {
+	s := &Server{settings: settings, editor: editor, vm: vm, operators: operators}
+	s.http = &fasthttp.Server{
+		Handler:            s.handle,
 		Name:               "umberladder",
-		ReadTimeout:        readTime,
+		ReadTimeout:        readTimeout,
 		MaxRequestBodySize: maxBody,
 		NoDefaultDate:      true,
 		Logger:             log,
 	}
-	return o
+	return s
 }
 
-// Serve answers on ln until ctx ends.
+// Serve serves connections from ln until ctx is canceled.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
@@ -91,45 +91,46 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	acc, ok := s.access(ctx)
+	p, ok := s.authenticate(ctx)
 	if !ok {
-		fail(ctx, fasthttp.StatusUnauthorized, "wrong-key", "the Authorization header must be \"Bearer\" and an operators' key")
+		writeProblem(ctx, fasthttp.StatusUnauthorized, "wrong-key", "the Authorization header must be \"Bearer\" and an operators' key")
 		return
 	}
 	path := string(ctx.Path())
 	switch {
 	case path == pathSettings:
-		s.list(ctx, &acc)
+		s.listDocuments(ctx, &p)
 	case strings.HasPrefix(path, pathSettings+"/"):
-		s.settingsAt(ctx, &acc, strings.TrimPrefix(path, pathSettings))
+		s.handleDocument(ctx, &p, strings.TrimPrefix(path, pathSettings))
 	case strings.HasPrefix(path, pathHistory+"/"):
-		s.history(ctx, &acc, strings.TrimPrefix(path, pathHistory))
+		s.history(ctx, &p, strings.TrimPrefix(path, pathHistory))
 	case strings.HasPrefix(path, pathChanges):
-		s.change(ctx, &acc, strings.TrimPrefix(path, pathChanges))
+		s.changeStatus(ctx, &p, strings.TrimPrefix(path, pathChanges))
 	case path == pathStatus:
 		s.status(ctx)
 	case strings.HasPrefix(path, pathUsage):
-		s.usage(ctx, &acc, ident.Workspace(strings.TrimPrefix(path, pathUsage)))
+		s.workspaceUsage(ctx, &p, ident.Workspace(strings.TrimPrefix(path, pathUsage)))
 	case path == pathBurn:
-		s.burn(ctx, &acc)
+		s.burnReport(ctx, &p)
 	case path == pathDrain && ctx.IsPost():
-		s.drain(ctx, &acc)
+		s.drain(ctx, &p)
 	default:
-		fail(ctx, fasthttp.StatusNotFound, "not-found", "there is nothing at "+path)
+		writeProblem(ctx, fasthttp.StatusNotFound, "not-found", "there is nothing at "+path)
 	}
 }
 
-// allowed checks a settings path and the key's right to it. To a team's key
-// another's subtree does not exist.
-func allowed(ctx *fasthttp.RequestCtx, acc *access, path string) bool {
+// authorizePath checks a settings path and the principal's access to it, and
+// reports whether the request may proceed. A path of another workspace is
+// reported as not found, so that its existence is not disclosed.
+func authorizePath(ctx *fasthttp.RequestCtx, p *principal, path string) bool {
 	if path != config.SystemPath {
 		if _, err := config.WorkspaceOf(path); err != nil {
-			fail(ctx, fasthttp.StatusBadRequest, "bad-input", trace.UserMessage(err))
+			writeProblem(ctx, fasthttp.StatusBadRequest, "bad-input", trace.UserMessage(err))
 			return false
 		}
 	}
-	if !acc.opens(path) {
-		fail(ctx, fasthttp.StatusNotFound, "not-found", "there is nothing at "+path)
+	if !p.mayAccess(path) {
+		writeProblem(ctx, fasthttp.StatusNotFound, "not-found", "there is nothing at "+path)
 		return false
 	}
 	return true
@@ -137,59 +138,59 @@
 
 func (s *Server) status(ctx *fasthttp.RequestCtx) {
 	var a fastjson.Arena
-	reply(ctx, s.node.Status(&a))
+	writeJSON(ctx, s.vm.Status(&a))
 }
 
-func (s *Server) usage(ctx *fasthttp.RequestCtx, acc *access, name ident.Workspace) {
-	if !allowed(ctx, acc, config.WorkspacePath(name)) {
+func (s *Server) workspaceUsage(ctx *fasthttp.RequestCtx, p *principal, name ident.Workspace) {
+	if !authorizePath(ctx, p, config.WorkspacePath(name)) {
 		return
 	}
-	c, cancel := context.WithTimeout(context.Background(), callTime)
+	c, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var a fastjson.Arena
-	v := s.node.Workspace(c, &a, name)
+	v := s.vm.Workspace(c, &a, name)
 	if v == nil {
-		fail(ctx, fasthttp.StatusNotFound, "not-found", "there is no workspace "+string(name))
+		writeProblem(ctx, fasthttp.StatusNotFound, "not-found", "there is no workspace "+string(name))
 		return
 	}
-	reply(ctx, v)
+	writeJSON(ctx, v)
 }
 
-func (s *Server) burn(ctx *fasthttp.RequestCtx, acc *access) {
-	c, cancel := context.WithTimeout(context.Background(), callTime)
+func (s *Server) burnReport(ctx *fasthttp.RequestCtx, p *principal) {
+	c, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	data, err := s.node.Burn(c, ctx.QueryArgs().GetBool("merged"), acc.workspace)
+	data, err := s.vm.Burn(c, ctx.QueryArgs().GetBool("merged"), p.workspace)
 	if err != nil {
-		fail(ctx, fasthttp.StatusInternalServerError, "report", trace.UserMessage(err))
+		writeProblem(ctx, fasthttp.StatusInternalServerError, "report", trace.UserMessage(err))
 		return
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(data)
 }
 
-func (s *Server) drain(ctx *fasthttp.RequestCtx, acc *access) {
-	if !acc.system {
-		fail(ctx, fasthttp.StatusForbidden, "not-allowed", "only the system's operators drain a VM")
+func (s *Server) drain(ctx *fasthttp.RequestCtx, p *principal) {
+	if !p.isSystem {
+		writeProblem(ctx, fasthttp.StatusForbidden, "not-allowed", "only the system's operators drain a VM")
 		return
 	}
-	s.node.Drain()
+	s.vm.Drain()
 	ctx.SetStatusCode(fasthttp.StatusAccepted)
 }
 
-func reply(ctx *fasthttp.RequestCtx, v *fastjson.Value) {
+func writeJSON(ctx *fasthttp.RequestCtx, v *fastjson.Value) {
 	ctx.SetContentType("application/json")
 	ctx.SetBody(v.MarshalTo(nil))
 }
 
-// fail answers with a problem document (RFC 9457).
-func fail(ctx *fasthttp.RequestCtx, status int, slug, detail string) {
+// writeProblem responds with a problem document (RFC 9457).
+func writeProblem(ctx *fasthttp.RequestCtx, status int, slug, detail string) {
 	var a fastjson.Arena
 	ctx.SetStatusCode(status)
-	reply(ctx, problem(&a, status, slug, detail))
+	writeJSON(ctx, problemDocument(&a, status, slug, detail))
 	ctx.SetContentType("application/problem+json")
 }
 
-func problem(a *fastjson.Arena, status int, slug, detail string) *fastjson.Value {
+func problemDocument(a *fastjson.Arena, status int, slug, detail string) *fastjson.Value {
 	o := a.NewObject()
 	o.Set("type", a.NewString("urn:umberladder:operators:"+slug))
 	o.Set("title", a.NewString(fasthttp.StatusMessage(status)))
@@ -198,16 +199,17 @@
 	return o
 }
 
-// failed answers with the problem document of a failed change or read.
-func failed(ctx *fasthttp.RequestCtx, err error) {
+// writeError responds with the problem document for a failed change or read of
+// settings.
+func writeError(ctx *fasthttp.RequestCtx, err error) {
 	var a fastjson.Arena
 	var field *config.FieldError
 	status, slug := fasthttp.StatusServiceUnavailable, "store-down"
-	var add func(o *fastjson.Value)
+	var addDetails func(o *fastjson.Value)
 	switch c, conflict := amend.IsConflict(err); {
 	case conflict:
 		status, slug = fasthttp.StatusPreconditionFailed, "conflict"
-		add = func(o *fastjson.Value) {
+		addDetails = func(o *fastjson.Value) {
 			o.Set("version", a.NewNumberInt(int(c.Version)))
 			o.Set("by", a.NewString(c.By))
 		}
@@ -215,7 +217,7 @@
 		status, slug = fasthttp.StatusGatewayTimeout, "unknown"
 	case errors.As(err, &field):
 		status, slug = fasthttp.StatusUnprocessableEntity, "invalid-document"
-		add = func(o *fastjson.Value) { o.Set("path", a.NewString(field.Path)) }
+		addDetails = func(o *fastjson.Value) { o.Set("path", a.NewString(field.Path)) }
 	case trace.IsBadParameter(err):
 		status, slug = fasthttp.StatusBadRequest, "bad-input"
 	case store.Is(err, store.Budget):
@@ -224,11 +226,11 @@
 	if status == fasthttp.StatusServiceUnavailable {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "2")
 	}
-	o := problem(&a, status, slug, trace.UserMessage(err))
-	if add != nil {
-		add(o)
+	o := problemDocument(&a, status, slug, trace.UserMessage(err))
+	if addDetails != nil {
+		addDetails(o)
 	}
 	ctx.SetStatusCode(status)
-	reply(ctx, o)
+	writeJSON(ctx, o)
 	ctx.SetContentType("application/problem+json")
 }
--- a/internal/peer/oper/settings.go
+++ b/internal/peer/oper/settings.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	headerChange = "Umberladder-Change"
-	headerBy     = "Umberladder-Operator"
-	maxName      = 100
+	headerChange    = "Umberladder-Change"
+	headerOperator  = "Umberladder-Operator"
+	maxOperatorName = 100
 )
 
-// list names the documents that the key opens, with their versions.
-func (s *Server) list(ctx *fasthttp.RequestCtx, acc *access) {
+// listDocuments lists the documents that the principal may access, with their
+// versions.
+func (s *Server) listDocuments(ctx *fasthttp.RequestCtx, p *principal) {
 	var a fastjson.Arena
 	snap := s.settings.Load()
 	var paths []string
 	for path, d := range snap.Documents {
-		if acc.opens(path) && !d.Deleted() {
+		if p.mayAccess(path) && !d.Deleted() {
 			paths = append(paths, path)
 		}
 	}
@@ -38,36 +39,36 @@
 		o.Set("version", Number(&a, snap.Documents[path].Version))
 		list.SetArrayItem(i, o)
 	}
-	reply(ctx, list)
+	writeJSON(ctx, list)
 }
 
-// Number returns a whole number as JSON.
+// JSONUint returns an unsigned integer as a JSON number.
 func Number(a *fastjson.Arena, n uint64) *fastjson.Value {
 	return a.NewNumberString(strconv.FormatUint(n, 10))
 }
 
-func (s *Server) settingsAt(ctx *fasthttp.RequestCtx, acc *access, path string) {
-	if !allowed(ctx, acc, path) {
+func (s *Server) handleDocument(ctx *fasthttp.RequestCtx, p *principal, path string) {
+	if !authorizePath(ctx, p, path) {
 		return
 	}
 	switch {
 	case ctx.IsGet():
-		s.get(ctx, path)
+		s.getDocument(ctx, path)
 	case ctx.IsPut():
-		s.put(ctx, acc, path, append([]byte(nil), ctx.PostBody()...))
+		s.putDocument(ctx, p, path, append([]byte(nil), ctx.PostBody()...))
 	case ctx.IsDelete():
-		s.put(ctx, acc, path, nil)
+		s.putDocument(ctx, p, path, nil)
 	default:
 		ctx.Response.Header.Set(fasthttp.HeaderAllow, "GET, PUT, DELETE")
-		fail(ctx, fasthttp.StatusMethodNotAllowed, "method", "settings take GET, PUT and DELETE")
+		writeProblem(ctx, fasthttp.StatusMethodNotAllowed, "method", "settings take GET, PUT and DELETE")
 	}
 }
 
-// get answers with the document in force on this VM.
-func (s *Server) get(ctx *fasthttp.RequestCtx, path string) {
+// getDocument responds with the document in force on this VM.
+func (s *Server) getDocument(ctx *fasthttp.RequestCtx, path string) {
 	d, ok := s.settings.Load().Documents[path]
 	if !ok || d.Deleted() {
-		fail(ctx, fasthttp.StatusNotFound, "not-found", "there is nothing at "+path)
+		writeProblem(ctx, fasthttp.StatusNotFound, "not-found", "there is nothing at "+path)
 		return
 	}
 	ctx.Response.Header.Set(fasthttp.HeaderETag, strconv.Quote(strconv.FormatUint(d.Version, 10)))
@@ -75,34 +76,34 @@
 	ctx.SetBody(d.Body)
 }
 
-func (s *Server) put(ctx *fasthttp.RequestCtx, acc *access, path string, body []byte) {
-	want, ok := wanted(ctx)
+func (s *Server) putDocument(ctx *fasthttp.RequestCtx, p *principal, path string, body []byte) {
+	version, ok := expectedVersion(ctx)
 	if !ok {
-		fail(ctx, fasthttp.StatusPreconditionRequired, "precondition",
+		writeProblem(ctx, fasthttp.StatusPreconditionRequired, "precondition",
 			"a change needs If-Match with the version it was made from, or If-None-Match: * for a new document")
 		return
 	}
 	if body != nil && len(body) == 0 {
-		fail(ctx, fasthttp.StatusBadRequest, "bad-input", "the body is empty; use DELETE to delete a document")
+		writeProblem(ctx, fasthttp.StatusBadRequest, "bad-input", "the body is empty; use DELETE to delete a document")
 		return
 	}
 	c := amend.Change{
 		ID:     string(ctx.Request.Header.Peek(headerChange)),
-		By:     operator(ctx, acc),
+		By:     operatorName(ctx, p),
 		Path:   path,
-		Want:   want,
+		Want:   version,
 		Body:   body,
 		DryRun: ctx.QueryArgs().GetBool("dry-run"),
 	}
 	if c.ID == "" {
 		c.ID = uuid.Must(uuid.NewV7()).String()
 	}
-	call, cancel := context.WithTimeout(context.Background(), callTime)
+	call, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	ctx.Response.Header.Set(headerChange, c.ID)
-	res, err := s.amender.Apply(call, c)
+	res, err := s.editor.Apply(call, c)
 	if err != nil {
-		failed(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	var a fastjson.Arena
@@ -111,21 +112,22 @@
 	o.Set("version", Number(&a, res.Version))
 	o.Set("change", a.NewString(c.ID))
 	o.Set("dry-run", Bool(&a, c.DryRun))
-	o.Set("diff", texts(&a, res.Diff))
-	o.Set("warnings", texts(&a, res.Warnings))
-	reply(ctx, o)
+	o.Set("diff", stringArray(&a, res.Diff))
+	o.Set("warnings", stringArray(&a, res.Warnings))
+	writeJSON(ctx, o)
 }
 
-func operator(ctx *fasthttp.RequestCtx, acc *access) string {
-	who := string(ctx.Request.Header.Peek(headerBy))
+func operatorName(ctx *fasthttp.RequestCtx, p *principal) string {
+	who := string(ctx.Request.Header.Peek(headerOperator))
 	if who == "" {
-		return acc.name
+		return p.historyName
 	}
-	return acc.name + " (" + who[:min(len(who), maxName)] + ")"
+	return p.historyName + " (" + who[:min(len(who), maxOperatorName)] + ")"
 }
 
-// wanted reads the version that the change was made from.
-func wanted(ctx *fasthttp.RequestCtx) (uint64, bool) {
+// expectedVersion returns the version that the change is based on, from the
+// header If-Match or If-None-Match. It returns false if neither is valid.
+func expectedVersion(ctx *fasthttp.RequestCtx) (uint64, bool) {
 	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == "*" {
 		return 0, true
 	}
@@ -134,15 +136,15 @@
 	return n, err == nil
 }
 
-func (s *Server) history(ctx *fasthttp.RequestCtx, acc *access, path string) {
-	if !allowed(ctx, acc, path) {
+func (s *Server) history(ctx *fasthttp.RequestCtx, p *principal, path string) {
+	if !authorizePath(ctx, p, path) {
 		return
 	}
-	call, cancel := context.WithTimeout(context.Background(), callTime)
+	call, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	v, version, err := s.amender.Read(call, path)
+	v, version, err := s.editor.Read(call, path)
 	if err != nil {
-		failed(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	var a fastjson.Arena
@@ -153,36 +155,37 @@
 		e.Set("by", a.NewString(c.By))
 		e.Set("at", a.NewString(c.At.UTC().Format(time.RFC3339Nano)))
 		e.Set("delete", Bool(&a, c.Delete))
-		e.Set("diff", texts(&a, c.Diff))
+		e.Set("diff", stringArray(&a, c.Diff))
 		list.SetArrayItem(i, e)
 	}
 	o.Set("path", a.NewString(path))
 	o.Set("version", Number(&a, version))
 	o.Set("changes", list)
-	reply(ctx, o)
+	writeJSON(ctx, o)
 }
 
-// change tells what became of a change: ?path=…&from=VERSION.
-func (s *Server) change(ctx *fasthttp.RequestCtx, acc *access, id string) {
+// changeStatus responds with the status of a change. The query is
+// ?path=PATH&from=VERSION.
+func (s *Server) changeStatus(ctx *fasthttp.RequestCtx, p *principal, id string) {
 	path := string(ctx.QueryArgs().Peek("path"))
-	if !allowed(ctx, acc, path) {
+	if !authorizePath(ctx, p, path) {
 		return
 	}
 	from, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("from")), 10, 64)
 	if err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, "bad-input", "from: want the version that the change was made from")
+		writeProblem(ctx, fasthttp.StatusBadRequest, "bad-input", "from: want the version that the change was made from")
 		return
 	}
-	call, cancel := context.WithTimeout(context.Background(), callTime)
+	call, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("change", a.NewString(id))
-	o.Set("status", a.NewString(s.amender.Ask(call, path, id, from).String()))
-	reply(ctx, o)
+	o.Set("status", a.NewString(s.editor.Ask(call, path, id, from).String()))
+	writeJSON(ctx, o)
 }
 
-func texts(a *fastjson.Arena, list []string) *fastjson.Value {
+func stringArray(a *fastjson.Arena, list []string) *fastjson.Value {
 	out := a.NewArray()
 	for i, s := range list {
 		out.SetArrayItem(i, a.NewString(s))
@@ -190,7 +193,7 @@
 	return out
 }
 
-// Bool returns a truth value as JSON.
+// JSONBool returns b as a JSON boolean.
 func Bool(a *fastjson.Arena, b bool) *fastjson.Value {
 	if b {
 		return a.NewTrue()
--- a/internal/peer/plain/client.go
+++ b/internal/peer/plain/client.go
@@ -56,7 +56,7 @@
 	Body        []byte
 }
 
-// Client calls plain servers. It is safe for use by several goroutines.
+// Client calls plain servers. It is safe for concurrent use.
 type Client struct {
 	dialer  *link.Dialer
 	maxBody int
--- a/internal/peer/store/client.go
+++ b/internal/peer/store/client.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	maxReply   = 64 << 20
-	watchSlack = 5 * time.Second
+	maxResponse = 64 << 20        // bytes
+	watchMargin = 5 * time.Second // idle timeout of a watch beyond its wait time
 )
 
-// Fault says how a call failed.
+// ErrorKind classifies a failed call.
 type Fault uint8
 
-// The faults.
+// The kinds of errors.
 const (
-	Down     Fault = iota // no effect: not sent, refused, or down
+	Down     Fault = iota // the call had no effect: not sent, refused, or the store is unavailable
 	Conflict              // the compare-and-swap found another revision
 	Missing               // no such value or lease
-	Unknown               // a write was sent and its reply lost
-	Budget                // this VM's own call budget is used up
+	Unknown               // a write was sent but its response was lost: it may have taken effect
+	Budget                // the call budget of this VM is exhausted: nothing was sent
 )
 
 func (f Fault) String() string {
 	return [...]string{"down", "conflict", "missing", "unknown", "budget"}[f]
 }
 
-// Error is a failed call.
+// Error describes a failed call.
 type Error struct {
 	Fault Fault
 	Err   error
@@ -50,13 +50,13 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Is reports whether err is a store error with the fault.
+// Is reports whether err is or wraps an *Error of the kind.
 func Is(err error, f Fault) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Fault == f
 }
 
-// Item is one value. A deleted one has no Value.
+// Item is a stored value. Value is empty if the item is deleted.
 type Item struct {
 	Path     string
 	Revision uint64
@@ -64,13 +64,14 @@
 	Deleted  bool
 }
 
-// Lease is a granted lease. Now is the store's clock at the grant.
+// Lease is a granted lease. StoreTime is the time of the store's clock when the
+// lease was granted or renewed.
 type Lease struct {
 	ID  uint64
 	Now time.Time
 }
 
-// Client calls the store. It is safe for use by several goroutines.
+// Client calls the store. It is safe for concurrent use.
 type Client struct {
 	dialer *link.Dialer
 	addr   netip.AddrPort
@@ -79,8 +80,9 @@
 	calls  atomic.Uint64
 }
 
-// New makes a client for the store at addr that spends at most perSecond
-// calls a second, in bursts of burst. The name is told to the store.
+// New returns a client for the store at addr that makes at most perSecond calls
+// per second, in bursts of up to burst calls. The name is sent to the store with
+// each call.
 func New(dialer *link.Dialer, addr netip.AddrPort, name string, perSecond float64, burst int) *Client {
 	return &Client{
 		dialer: dialer,
@@ -90,7 +92,7 @@
 	}
 }
 
-// Calls returns how many calls were sent so far.
+// Calls returns the number of calls sent so far.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
 // Get returns the value at path.
@@ -100,23 +102,23 @@
 	if err := c.do(ctx, fasthttp.MethodGet, "/kv"+path, nil, resp, 0); err != nil {
 		return Item{}, trace.Wrap(err)
 	}
-	rev, err := revision(resp)
+	rev, err := revisionOf(resp)
 	return Item{Path: path, Revision: rev, Value: clone(resp.Body())}, trace.Wrap(err)
 }
 
-// List returns the values under prefix that changed after the revision, and
-// the store's revision.
+// List returns the items under prefix that changed after the revision, and the
+// current revision of the store.
 func (c *Client) List(ctx context.Context, prefix string, after uint64) ([]Item, uint64, error) {
-	return c.items(ctx, "/list?prefix="+url.QueryEscape(prefix)+"&after="+strconv.FormatUint(after, 10), 0)
+	return c.queryItems(ctx, "/list?prefix="+url.QueryEscape(prefix)+"&after="+strconv.FormatUint(after, 10), 0)
 }
 
-// Watch is List that waits up to wait for a change.
+// Watch is like List but waits up to wait for a change.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Item, uint64, error) {
 	uri := fmt.Sprintf("/watch?prefix=%s&after=%d&wait_ms=%d", url.QueryEscape(prefix), after, wait.Milliseconds())
-	return c.items(ctx, uri, wait+watchSlack)
+	return c.queryItems(ctx, uri, wait+watchMargin)
 }
 
-func (c *Client) items(ctx context.Context, uri string, idle time.Duration) ([]Item, uint64, error) {
+func (c *Client) queryItems(ctx context.Context, uri string, idle time.Duration) ([]Item, uint64, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	if err := c.do(ctx, fasthttp.MethodGet, uri, nil, resp, idle); err != nil {
@@ -142,44 +144,45 @@
 	return out, v.GetUint64("revision"), nil
 }
 
-// Put writes the value at path if its revision still is want (0: absent),
-// under the lease if that is not 0, and returns the new revision.
-func (c *Client) Put(ctx context.Context, path string, value []byte, want, lease uint64) (uint64, error) {
+// Put writes the value at path if its revision is still expected (0: there is no
+// value). If lease is not 0, the value is deleted when the lease ends. Put
+// returns the new revision.
+func (c *Client) Put(ctx context.Context, path string, value []byte, expected, lease uint64) (uint64, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	uri := fmt.Sprintf("/kv%s?if=%d&lease=%d", path, want, lease)
+	uri := fmt.Sprintf("/kv%s?if=%d&lease=%d", path, expected, lease)
 	if err := c.do(ctx, fasthttp.MethodPut, uri, value, resp, 0); err != nil {
 		return 0, trace.Wrap(err)
 	}
-	rev, err := revision(resp)
+	rev, err := revisionOf(resp)
 	return rev, trace.Wrap(err)
 }
 
-// Delete removes the value at path if its revision still is want.
-func (c *Client) Delete(ctx context.Context, path string, want uint64) error {
+// Delete removes the value at path if its revision is still expected.
+func (c *Client) Delete(ctx context.Context, path string, expected uint64) error {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	return trace.Wrap(c.do(ctx, fasthttp.MethodDelete, fmt.Sprintf("/kv%s?if=%d", path, want), nil, resp, 0))
+	return trace.Wrap(c.do(ctx, fasthttp.MethodDelete, fmt.Sprintf("/kv%s?if=%d", path, expected), nil, resp, 0))
 }
 
-// Grant makes a lease.
+// Grant creates a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
-	return c.lease(ctx, fmt.Sprintf("/leases?ttl_ms=%d", ttl.Milliseconds()))
+	return c.requestLease(ctx, fmt.Sprintf("/leases?ttl_ms=%d", ttl.Milliseconds()))
 }
 
-// Renew prolongs a lease; Missing says that it has lapsed.
+// Renew extends a lease. An error of kind NotFound means that it has expired.
 func (c *Client) Renew(ctx context.Context, id uint64) (Lease, error) {
-	return c.lease(ctx, fmt.Sprintf("/leases/%d", id))
+	return c.requestLease(ctx, fmt.Sprintf("/leases/%d", id))
 }
 
-// Revoke ends a lease, and with it every value written under it.
+// Revoke ends a lease and deletes every value written under it.
 func (c *Client) Revoke(ctx context.Context, id uint64) error {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	return trace.Wrap(c.do(ctx, fasthttp.MethodDelete, fmt.Sprintf("/leases/%d", id), nil, resp, 0))
 }
 
-func (c *Client) lease(ctx context.Context, uri string) (Lease, error) {
+func (c *Client) requestLease(ctx context.Context, uri string) (Lease, error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	if err := c.do(ctx, fasthttp.MethodPost, uri, nil, resp, 0); err != nil {
@@ -203,24 +206,26 @@
 	req.SetRequestURI(uri)
 	req.Header.Set("Caller", c.name)
 	req.SetBodyRaw(body)
-	read := method == fasthttp.MethodGet
-	err := c.dialer.Do(ctx, c.addr, req, resp, link.Options{Fresh: !read, Body: maxReply, Idle: idle})
+	isRead := method == fasthttp.MethodGet
+	err := c.dialer.Do(ctx, c.addr, req, resp, link.Options{Fresh: !isRead, Body: maxResponse, Idle: idle})
 	if err != nil {
-		return lost(err, read)
+		return transportError(err, isRead)
 	}
-	return byStatus(resp.StatusCode(), read)
+	return statusError(resp.StatusCode(), isRead)
 }
 
-// lost classifies a call without a reply.
-func lost(err error, read bool) *Error {
+// transportError classifies a call without a response. A read has no effect, and
+// neither has a write of which nothing was sent.
+func transportError(err error, isRead bool) *Error {
 	var le *link.Error
-	if read || errors.As(err, &le) && le.Unsent() {
+	if isRead || errors.As(err, &le) && le.Unsent() {
 		return &Error{Fault: Down, Err: err}
 	}
 	return &Error{Fault: Unknown, Err: err}
 }
 
-func byStatus(status int, read bool) error {
+// statusError classifies a response by its status.
+func statusError(status int, isRead bool) error {
 	err := trace.Errorf("status %d", status)
 	switch {
 	case status == fasthttp.StatusOK:
@@ -229,14 +234,14 @@
 		return &Error{Fault: Missing, Err: err}
 	case status == fasthttp.StatusPreconditionFailed:
 		return &Error{Fault: Conflict, Err: err}
-	case status == fasthttp.StatusTooManyRequests, status == fasthttp.StatusServiceUnavailable, read:
+	case status == fasthttp.StatusTooManyRequests, status == fasthttp.StatusServiceUnavailable, isRead:
 		return &Error{Fault: Down, Err: err}
 	default:
 		return &Error{Fault: Unknown, Err: err}
 	}
 }
 
-func revision(resp *fasthttp.Response) (uint64, error) {
+func revisionOf(resp *fasthttp.Response) (uint64, error) {
 	n, err := strconv.ParseUint(string(resp.Header.Peek("Revision")), 10, 64)
 	if err != nil {
 		return 0, &Error{Fault: Unknown, Err: trace.BadParameter("the reply has no revision")}
--- a/internal/peer/store/client_test.go
+++ b/internal/peer/store/client_test.go
@@ -15,7 +15,7 @@
 	"umberladder/internal/peer/store"
 )
 
-func start(t *testing.T, perSecond float64, burst int) (*fake.Server, *store.Client) {
+func startStore(t *testing.T, perSecond float64, burst int) (*fake.Server, *store.Client) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -33,7 +33,7 @@
 
 func TestCompareAndSwap(t *testing.T) {
 	ctx := context.Background()
-	_, c := start(t, 1000, 1000)
+	_, c := startStore(t, 1000, 1000)
 	_, err := c.Get(ctx, "/a")
 	assert.Assert(t, store.Is(err, store.Missing), "%v", err)
 	rev, err := c.Put(ctx, "/a", []byte("1"), 0, 0)
@@ -53,24 +53,24 @@
 
 func TestLease(t *testing.T) {
 	ctx := context.Background()
-	_, c := start(t, 1000, 1000)
+	_, c := startStore(t, 1000, 1000)
 	l, err := c.Grant(ctx, 150*time.Millisecond)
 	assert.NilError(t, err)
 	_, err = c.Put(ctx, "/held", []byte("x"), 0, l.ID)
 	assert.NilError(t, err)
-	again, err := c.Renew(ctx, l.ID)
+	renewed, err := c.Renew(ctx, l.ID)
 	assert.NilError(t, err)
-	assert.Assert(t, !again.Now.Before(l.Now))
+	assert.Assert(t, !renewed.Now.Before(l.Now))
 	time.Sleep(250 * time.Millisecond)
 	_, err = c.Renew(ctx, l.ID)
 	assert.Assert(t, store.Is(err, store.Missing), "%v", err)
 	_, err = c.Get(ctx, "/held")
-	assert.Assert(t, store.Is(err, store.Missing), "a value goes with its lease")
+	assert.Assert(t, store.Is(err, store.Missing), "the value is deleted when its lease expires")
 }
 
 func TestWatch(t *testing.T) {
 	ctx := context.Background()
-	_, c := start(t, 1000, 1000)
+	_, c := startStore(t, 1000, 1000)
 	var g errgroup.Group
 	var items []store.Item
 	g.Go(func() error {
@@ -92,8 +92,8 @@
 
 func TestOutages(t *testing.T) {
 	ctx := context.Background()
-	s, c := start(t, 1000, 1000)
-	for name, f := range map[string]struct {
+	s, c := startStore(t, 1000, 1000)
+	for name, tc := range map[string]struct {
 		faults      fake.Faults
 		read, write store.Fault
 	}{
@@ -102,12 +102,12 @@
 		"losing-replies": {fake.Faults{LoseReplies: 1}, store.Missing, store.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s.Fault(f.faults)
+			s.Fault(tc.faults)
 			defer s.Fault(fake.Faults{})
 			_, err := c.Get(ctx, "/none")
-			assert.Assert(t, store.Is(err, f.read), "%v", err)
+			assert.Assert(t, store.Is(err, tc.read), "%v", err)
 			_, err = c.Put(ctx, "/"+name, []byte("v"), 0, 0)
-			assert.Assert(t, store.Is(err, f.write), "%v", err)
+			assert.Assert(t, store.Is(err, tc.write), "%v", err)
 		})
 	}
 	it, err := c.Get(ctx, "/losing-replies")
@@ -116,7 +116,7 @@
 }
 
 func TestBudget(t *testing.T) {
-	s, c := start(t, 1, 3)
+	s, c := startStore(t, 1, 3)
 	refused := 0
 	for range 10 {
 		if _, err := c.Get(context.Background(), "/x"); store.Is(err, store.Budget) {
--- a/internal/peer/store/doc.go
+++ b/internal/peer/store/doc.go
@@ -1,5 +1,6 @@
-// Package store speaks to the platform's key-value service by the protocol in
-// docs/STORE.md. Every call passes a budget of calls a second, the waiting
-// watch as one, because the service counts each. A write whose reply was lost
-// is reported as Unknown: the caller must read to learn what happened.
+// Package store is a client for the platform's key-value service, the store,
+// using the protocol in docs/STORE.md. Calls are limited to a rate, because the
+// service counts each call against its own rate limit; a watch counts as one
+// call. A write whose response was lost is reported as OutcomeUnknown: the
+// caller must read the value to learn whether the write took effect.
 package store
--- a/internal/peer/vmlist/client.go
+++ b/internal/peer/vmlist/client.go
@@ -1,6 +1,6 @@
-// Package vmlist reads the platform's list of live and leaving VMs, which
-// lags. It is where a VM finds its first peers; what the VMs hear from each
-// other is newer.
+// Package vmlist is a client for the platform's list of live and draining VMs.
+// A VM uses the list to find its first peers. The list is updated with a delay;
+// what VMs report to each other is more recent.
 package vmlist
 
 import (
@@ -16,28 +16,28 @@
 	"umberladder/internal/state/member"
 )
 
-const maxList = 4 << 20
+const maxResponse = 4 << 20 // bytes
 
-// VM is one line of the list.
+// VM is an entry of the list.
 type VM struct {
-	Name    ident.VM
-	Address netip.AddrPort // for other VMs, UDP and TCP
-	Domain  ident.Domain
-	Leaving bool
+	Name     ident.VM
+	Address  netip.AddrPort // where other VMs reach it by UDP and TCP
+	Domain   ident.Domain
+	Draining bool
 }
 
-// Client reads the list. It is safe for use by several goroutines.
+// Client reads the list. It is safe for concurrent use.
 type Client struct {
 	dialer *link.Dialer
 	addr   netip.AddrPort
 }
 
-// New makes a client for the list at addr.
+// New returns a client for the list service at addr.
 func New(dialer *link.Dialer, addr netip.AddrPort) *Client {
 	return &Client{dialer: dialer, addr: addr}
 }
 
-// Members returns the VMs on the list that are not leaving.
+// Members returns the VMs on the list that are not draining.
 func (c *Client) Members(ctx context.Context) ([]member.Member, error) {
 	list, err := c.List(ctx)
 	if err != nil {
@@ -45,26 +45,26 @@
 	}
 	var out []member.Member
 	for _, vm := range list {
-		if !vm.Leaving {
+		if !vm.Draining {
 			out = append(out, member.Member{Name: vm.Name, Address: vm.Address, Domain: vm.Domain})
 		}
 	}
 	return out, nil
 }
 
-// List returns the list as the platform shows it now.
+// List returns all entries of the list.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("/vms")
-	if err := c.dialer.Do(ctx, c.addr, req, resp, link.Options{Body: maxList}); err != nil {
-		return nil, trace.ConnectionProblem(err, "the VM list can't be read")
+	if err := c.dialer.Do(ctx, c.addr, req, resp, link.Options{Body: maxResponse}); err != nil {
+		return nil, trace.ConnectionProblem(err, "cannot read the VM list")
 	}
 	v, err := fastjson.ParseBytes(resp.Body())
 	if err != nil || resp.StatusCode() != fasthttp.StatusOK {
-		return nil, trace.ConnectionProblem(err, "the VM list answered with status %d", resp.StatusCode())
+		return nil, trace.ConnectionProblem(err, "the VM list service responded with status %d", resp.StatusCode())
 	}
 	return decode(v)
 }
@@ -74,13 +74,13 @@
 	for _, o := range v.GetArray() {
 		addr, err := netip.ParseAddrPort(string(o.GetStringBytes("address")))
 		if err != nil {
-			return nil, trace.BadParameter("the VM list holds the address %q", o.GetStringBytes("address"))
+			return nil, trace.BadParameter("invalid address %q in the VM list", o.GetStringBytes("address"))
 		}
 		out = append(out, VM{
-			Name:    ident.VM(o.GetStringBytes("name")),
-			Address: addr,
-			Domain:  ident.Domain(o.GetStringBytes("failure_domain")),
-			Leaving: o.GetBool("leaving"),
+			Name:     ident.VM(o.GetStringBytes("name")),
+			Address:  addr,
+			Domain:   ident.Domain(o.GetStringBytes("failure_domain")),
+			Draining: o.GetBool("leaving"),
 		})
 	}
 	return out, nil
