--- a/internal/peer/share/client.go
+++ b/internal/peer/share/client.go
@@ -19,58 +19,60 @@
 )
 
 const (
-	// maxData is the largest answer that is taken, in bytes.
-	maxData = 16 << 20
-	// silence is how long a VM may say nothing while it answers. VMs answer within
-	// a few milliseconds; one that is frozen or cut off must not hold up those that
-	// could ask another. What an answer takes beyond that depends on its size.
-	silence = 400 * time.Millisecond
+	// maxResponseSize is the maximum size of a response body, in bytes.
+	maxResponseSize = 16 << 20
+	// idleTimeout is the longest time without data from a VM that responds. VMs respond
+	// within a few milliseconds, and a frozen or unreachable VM must not delay a fetch
+	// that another VM could serve. The total time of a response is not limited, since it
+	// depends on the size.
+	idleTimeout = 400 * time.Millisecond
 )
 
-// ErrNotYet says that a VM does not have what it was asked for.
-var ErrNotYet = errors.New("share: the VM does not have it")
+// ErrNotAvailable is returned if the VM does not have the requested data.
+var ErrNotAvailable = errors.New("share: the VM does not have the requested data")
 
-// BusyError says that a VM has as much to send as its link carries.
+// BusyError is returned by a VM that has reached the limit of what it sends.
 type BusyError struct {
-	Others []netip.AddrPort // VMs that it has sent the same to
+	Alternatives []netip.AddrPort // VMs that the VM has sent the same data to
 }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("share: the VM is busy, %d others have it or will soon", len(e.Others))
+	return fmt.Sprintf("share: the VM has reached its send limit; %d other VMs have the data or are receiving it", len(e.Alternatives))
 }
 
-// Client fetches what other VMs share. It is safe for use by several goroutines.
+// Client fetches settings and server lists from other VMs. It is safe for concurrent use.
 type Client struct {
 	dialer *link.Dialer
-	own    netip.AddrPort
+	self   netip.AddrPort
 }
 
-// NewClient makes a client over a dialer, of the VM that shares at own.
-func NewClient(d *link.Dialer, own netip.AddrPort) *Client { return &Client{dialer: d, own: own} }
+// NewClient returns a client that dials with d. The address self is where this VM's own
+// Server listens.
+func NewClient(d *link.Dialer, self netip.AddrPort) *Client { return &Client{dialer: d, self: self} }
 
 func (c *Client) get(ctx context.Context, from netip.AddrPort, path string) (*fasthttp.Response, error) {
 	var req fasthttp.Request
 	resp := &fasthttp.Response{}
 	req.Header.SetMethod(fasthttp.MethodGet)
 	req.SetRequestURI("http://" + from.String() + path)
-	req.Header.Set(headerFrom, c.own.String())
-	if err := c.dialer.Do(ctx, from, &req, resp, link.Options{Body: maxData, Idle: silence}); err != nil {
+	req.Header.Set(headerFrom, c.self.String())
+	if err := c.dialer.Do(ctx, from, &req, resp, link.Options{Body: maxResponseSize, Idle: idleTimeout}); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	switch code := resp.StatusCode(); code {
 	case fasthttp.StatusOK:
 		return resp, nil
 	case fasthttp.StatusNotFound:
-		return nil, ErrNotYet
+		return nil, ErrNotAvailable
 	case fasthttp.StatusServiceUnavailable:
-		return nil, busy(string(resp.Header.Peek(headerOthers)))
+		return nil, parseBusy(string(resp.Header.Peek(headerOthers)))
 	default:
 		return nil, trace.Errorf("VM %s: %s: status %d", from, path, code)
 	}
 }
 
-// busy reads the addresses that a busy VM names.
-func busy(list string) error {
+// parseBusy returns a BusyError with the addresses in the header value list.
+func parseBusy(list string) error {
 	e := &BusyError{}
 	for text := range strings.SplitSeq(list, ",") {
 		if text == "" {
@@ -80,15 +82,15 @@
 		if err != nil {
 			return trace.Wrap(err, "%s", headerOthers)
 		}
-		e.Others = append(e.Others, addr)
+		e.Alternatives = append(e.Alternatives, addr)
 	}
 	return e
 }
 
-// Settings fetches the settings in force at another VM, if they are of a version
-// or a later one.
-func (c *Client) Settings(ctx context.Context, from netip.AddrPort, least uint64) (Settings, error) {
-	resp, err := c.get(ctx, from, pathSettings+"?"+argLeast+"="+strconv.FormatUint(least, 10))
+// Settings fetches the settings in force at another VM, if their version is at least
+// minVersion.
+func (c *Client) Settings(ctx context.Context, from netip.AddrPort, minVersion uint64) (Settings, error) {
+	resp, err := c.get(ctx, from, pathSettings+"?"+argMinVersion+"="+strconv.FormatUint(minVersion, 10))
 	if err != nil {
 		return Settings{}, err
 	}
@@ -96,15 +98,15 @@
 	if err != nil {
 		return Settings{}, trace.Wrap(err, "%s", headerVersion)
 	}
-	age, err := ageOf(resp)
+	age, err := parseAge(resp)
 	if err != nil {
 		return Settings{}, err
 	}
 	return Settings{Packed: resp.Body(), Version: version, Age: age}, nil
 }
 
-// ageOf reads the age of what a VM shares.
-func ageOf(resp *fasthttp.Response) (time.Duration, error) {
+// parseAge returns the age in the response's header.
+func parseAge(resp *fasthttp.Response) (time.Duration, error) {
 	age, err := strconv.ParseInt(string(resp.Header.Peek(headerAge)), 10, 64)
 	if err != nil {
 		return 0, trace.Wrap(err, "%s", headerAge)
@@ -115,13 +117,13 @@
 	return time.Duration(age), nil
 }
 
-// Servers fetches all servers that another VM knows.
+// Servers fetches the complete server list of another VM.
 func (c *Client) Servers(ctx context.Context, from netip.AddrPort) (follow.News, error) {
 	resp, err := c.get(ctx, from, pathServers)
 	if err != nil {
 		return follow.News{}, err
 	}
-	age, err := ageOf(resp)
+	age, err := parseAge(resp)
 	if err != nil {
 		return follow.News{}, err
 	}
--- a/internal/peer/share/doc.go
+++ b/internal/peer/share/doc.go
@@ -1,10 +1,12 @@
-// Package share lets VMs take the settings and the list of servers from one
-// another instead of from the store.
+// Package share lets VMs fetch the settings and the server list from one another
+// instead of from the store.
 //
-// What one VM has read, the others fetch from it, so that a change costs the store
-// the same whatever the number of VMs. A VM that the store does not answer gets it in
-// the same way, and one that starts in an outage begins to serve.
+// VMs fetch what another VM has already read from the store, so that the load of a
+// change on the store does not depend on the number of VMs. A VM that cannot reach the
+// store fetches from its peers as well, so that VMs can start to serve during an outage
+// of the store.
 //
-// A VM sends no more than a small part of its link carries, whatever the size, and
-// names those that it has sent the same to: they send it on.
+// A VM limits what it sends to a fraction of its link's rate, whatever the size. Once
+// the limit is reached, it responds with the addresses of VMs that it has sent the same
+// data to, and those send it on.
 package share
--- a/internal/peer/share/quota.go
+++ b/internal/peer/share/quota.go
@@ -10,72 +10,75 @@
 )
 
 const (
-	// linkShare is the share of its link that a VM sends to others, so that calls have
-	// the rest. The VMs that have got it send on.
-	linkShare = 0.2
-	// bitsPerByte turns the rate of a link into bytes.
+	// sendShare is the fraction of its link that a VM uses to send to other VMs. The
+	// rest is left to calls. A small fraction is enough because receivers send on what
+	// they have received.
+	sendShare = 0.2
+	// bitsPerByte converts a link's rate from bits to bytes.
 	bitsPerByte = 8
-	// named is how many VMs a busy one names.
-	named = 8
+	// maxAlternatives is the maximum number of VMs listed in a busy response.
+	maxAlternatives = 8
 )
 
-// quota keeps what a VM sends to others within its link. What is larger than the
-// rate is sent, too, and nothing after it until the time that it takes is over. It
-// is safe for use by several goroutines.
+// quota limits the rate at which a VM sends to other VMs. A body larger than the rate
+// is sent as well, and nothing is sent after it until the excess has been paid back. It
+// is safe for concurrent use.
 type quota struct {
-	mu   sync.Mutex
-	link *limit.Bucket
+	mu     sync.Mutex
+	bucket *limit.Bucket
 }
 
-// newQuota makes the quota of a VM with a link of so many bits a second.
+// newQuota returns the quota of a VM whose link has the given rate in bits per second.
 func newQuota(rate float64, now time.Time) *quota {
-	return &quota{link: limit.NewBucket(rate*linkShare/bitsPerByte, now)}
+	return &quota{bucket: limit.NewBucket(rate*sendShare/bitsPerByte, now)}
 }
 
-// take reports whether so many bytes may be sent now.
-func (q *quota) take(bytes int, now time.Time) bool {
+// tryAcquire reports whether the given number of bytes may be sent now, and charges it
+// if so.
+func (q *quota) tryAcquire(bytes int, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.link.Wait(now) > 0 {
+	if q.bucket.Wait(now) > 0 {
 		return false
 	}
-	q.link.Take(bytes, now)
+	q.bucket.Take(bytes, now)
 	return true
 }
 
-// holders knows which VMs were sent the last version of something. It is safe for
-// use by several goroutines.
-type holders struct {
+// recipients records which VMs were sent the latest version of the settings or of the
+// server list. It is safe for concurrent use.
+type recipients struct {
 	mu      sync.Mutex
 	version uint64
-	list    []netip.AddrPort // last ones, at most named
+	addrs   []netip.AddrPort // the most recent, at most maxAlternatives
 }
 
-// add notes that a VM was sent a version. Later versions replace all earlier ones.
-func (h *holders) add(version uint64, vm netip.AddrPort) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if version < h.version {
+// add records that vm was sent a version. A later version discards the recipients of
+// earlier ones.
+func (r *recipients) add(version uint64, vm netip.AddrPort) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if version < r.version {
 		return
 	}
-	if version > h.version {
-		h.version, h.list = version, nil
+	if version > r.version {
+		r.version, r.addrs = version, nil
 	}
-	if slices.Contains(h.list, vm) {
+	if slices.Contains(r.addrs, vm) {
 		return
 	}
-	h.list = append(h.list, vm)
-	if len(h.list) > named {
-		h.list = h.list[1:]
+	r.addrs = append(r.addrs, vm)
+	if len(r.addrs) > maxAlternatives {
+		r.addrs = r.addrs[1:]
 	}
 }
 
-// of returns the VMs that were sent a version.
-func (h *holders) of(version uint64) []netip.AddrPort {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if version != h.version {
+// get returns the VMs that were sent a version.
+func (r *recipients) get(version uint64) []netip.AddrPort {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if version != r.version {
 		return nil
 	}
-	return slices.Clone(h.list)
+	return slices.Clone(r.addrs)
 }
--- a/internal/peer/share/server.go
+++ b/internal/peer/share/server.go
@@ -22,91 +22,94 @@
 const (
 	pathSettings  = "/settings"
 	pathServers   = "/servers"
-	argLeast      = "least" // version that the asking VM needs at least
+	argMinVersion = "least" // lowest version that the requester accepts
 	headerVersion = "Umberladder-Version"
 	headerAge     = "Umberladder-Age-Ns"
-	headerFrom    = "Umberladder-From"   // address at which the asking VM shares
-	headerOthers  = "Umberladder-Others" // addresses of VMs to ask instead
-	// readLimit bounds the reading of a request.
-	readLimit = time.Second
+	headerFrom    = "Umberladder-From"   // address of the requester's own Server
+	headerOthers  = "Umberladder-Others" // addresses of VMs to fetch from instead
+	// readTimeout limits the time to read a request.
+	readTimeout = time.Second
 )
 
-// Settings is a version of the settings as the operators wrote it.
+// Settings is one version of the settings, as written by the operators.
 type Settings struct {
-	Packed  []byte // as compressed by routes.Document
+	Packed  []byte // compressed by routes.Document
 	Version uint64
-	Age     time.Duration // since it was known to be the newest
+	Age     time.Duration // time since it was last known to be the newest version
 }
 
-// Source is what a VM has to share.
+// Source provides the data that a VM serves to other VMs.
 type Source interface {
-	// Settings returns the settings in force; false: there are none.
+	// Settings returns the settings in force, or false if there are none.
 	Settings() (Settings, bool)
-	// Servers returns all servers known; false: they are not known for sure.
+	// Servers returns the complete server list, or false if the VM is not sure that its
+	// list is complete.
 	Servers() (follow.News, bool)
 }
 
-// Server serves what a VM has to share.
+// Server serves a VM's settings and server list to other VMs.
 type Server struct {
-	src      Source
-	log      *zap.Logger
-	quota    *quota
-	settings holders
-	servers  holders
-	list     packed
+	src        Source
+	log        *zap.Logger
+	quota      *quota
+	settings   recipients
+	servers    recipients
+	serverList cachedList
 }
 
-// packed is a list of servers as it is sent.
-type packed struct {
+// cachedList is the latest encoded and compressed server list.
+type cachedList struct {
 	mu   sync.Mutex
 	rev  follow.Revision
 	at   time.Time
 	body []byte
 }
 
-// packTime is how long a list is sent as it is: VMs that start together ask for the
-// same one.
-const packTime = 100 * time.Millisecond
-
-// of returns a list as it is sent.
-func (p *packed) of(n *follow.News, now time.Time) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.rev == n.Rev && now.Sub(p.at) < packTime {
-		return p.body, nil
+// cacheTime is how long an encoded server list is reused, since VMs that start at the
+// same time request the same one.
+const cacheTime = 100 * time.Millisecond
+
+// encode returns n encoded and compressed. It reuses the last result for the same
+// revision within cacheTime.
+func (c *cachedList) encode(n *follow.News, now time.Time) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.rev == n.Rev && now.Sub(c.at) < cacheTime {
+		return c.body, nil
 	}
 	body, err := routes.NewDocument(wire.EncodeNews(n)).Packed()
 	if err == nil {
-		p.rev, p.at, p.body = n.Rev, now, body
+		c.rev, c.at, c.body = n.Rev, now, body
 	}
 	return body, err
 }
 
-// NewServer makes a server of a VM whose link carries so many bits a second.
-func NewServer(src Source, link float64, log *zap.Logger) *Server {
-	return &Server{src: src, log: log, quota: newQuota(link, time.Now())}
+// NewServer returns a server for src. The VM's link carries linkRate bits per second.
+func NewServer(src Source, linkRate float64, log *zap.Logger) *Server {
+	return &Server{src: src, log: log, quota: newQuota(linkRate, time.Now())}
 }
 
-// Serve answers on the listener until ctx ends.
+// Serve starts to serve requests on ln in group. It stops and closes ln when ctx ends.
 func (s *Server) Serve(ctx context.Context, ln net.Listener, group *errgroup.Group) {
 	srv := &fasthttp.Server{
-		Handler: s.handle, ReadTimeout: readLimit, NoDefaultDate: true, NoDefaultServerHeader: true,
-		DisableKeepalive: true, Logger: quiet{s.log},
+		Handler: s.handle, ReadTimeout: readTimeout, NoDefaultDate: true, NoDefaultServerHeader: true,
+		DisableKeepalive: true, Logger: debugLogger{s.log},
 	}
 	context.AfterFunc(ctx, func() { _ = ln.Close() })
 	group.Go(func() error {
 		if err := srv.Serve(ln); err != nil && ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
-			s.log.Error("sharing ended", zap.Error(err))
+			s.log.Error("share server stopped", zap.Error(err))
 		}
 		return nil
 	})
 }
 
-// quiet takes the HTTP library's lines, which tell of broken connections.
-type quiet struct{ log *zap.Logger }
+// debugLogger logs the HTTP library's messages, which report broken connections, at
+// debug level.
+type debugLogger struct{ log *zap.Logger }
 
 // Printf implements fasthttp.Logger.
-func (q quiet) Printf(format string, _ ...any) { q.log.Debug(format) }
+func (l debugLogger) Printf(format string, _ ...any) { l.log.Debug(format) }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
@@ -120,13 +123,13 @@
 }
 
 func (s *Server) sendSettings(ctx *fasthttp.RequestCtx) {
-	least, err := strconv.ParseUint(string(ctx.QueryArgs().Peek(argLeast)), 10, 64)
+	minVersion, err := strconv.ParseUint(string(ctx.QueryArgs().Peek(argMinVersion)), 10, 64)
 	if err != nil {
-		ctx.Error(argLeast+": want a version of the settings", fasthttp.StatusBadRequest)
+		ctx.Error(argMinVersion+": want a version of the settings", fasthttp.StatusBadRequest)
 		return
 	}
 	set, ok := s.src.Settings()
-	if !ok || set.Version < least {
+	if !ok || set.Version < minVersion {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
@@ -144,34 +147,36 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	body, err := s.list.of(&n, time.Now())
+	body, err := s.serverList.encode(&n, time.Now())
 	if err != nil {
-		s.log.Error("list of servers not packed", zap.Error(err))
+		s.log.Error("server list not compressed", zap.Error(err))
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	// A VM that was sent the list follows the changes since, so that any is of use.
+	// The version is always 0: any earlier recipient can serve the list, because a VM
+	// that was sent it keeps it up to date with later changes.
 	if s.admit(ctx, &s.servers, 0, len(body)) {
 		ctx.Response.Header.Set(headerAge, strconv.FormatInt(int64(n.Age), 10))
 		ctx.SetBody(body)
 	}
 }
 
-// admit reports whether a version of something may be sent now, within the quota;
-// if not, it answers with VMs to ask instead.
-func (s *Server) admit(ctx *fasthttp.RequestCtx, h *holders, version uint64, size int) bool {
+// admit reports whether the quota allows a body of the given size to be sent now, and
+// if so, records the requester as a recipient of the version. Otherwise it responds with
+// the other recipients, from which the requester can fetch it.
+func (s *Server) admit(ctx *fasthttp.RequestCtx, r *recipients, version uint64, size int) bool {
 	from, err := netip.ParseAddrPort(string(ctx.Request.Header.Peek(headerFrom)))
 	if err != nil {
 		ctx.Error(headerFrom+": want the address at which the VM shares", fasthttp.StatusBadRequest)
 		return false
 	}
-	if s.quota.take(size, time.Now()) {
-		h.add(version, from)
+	if s.quota.tryAcquire(size, time.Now()) {
+		r.add(version, from)
 		return true
 	}
 	var list []string
-	for _, a := range h.of(version) {
-		if a != from { // it has started anew since
+	for _, a := range r.get(version) {
+		if a != from { // the requester itself, restarted since it was sent the version
 			list = append(list, a.String())
 		}
 	}
--- a/internal/peer/share/take.go
+++ b/internal/peer/share/take.go
@@ -12,50 +12,52 @@
 )
 
 const (
-	// takeTime is how long other VMs are asked before the store is: large settings
-	// have reached most of some hundred VMs by then. A transfer under way goes on.
-	takeTime = 1200 * time.Millisecond
-	// firstTake and lastTake are the bounds of the pause between two questions.
-	firstTake = 25 * time.Millisecond
-	lastTake  = 100 * time.Millisecond
+	// fetchTimeout is how long requests to other VMs are repeated before the caller
+	// turns to the store. By then large settings have reached most of some hundred VMs.
+	// A transfer in progress is not interrupted.
+	fetchTimeout = 1200 * time.Millisecond
+	// minPause and maxPause bound the pause between two requests, which doubles.
+	minPause = 25 * time.Millisecond
+	maxPause = 100 * time.Millisecond
 )
 
-// Take asks VMs, one after the other, until one gives what fetch fetches; there must
-// be one at least to ask first. It goes on to those that a busy VM names, so that
-// what one VM has spreads over all of them though its link carries a few at a time.
-func Take[T any](ctx context.Context, first []netip.AddrPort, fetch func(ctx context.Context, from netip.AddrPort) (T, error)) (T, error) {
-	list := slices.Clone(first)
-	end := time.Now().Add(takeTime)
-	for pause := firstTake; ; pause = min(2*pause, lastTake) {
-		from := list[rand.IntN(len(list))]
+// Fetch calls fetch for one VM after the other until it succeeds, starting with those in
+// initial, which must not be empty. It adds the alternatives that a busy VM lists, so
+// that data of one VM spreads to all VMs although its link serves only a few at a time.
+func Take[T any](ctx context.Context, initial []netip.AddrPort, fetch func(ctx context.Context, from netip.AddrPort) (T, error)) (T, error) {
+	candidates := slices.Clone(initial)
+	end := time.Now().Add(fetchTimeout)
+	for pause := minPause; ; pause = min(2*pause, maxPause) {
+		from := candidates[rand.IntN(len(candidates))]
 		v, err := fetch(ctx, from)
 		if err == nil {
 			return v, nil
 		}
-		list = next(list, from, err, slices.Contains(first, from))
-		if len(list) == 0 || ctx.Err() != nil || time.Now().After(end) {
+		candidates = nextCandidates(candidates, from, err, slices.Contains(initial, from))
+		if len(candidates) == 0 || ctx.Err() != nil || time.Now().After(end) {
 			return v, err
 		}
 		retry.Pause(ctx, pause/2+rand.N(pause))
 	}
 }
 
-// next returns whom to ask after from did not give it. A VM that was named by a busy
-// one may still be taking it itself; one that was to have it never will.
-func next(list []netip.AddrPort, from netip.AddrPort, err error, first bool) []netip.AddrPort {
-	if errors.Is(err, ErrNotYet) && !first {
-		return list
+// nextCandidates returns the VMs to try after the fetch from a VM failed with err. It
+// drops that VM, unless it is an alternative that may still be receiving the data, or a
+// busy VM that lists no alternatives. It adds the alternatives of a busy VM.
+func nextCandidates(candidates []netip.AddrPort, from netip.AddrPort, err error, initial bool) []netip.AddrPort {
+	if errors.Is(err, ErrNotAvailable) && !initial {
+		return candidates
 	}
 	var busy *BusyError
 	if errors.As(err, &busy) {
-		if len(busy.Others) == 0 {
-			return list
+		if len(busy.Alternatives) == 0 {
+			return candidates
 		}
-		for _, a := range busy.Others {
-			if !slices.Contains(list, a) {
-				list = append(list, a)
+		for _, a := range busy.Alternatives {
+			if !slices.Contains(candidates, a) {
+				candidates = append(candidates, a)
 			}
 		}
 	}
-	return slices.DeleteFunc(list, func(a netip.AddrPort) bool { return a == from })
+	return slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return a == from })
 }
