--- a/internal/peer/gossip/doc.go
+++ b/internal/peer/gossip/doc.go
@@ -1,8 +1,9 @@
-// Package gossip reports by datagrams to a few VMs, the hubs, what this VM has under way
-// at each backend server and what it knows; as a hub it answers those that report to it
-// with what all of them know.
+// Package gossip exchanges state between VMs by UDP datagrams. Each VM reports its calls
+// in flight at each backend server, and what it knows of the fleet, to a few VMs, the
+// hubs. A hub responds to each report with the combined knowledge of all VMs that report
+// to it.
 //
-// Each report holds the whole of a VM's state, so that a lost one costs only time. A
-// VM that is no hub sends and receives the same number of messages whatever the number
-// of VMs.
+// Each report holds the VM's complete state, so that the loss of a datagram only delays
+// an update. The number of messages that a VM other than a hub sends and receives does
+// not depend on the number of VMs.
 package gossip
--- a/internal/peer/gossip/findings_test.go
+++ b/internal/peer/gossip/findings_test.go
@@ -13,62 +13,65 @@
 )
 
 const (
-	fatal call.Fingerprint = 7
-	// learnTime is how long VMs may take to refuse a request once the third server has
-	// crashed under it.
-	learnTime = 3 * time.Second
+	fatalRequest call.Fingerprint = 7
+	// maxLearnTime is how long VMs may take to refuse a request after the third server
+	// has crashed under it.
+	maxLearnTime = 3 * time.Second
 )
 
-// crash has a VM see a server crash under the request.
-func crash(v *node, n int) { v.poison.Crashed(fatal, ident.Server(fmt.Sprint("i-", n)), time.Now()) }
+// reportCrash has a VM observe a crash of server n under the fatal request.
+func reportCrash(v *node, n int) {
+	v.poison.Crashed(fatalRequest, ident.Server(fmt.Sprint("i-", n)), time.Now())
+}
 
-// quarantined returns at how many of the VMs the request is quarantined.
-func quarantined(list []*node) int {
+// countQuarantined returns the number of VMs that quarantine the fatal request.
+func countQuarantined(list []*node) int {
 	n := 0
 	for _, v := range list {
-		if _, ok := v.poison.Until(fatal, time.Now()); ok {
+		if _, ok := v.poison.Until(fatalRequest, time.Now()); ok {
 			n++
 		}
 	}
 	return n
 }
 
-// others returns VMs that are no hubs.
-func (f *fleet) others() []*node {
+// nonHubs returns the running VMs that are not hubs.
+func (f *fleet) nonHubs() []*node {
 	list := hubsOf(f.all[0])
-	return slices.DeleteFunc(f.up(), func(v *node) bool { return slices.Contains(list, v.own.VM) })
+	return slices.DeleteFunc(f.up(), func(v *node) bool { return slices.Contains(list, v.self.VM) })
 }
 
-// lose kills the VMs that are hubs.
-func (f *fleet) lose() {
+// killHubs kills the VMs that are hubs.
+func (f *fleet) killHubs() {
 	list := hubsOf(f.all[0])
 	for _, v := range f.all {
-		if slices.Contains(list, v.own.VM) {
+		if slices.Contains(list, v.self.VM) {
 			f.kill(v)
 		}
 	}
 }
 
-// TestFindings has three VMs, none of which is a hub, each see one server crash under the
-// same request: all have to refuse it 3 s later, whatever fails meanwhile.
+// TestFindings guards against VMs that still serve a request under which three servers
+// have crashed. Three VMs that are not hubs observe one crash each. All VMs must refuse
+// the request 3 s after the third crash, even if hubs, VMs or the store fail around it.
 func TestFindings(t *testing.T) {
 	const loss = 0.04
 	for name, tc := range map[string]struct {
-		before func(f *fleet) // the third crash
-		after  func(f *fleet)
+		before func(f *fleet) // runs before the third crash
+		after  func(f *fleet) // runs after it
 	}{
-		"calm": {},
-		"the store is away": {before: func(f *fleet) {
+		"no failures": {},
+		"the store is unreachable": {before: func(f *fleet) {
 			f.mu.Lock()
-			f.away = true
+			f.storeDown = true
 			f.mu.Unlock()
 		}},
-		"all hubs are lost just before": {before: (*fleet).lose},
-		"all hubs are lost just after":  {after: (*fleet).lose},
+		"all hubs are lost just before": {before: (*fleet).killHubs},
+		"all hubs are lost just after":  {after: (*fleet).killHubs},
 		"hubs start again just before": {before: func(f *fleet) {
 			list := hubsOf(f.all[0])
 			for _, v := range f.all {
-				if slices.Contains(list, v.own.VM) {
+				if slices.Contains(list, v.self.VM) {
 					f.kill(v)
 					f.start(v, 0)
 				}
@@ -80,80 +83,82 @@
 				f.kill(v)
 			}
 			for _, v := range f.all {
-				f.start(v, f.delay())
+				f.start(v, f.startDelay())
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, vms/3, loss, func(t *testing.T, f *fleet) {
+			runFleet(t, vms/3, loss, func(t *testing.T, f *fleet) {
 				time.Sleep(4 * time.Second)
-				list := f.others()
-				crash(list[0], 0)
-				crash(list[1], 1)
+				list := f.nonHubs()
+				reportCrash(list[0], 0)
+				reportCrash(list[1], 1)
 				time.Sleep(2 * time.Second)
-				assert.Equal(t, quarantined(f.up()), 0)
+				assert.Equal(t, countQuarantined(f.up()), 0)
 				if tc.before != nil {
 					tc.before(f)
 				}
-				crash(list[2], 2)
+				reportCrash(list[2], 2)
 				if tc.after != nil {
 					tc.after(f)
 				}
-				time.Sleep(learnTime)
-				assert.Equal(t, quarantined(f.up()), len(f.up()))
+				time.Sleep(maxLearnTime)
+				assert.Equal(t, countQuarantined(f.up()), len(f.up()))
 			})
 		})
 	}
 }
 
-// TestFindingsOfOne has a VM that is cut off from all others see the crashes itself, and
-// the others learn of them once it is back.
+// TestFindingsOfOne guards against crashes that stay unknown because the only VM that
+// observed them was isolated at the time. The other VMs must learn of them once it is
+// reachable again.
 func TestFindingsOfOne(t *testing.T) {
-	play(t, 16, 0, func(t *testing.T, f *fleet) {
+	runFleet(t, 16, 0, func(t *testing.T, f *fleet) {
 		time.Sleep(4 * time.Second)
-		one := f.others()[0]
+		isolated := f.nonHubs()[0]
 		f.mu.Lock()
-		f.cut = func(a, b *node) bool { return (a == one) != (b == one) }
+		f.partitioned = func(a, b *node) bool { return (a == isolated) != (b == isolated) }
 		f.mu.Unlock()
 		time.Sleep(time.Second)
 		for n := range 3 {
-			crash(one, n)
+			reportCrash(isolated, n)
 		}
-		assert.Equal(t, quarantined([]*node{one}), 1)
+		assert.Equal(t, countQuarantined([]*node{isolated}), 1)
 		time.Sleep(5 * time.Second)
 		f.mu.Lock()
-		f.cut = nil
+		f.partitioned = nil
 		f.mu.Unlock()
-		time.Sleep(learnTime)
-		assert.Equal(t, quarantined(f.up()), len(f.up()))
+		time.Sleep(maxLearnTime)
+		assert.Equal(t, countQuarantined(f.up()), len(f.up()))
 	})
 }
 
-// TestFindingsCost floods the fleet with crashes under requests that are met by chance:
-// what VMs exchange ends with it.
+// TestFindingsCost guards against findings that are exchanged without end. Each VM
+// observes crashes under requests of its own, which are not quarantined, and 20 requests
+// are quarantined. Afterwards the traffic of a VM must fall to at most maxControlRate.
 func TestFindingsCost(t *testing.T) {
-	const span = 4 * time.Second
-	play(t, vms/3, 0, func(t *testing.T, f *fleet) {
+	const duration = 4 * time.Second
+	runFleet(t, vms/3, 0, func(t *testing.T, f *fleet) {
 		time.Sleep(4 * time.Second)
-		list := f.others()
+		list := f.nonHubs()
 		for i, v := range list {
 			for n := range 5 {
 				v.poison.Crashed(call.Fingerprint(1000+5*i+n), ident.Server(fmt.Sprint("i-", n)), time.Now())
 			}
 		}
-		for n := range 3 * 20 { // 20 requests are quarantined, too
+		for n := range 3 * 20 { // quarantines 20 requests
 			list[n%len(list)].poison.Crashed(call.Fingerprint(1+n%20), ident.Server(fmt.Sprint("j-", n)), time.Now())
 		}
-		time.Sleep(2 * learnTime)
+		time.Sleep(2 * maxLearnTime)
 		for _, v := range list {
 			assert.Equal(t, v.poison.Len(time.Now()), 20)
 			v.bytes.Store(0)
 			v.received.Store(0)
 		}
-		time.Sleep(span)
+		time.Sleep(duration)
 		for _, v := range list {
-			rate := (v.bytes.Load() + v.received.Load()) / int64(span/time.Second)
-			assert.Assert(t, rate <= controlRate, "%d B/s", rate)
+			rate := (v.bytes.Load() + v.received.Load()) / int64(duration/time.Second)
+			assert.Assert(t, rate <= maxControlRate, "%d B/s", rate)
 		}
 	})
 }
--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -17,92 +17,96 @@
 )
 
 const (
-	// gather is the least time between two messages for each receiver, and
-	// leastGather the least of all: what changes together is sent together.
-	gather      = 150 * time.Microsecond
-	leastGather = 10 * time.Millisecond
-	// maxMessage is the largest datagram, in bytes.
-	maxMessage = 60 << 10
+	// After it has sent n messages, Agent waits n times pausePerMessage, but at least
+	// minPause, before it sends again. Changes in the meantime are sent together.
+	pausePerMessage = 150 * time.Microsecond
+	minPause        = 10 * time.Millisecond
+	// maxDatagram is the maximum size of a datagram, in bytes.
+	maxDatagram = 60 << 10
 )
 
-// Local is what this VM sends, and takes what it receives.
+// Delegate provides the contents of the messages that this VM sends, and handles those
+// that it receives.
 type Local interface {
-	// Report fills in this VM's own state.
+	// FillReport fills in this VM's own state.
 	Report(s *wire.State, now time.Time)
-	// Answer fills in what this VM, as a hub, sends a VM that reports to it.
+	// FillResponse fills in this hub's response to a VM that reports to it.
 	Answer(s *wire.State, to ident.VM, now time.Time)
-	// Hear merges another VM's report.
+	// HandleReport merges another VM's report.
 	Hear(s *wire.State, from netip.AddrPort, now time.Time)
-	// Learn merges a hub's answer.
+	// HandleResponse merges a hub's response.
 	Learn(s *wire.State, from netip.AddrPort, now time.Time)
-	// Clock returns what a report asks the hubs to answer to.
+	// Clock returns this VM's time, which is sent in a report as its request time.
 	Clock() uint64
-	// Reply replies to what another VM asks.
+	// VersionReply returns the reply to a report with the given request time.
 	Reply(ask uint64) *wire.Reply
-	// Seat takes another VM's ask for room, and answers it.
+	// HandlePlacementRequest handles a placement request of another VM, and responds to
+	// it by reply.
 	Seat(a homes.Ask, reply func(homes.Answer))
-	// Seated takes the answer to this VM's ask for room.
+	// HandlePlacementResponse handles the response to a placement request of this VM.
 	Seated(a homes.Answer)
-	// Dirty has an element once there is something new to announce to all.
+	// StateChanged returns a channel that receives a value when there is a change to
+	// announce to all VMs.
 	Dirty() <-chan struct{}
-	// Moved has an element once this VM's loads changed.
+	// LoadsChanged returns a channel that receives a value when this VM's loads change.
 	Moved() <-chan struct{}
-	// Homes returns the addresses of the VMs that decide by the loads.
+	// Coordinators returns the addresses of the VMs that decide placement by the loads.
 	Homes() []netip.AddrPort
 }
 
-// Kind is a kind of message.
+// Kind is the kind of a message.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages, and their number.
 const (
-	Reports Kind = iota // of a VM's own state, to the hubs and the homes
-	Answers             // of hubs, to reports and unasked
-	Seats               // asks for room, and their answers
+	Reports    Kind = iota // a VM's own state, to hubs and coordinators
+	Responses              // of hubs, to reports and unsolicited
+	Placements             // placement requests and responses
 	Kinds
 )
 
-// String returns the kind's name.
+// String returns the kind's name, as metrics have it.
 func (k Kind) String() string { return [...]string{"reports", "answers", "seats"}[k] }
 
-// Traffic counts messages sent.
+// Traffic is a number of sent messages and their size.
 type Traffic struct {
 	Messages uint64
 	Bytes    uint64
 }
 
-// conn is the part of a UDP socket that is used.
-type conn interface {
+// udpConn is the subset of net.UDPConn that Agent uses.
+type udpConn interface {
 	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(b []byte, addr netip.AddrPort) (int, error)
 	Close() error
 }
 
-// Gossip is one VM's socket.
+// Agent sends and receives one VM's messages.
 type Gossip struct {
-	vm    ident.VM
-	boot  uint64
-	seq   uint64
-	conn  conn
-	local Local
-	hubs  *hubs.Hubs
-	now   chan struct{} // has an element if a report is to be sent before its time
-	sent  [Kinds]struct{ messages, bytes atomic.Uint64 }
-	log   *zap.Logger
+	vm       ident.VM
+	boot     uint64
+	seq      uint64
+	conn     udpConn
+	delegate Local
+	hubs     *hubs.Hubs
+	sendNow  chan struct{} // has an element if a report is to be sent at once
+	sent     [Kinds]struct{ messages, bytes atomic.Uint64 }
+	log      *zap.Logger
 }
 
-// New opens the socket at addr. The boot must rise from start to start of a VM.
-func New(vm ident.VM, boot uint64, addr netip.AddrPort, local Local, h *hubs.Hubs, log *zap.Logger) (*Gossip, error) {
+// New returns an agent that listens at addr. The boot number must rise with each start
+// of the VM.
+func New(vm ident.VM, boot uint64, addr netip.AddrPort, delegate Local, h *hubs.Hubs, log *zap.Logger) (*Gossip, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return over(c, vm, boot, local, h, log), nil
+	return newAgent(c, vm, boot, delegate, h, log), nil
 }
 
-// over makes a VM's gossip over a socket.
-func over(c conn, vm ident.VM, boot uint64, local Local, h *hubs.Hubs, log *zap.Logger) *Gossip {
-	return &Gossip{vm: vm, boot: boot, conn: c, local: local, hubs: h, now: make(chan struct{}, 1), log: log}
+// newAgent returns an agent that uses c.
+func newAgent(c udpConn, vm ident.VM, boot uint64, delegate Local, h *hubs.Hubs, log *zap.Logger) *Gossip {
+	return &Gossip{vm: vm, boot: boot, conn: c, delegate: delegate, hubs: h, sendNow: make(chan struct{}, 1), log: log}
 }
 
 // Sent returns the messages of a kind that were sent since the start.
@@ -110,7 +114,8 @@
 	return Traffic{Messages: g.sent[k].messages.Load(), Bytes: g.sent[k].bytes.Load()}
 }
 
-// Send reports and answers until ctx ends.
+// RunSender sends reports, and announcements of changes, until ctx ends. It then closes
+// the socket.
 func (g *Gossip) Send(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -121,90 +126,91 @@
 			_ = g.conn.Close()
 			return
 		case <-t.C:
-			n = g.beat(time.Now(), false)
+			n = g.sendReports(time.Now(), false)
 			t.Reset(g.hubs.Next(time.Now()))
-		case <-g.now:
-			n = g.beat(time.Now(), true)
-		case <-g.local.Dirty():
-			n = g.spread(time.Now())
-		case <-g.local.Moved():
-			n = g.move(time.Now())
+		case <-g.sendNow:
+			n = g.sendReports(time.Now(), true)
+		case <-g.delegate.Dirty():
+			n = g.announce(time.Now())
+		case <-g.delegate.Moved():
+			n = g.sendLoads(time.Now())
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(leastGather, gather*time.Duration(n))):
+		case <-time.After(max(minPause, pausePerMessage*time.Duration(n))):
 		}
 	}
 }
 
-// Beat has this VM report to the hubs at once.
+// ReportNow has RunSender report to the hubs without waiting for the report interval.
 func (g *Gossip) Beat() {
 	select {
-	case g.now <- struct{}{}:
+	case g.sendNow <- struct{}{}:
 	default:
 	}
 }
 
-// report returns this VM's own state.
-func (g *Gossip) report(now time.Time) *wire.State {
+// newReport returns a message with this VM's own state.
+func (g *Gossip) newReport(now time.Time) *wire.State {
 	g.seq++
 	s := &wire.State{VM: g.vm, Boot: g.boot, Seq: g.seq}
-	g.local.Report(s, now)
+	g.delegate.Report(s, now)
 	return s
 }
 
-// beat reports to the hubs, to all or to those that are due, and asks them for what
-// they know. It returns to how many.
-func (g *Gossip) beat(now time.Time, all bool) int {
+// sendReports reports to the hubs, to all or only to those that are due, and requests
+// their responses. It returns the number of hubs.
+func (g *Gossip) sendReports(now time.Time, all bool) int {
 	targets := g.hubs.Targets(now, all)
 	if len(targets) == 0 {
 		return 0
 	}
-	s := g.report(now)
+	s := g.newReport(now)
 	for _, c := range targets {
-		s.Ask = g.local.Clock()
+		s.Ask = g.delegate.Clock()
 		s.Digest = g.hubs.Named(c.VM)
 		g.write(Reports, s, c.Addr)
 	}
 	return len(targets)
 }
 
-// spread announces what is new to the hubs, and as a hub to all that report to this VM.
-func (g *Gossip) spread(now time.Time) int {
-	n := g.beat(now, true)
+// announce sends this VM's state to the hubs and, if this VM is a hub, to all VMs that
+// report to it. It returns the number of receivers.
+func (g *Gossip) announce(now time.Time) int {
+	n := g.sendReports(now, true)
 	reporters := g.hubs.Reporters(now)
-	digest := hubs.Digest(g.hubs.Names(now)) // VMs take new names with the next answer
+	digest := hubs.Digest(g.hubs.Names(now)) // leaves out the candidates; VMs get new ones with the next response
 	for _, c := range reporters {
-		g.answer(c.VM, c.Addr, &wire.State{VM: g.vm, Boot: g.boot}, digest, now)
+		g.respond(c.VM, c.Addr, &wire.State{VM: g.vm, Boot: g.boot}, digest, now)
 	}
 	return n + len(reporters)
 }
 
-// move reports this VM's loads to the homes.
-func (g *Gossip) move(now time.Time) int {
-	s := g.report(now)
+// sendLoads reports this VM's loads to the coordinators. It returns their number.
+func (g *Gossip) sendLoads(now time.Time) int {
+	s := g.newReport(now)
 	s.News = nil
-	list := g.local.Homes()
+	list := g.delegate.Homes()
 	for _, addr := range list {
 		g.write(Reports, s, addr)
 	}
 	return len(list)
 }
 
-// answer sends a VM that reports to this one what this one knows of all. The
-// candidates that this one names are left out if the VM has them.
-func (g *Gossip) answer(to ident.VM, addr netip.AddrPort, s *wire.State, has uint64, now time.Time) {
+// respond sends the combined state of all VMs to a VM that reports to this one. It
+// leaves out the candidates if the digest shows that the VM has the current ones.
+func (g *Gossip) respond(to ident.VM, addr netip.AddrPort, s *wire.State, digest uint64, now time.Time) {
 	names := g.hubs.Names(now)
 	s.Hub = &wire.Hub{Digest: hubs.Digest(names)}
-	if has != s.Hub.Digest {
+	if digest != s.Hub.Digest {
 		s.Hub.Names = names
 	}
-	g.local.Answer(s, to, now)
-	g.write(Answers, s, addr)
+	g.delegate.Answer(s, to, now)
+	g.write(Responses, s, addr)
 }
 
 func (g *Gossip) write(k Kind, s *wire.State, to netip.AddrPort) {
-	for _, b := range s.Parts(maxMessage) {
+	for _, b := range s.Parts(maxDatagram) {
 		if _, err := g.conn.WriteToUDPAddrPort(b, to); err != nil {
 			g.log.Debug("message not sent", zap.Stringer("kind", k), zap.Stringer("to", to), zap.Error(err))
 			continue
@@ -214,45 +220,45 @@
 	}
 }
 
-// Ask asks another VM for room.
-func (g *Gossip) Ask(to netip.AddrPort, a homes.Ask) {
-	g.write(Seats, &wire.State{VM: g.vm, Seat: &a}, to)
+// SendRequest sends a placement request to another VM.
+func (g *Gossip) Ask(to netip.AddrPort, req homes.Ask) {
+	g.write(Placements, &wire.State{VM: g.vm, Seat: &req}, to)
 }
 
-// take sorts a message by what it holds.
-func (g *Gossip) take(s *wire.State, from netip.AddrPort) {
+// handle passes a message to the delegate's method for its kind.
+func (g *Gossip) handle(s *wire.State, from netip.AddrPort) {
 	switch {
 	case s.VM == g.vm:
 	case s.Seat != nil:
-		g.local.Seat(*s.Seat, func(a homes.Answer) { g.write(Seats, &wire.State{VM: g.vm, Answer: &a}, from) })
+		g.delegate.Seat(*s.Seat, func(a homes.Answer) { g.write(Placements, &wire.State{VM: g.vm, Answer: &a}, from) })
 	case s.Answer != nil:
-		g.local.Seated(*s.Answer)
+		g.delegate.Seated(*s.Answer)
 	case s.Hub != nil:
-		g.local.Learn(s, from, time.Now())
+		g.delegate.Learn(s, from, time.Now())
 	default:
-		g.local.Hear(s, from, time.Now())
+		g.delegate.Hear(s, from, time.Now())
 		if s.Ask != 0 {
-			g.answer(s.VM, from, &wire.State{VM: g.vm, Boot: g.boot, Reply: g.local.Reply(s.Ask)}, s.Digest, time.Now())
+			g.respond(s.VM, from, &wire.State{VM: g.vm, Boot: g.boot, Reply: g.delegate.Reply(s.Ask)}, s.Digest, time.Now())
 		}
 	}
 }
 
-// Receive merges what others send until the socket is closed.
+// RunReceiver handles messages until the socket is closed.
 func (g *Gossip) Receive(ctx context.Context) {
-	buf := make([]byte, maxMessage)
+	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() == nil {
-				g.log.Error("gossip ended", zap.Error(err))
+				g.log.Error("gossip receiver stopped", zap.Error(err))
 			}
 			return
 		}
 		s, err := wire.Decode(buf[:n])
 		if err != nil {
-			g.log.Warn("message not readable", zap.Stringer("from", from), zap.Error(err))
+			g.log.Warn("message not decoded", zap.Stringer("from", from), zap.Error(err))
 			continue
 		}
-		g.take(s, from)
+		g.handle(s, from)
 	}
 }
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -33,37 +33,37 @@
 )
 
 const (
-	// linkRate is what a VM's link carries, in bytes a second, and flight the time
-	// that a datagram takes beside that.
-	linkRate = 20_000_000 / 8
-	flight   = time.Millisecond
-	// header is what IP and UDP add to a datagram, in bytes.
-	header = 28
-	// known is the time within which all have to know what one VM has read: half of
-	// the two seconds in which a server that leaves must get no more calls.
-	known = time.Second
-	// agreed is the time within which all have to agree on the hubs after VMs have
-	// come or left of themselves: that in which a server that leaves must get no more
-	// calls.
-	agreed = 2 * time.Second
+	// linkBytesPerSecond is the rate of a VM's link, and latency the delay of a datagram
+	// in addition to its transmission time.
+	linkBytesPerSecond = 20_000_000 / 8
+	latency            = time.Millisecond
+	// headerSize is the size of the IP and UDP headers of a datagram, in bytes.
+	headerSize = 28
+	// maxSpreadTime is how long it may take until all VMs know what one VM has read from
+	// the store. It is half of the 2 s within which calls to a retired server must end.
+	maxSpreadTime = time.Second
+	// maxAgreeTime is how long it may take until all VMs agree on the hubs after VMs have
+	// started or shut down in order. It is the time within which calls to a retired
+	// server must end.
+	maxAgreeTime = 2 * time.Second
 	// domains is the number of failure domains of a fleet.
 	domains = 3
-	// controlRate is what a VM may spend for control, in bytes a second.
-	controlRate = 3000
+	// maxControlRate is the maximum control traffic of a VM, in bytes per second.
+	maxControlRate = 3000
 )
 
-// network carries datagrams, late, and loses some.
+// network simulates a network that delays datagrams and drops some, and the store.
 type network struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	loss  float64
-	nodes map[netip.AddrPort]*node
-	cut   func(a, b *node) bool // nil: no VMs are cut off from one another
-	names map[ident.VM]netip.AddrPort
-	held  []poison.Entry // quarantined requests in the store
-	away  bool           // the store answers nobody
-	seeds []netip.AddrPort
-	calls int // to the store, fresh readings and writings
+	mu          sync.Mutex
+	rng         *rand.Rand
+	loss        float64
+	nodes       map[netip.AddrPort]*node
+	partitioned func(a, b *node) bool // nil: all VMs reach one another
+	registered  map[ident.VM]netip.AddrPort
+	quarantined []poison.Entry // quarantined requests in the store
+	storeDown   bool           // no VM reaches the store
+	seeds       []netip.AddrPort
+	calls       int // to the store: fresh reads, and writes
 	// registry holds the servers' entries; nil if the VMs do not follow servers.
 	registry *registry
 }
@@ -73,34 +73,34 @@
 	from netip.AddrPort
 }
 
-// node is a VM and its socket. It implements conn, Local and names.Registry.
+// node is a VM and its socket. It implements udpConn, Delegate and hubreg.Registry.
 type node struct {
-	net      *network
-	own      hubs.Candidate
-	hubs     *hubs.Hubs
-	gossip   *Gossip
-	keeper   *names.Keeper
-	poison   *poison.Book
-	table    *backs.Table    // nil if the VM does not follow servers
-	servers  *follow.Servers // nil if the VM does not follow servers
-	boot     uint64
-	stop     context.CancelFunc
-	in       chan datagram
-	out      chan passage
-	closed   chan struct{}
-	free     time.Time // when its link has carried what it was given
-	version  atomic.Uint64
-	sent     atomic.Int64
-	bytes    atomic.Int64
-	received atomic.Int64
-	cutStore atomic.Bool
-	dirty    chan struct{}
-	down     bool
-	frozen   atomic.Pointer[chan struct{}] // is closed when the VM wakes; nil: it does not stand still
-	group    *errgroup.Group               // of the present start
-}
-
-// freeze has the VM stand still until thaw is called.
+	net              *network
+	self             hubs.Candidate
+	hubs             *hubs.Hubs
+	gossip           *Gossip
+	registrar        *names.Keeper
+	poison           *poison.Book
+	table            *backs.Table    // nil if the VM does not follow servers
+	servers          *follow.Servers // nil if the VM does not follow servers
+	boot             uint64
+	stop             context.CancelFunc
+	inbox            chan datagram
+	outbox           chan delivery
+	done             chan struct{}
+	linkFree         time.Time // when its link has sent all datagrams written so far
+	version          atomic.Uint64
+	sent             atomic.Int64
+	bytes            atomic.Int64
+	received         atomic.Int64
+	storeUnreachable atomic.Bool
+	changed          chan struct{}
+	down             bool
+	frozen           atomic.Pointer[chan struct{}] // closed when the VM resumes; nil: it is not frozen
+	group            *errgroup.Group               // goroutines of the current start
+}
+
+// freeze suspends the VM until thaw is called.
 func (v *node) freeze() (thaw func()) {
 	ch := make(chan struct{})
 	v.frozen.Store(&ch)
@@ -110,93 +110,94 @@
 	}
 }
 
-// wake returns once the VM does not stand still.
-func (v *node) wake() {
+// waitWhileFrozen blocks while the VM is frozen.
+func (v *node) waitWhileFrozen() {
 	if ch := v.frozen.Load(); ch != nil {
 		<-*ch
 	}
 }
 
-// ReadFromUDPAddrPort implements conn.
+// ReadFromUDPAddrPort implements udpConn.
 func (v *node) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
-	case d := <-v.in:
-		v.wake()
-		v.received.Add(int64(len(d.data) + header))
+	case d := <-v.inbox:
+		v.waitWhileFrozen()
+		v.received.Add(int64(len(d.data) + headerSize))
 		return copy(b, d.data), d.from, nil
-	case <-v.closed:
+	case <-v.done:
 		return 0, netip.AddrPort{}, net.ErrClosed
 	}
 }
 
-// WriteToUDPAddrPort implements conn.
+// WriteToUDPAddrPort implements udpConn.
 func (v *node) WriteToUDPAddrPort(b []byte, addr netip.AddrPort) (int, error) {
-	v.wake()
+	v.waitWhileFrozen()
 	n := v.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	v.sent.Add(1)
-	v.bytes.Add(int64(len(b) + header))
+	v.bytes.Add(int64(len(b) + headerSize))
 	to := n.nodes[addr]
-	if to == nil || n.rng.Float64() < n.loss || n.cut != nil && n.cut(v, to) {
+	if to == nil || n.rng.Float64() < n.loss || n.partitioned != nil && n.partitioned(v, to) {
 		return len(b), nil
 	}
 	now := time.Now()
-	if v.free.Before(now) {
-		v.free = now
+	if v.linkFree.Before(now) {
+		v.linkFree = now
 	}
-	v.free = v.free.Add(time.Duration(len(b)+header) * time.Second / linkRate)
-	v.out <- passage{d: datagram{data: slices.Clone(b), from: v.own.Addr}, to: to.in, at: v.free.Add(flight)}
+	v.linkFree = v.linkFree.Add(time.Duration(len(b)+headerSize) * time.Second / linkBytesPerSecond)
+	v.outbox <- delivery{datagram: datagram{data: slices.Clone(b), from: v.self.Addr}, to: to.inbox, at: v.linkFree.Add(latency)}
 	return len(b), nil
 }
 
-// passage is a datagram on its way.
-type passage struct {
-	d  datagram
-	to chan<- datagram
-	at time.Time // of its arrival
+// delivery is a datagram in transit.
+type delivery struct {
+	datagram datagram
+	to       chan<- datagram
+	at       time.Time // time of arrival
 }
 
-// carry brings what the VM sends to where it goes, in its order, until ctx ends.
-func (v *node) carry(ctx context.Context) {
+// deliver delivers the VM's datagrams in the order in which they were sent, until ctx
+// ends.
+func (v *node) deliver(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-v.out:
+		case p := <-v.outbox:
 			retry.Pause(ctx, time.Until(p.at))
 			select {
-			case p.to <- p.d:
+			case p.to <- p.datagram:
 			default: // the receiver's buffer is full
 			}
 		}
 	}
 }
 
-// Close implements conn.
+// Close implements udpConn.
 func (v *node) Close() error {
-	close(v.closed)
+	close(v.done)
 	return nil
 }
 
-// loads is what a VM has under way.
-var loads = map[ident.Server]seats.Load{
+// localLoads are the loads that each VM reports.
+var localLoads = map[ident.Server]seats.Load{
 	"i-0123456789@1700000000000": {Seats: 1, Tokens: 3300, Backlog: 2000},
 	"i-9876543210@1700000000000": {Seats: 2, Tokens: 6600},
 }
 
 func (v *node) Report(s *wire.State, now time.Time) {
-	s.Loads = loads
+	s.Loads = localLoads
 	s.Sent = map[ident.Service]retry.Sent{"engines": {First: 12}, "plain": {First: 8, Again: 1}}
 	s.Findings = v.poison.Report(now)
-	v.tell(s, now)
+	v.fillCommon(s, now)
 	if s.Store.Asks {
-		v.addNews(s, now)
+		v.addServerUpdate(s, now)
 	}
 }
 
-// addNews adds the VM's recent server changes to a message.
-func (v *node) addNews(s *wire.State, now time.Time) {
+// addServerUpdate adds the VM's recent server changes to a message.
+func (v *node) addServerUpdate(s *wire.State, now time.Time) {
 	if v.servers == nil {
 		return
 	}
@@ -205,23 +206,23 @@
 	}
 }
 
-// receiveServers applies the server changes in another VM's message. With pass, servers
-// reported as leaving are announced to other VMs.
-func (v *node) receiveServers(s *wire.State, pass bool, now time.Time) {
+// receiveServers applies the server changes in another VM's message. With forward,
+// servers reported as retired are announced to other VMs.
+func (v *node) receiveServers(s *wire.State, forward bool, now time.Time) {
 	if v.servers == nil {
 		return
 	}
 	if s.News != nil {
 		v.servers.Learn(*s.News, now)
 	}
-	v.table.Receive(s.Leaving, pass)
+	v.table.Receive(s.Leaving, forward)
 }
 
-func (v *node) tell(s *wire.State, now time.Time) {
+func (v *node) fillCommon(s *wire.State, now time.Time) {
 	s.Verdicts = v.poison.Digest(now)
-	s.Version, s.Capacity, s.Domain = v.version.Load(), v.hubs.Own().Capacity, v.own.Domain
+	s.Version, s.Capacity, s.Domain = v.version.Load(), v.hubs.Own().Capacity, v.self.Domain
 	s.Store = hubs.StoreStatus{Asks: v.hubs.Asks(now), Age: 300 * time.Millisecond}
-	if v.cutStore.Load() {
+	if v.storeUnreachable.Load() {
 		s.Store.Age = time.Minute
 	}
 	if v.servers != nil {
@@ -234,11 +235,11 @@
 	s.Hub.Known, s.Hub.Heard = 100, 100
 	s.Hub.Rest = map[ident.Service]retry.Sent{"engines": {First: 1700}, "plain": {First: 2200, Again: 120}}
 	s.Findings = v.poison.Answer(to, now)
-	v.tell(s, now)
-	v.addNews(s, now)
+	v.fillCommon(s, now)
+	v.addServerUpdate(s, now)
 }
 
-func (v *node) report(s *wire.State, from netip.AddrPort) hubs.Report {
+func (v *node) processReport(s *wire.State, from netip.AddrPort) hubs.Report {
 	if s.Version > v.version.Load() {
 		v.version.Store(s.Version)
 	}
@@ -246,14 +247,14 @@
 }
 
 func (v *node) Hear(s *wire.State, from netip.AddrPort, now time.Time) {
-	v.hubs.Reported(v.report(s, from), now)
+	v.hubs.Reported(v.processReport(s, from), now)
 	v.poison.Reported(s.VM, s.Verdicts)
 	v.poison.Merge(s.Findings, now)
 	v.receiveServers(s, true, now)
 }
 
 func (v *node) Learn(s *wire.State, from netip.AddrPort, now time.Time) {
-	if v.hubs.Answered(v.report(s, from), s.Hub.Names, s.Hub.Digest, now) {
+	if v.hubs.Answered(v.processReport(s, from), s.Hub.Names, s.Hub.Digest, now) {
 		v.gossip.Beat()
 	}
 	v.poison.HubAnswered(s.VM, s.Boot, s.Verdicts, now)
@@ -261,15 +262,16 @@
 	v.receiveServers(s, false, now)
 }
 
-// judged has the VM announce its own evidence, and verdicts.
-func (v *node) judged(c poison.Change) {
+// onQuarantineChange reports the VM's own findings at once. A hub also announces its
+// quarantine decisions.
+func (v *node) onQuarantineChange(c poison.Change) {
 	v.gossip.Beat()
 	if c.Empty() || !v.hubs.Hub(time.Now()) {
 		return
 	}
-	v.keeper.Wake()
+	v.registrar.Wake()
 	select {
-	case v.dirty <- struct{}{}:
+	case v.changed <- struct{}{}:
 	default:
 	}
 }
@@ -278,7 +280,7 @@
 func (v *node) Reply(ask uint64) *wire.Reply             { return &wire.Reply{Ask: ask, Version: v.version.Load()} }
 func (v *node) Seat(homes.Ask, func(homes.Answer))       {}
 func (v *node) Seated(homes.Answer)                      {}
-func (v *node) Dirty() <-chan struct{}                   { return v.dirty }
+func (v *node) Dirty() <-chan struct{}                   { return v.changed }
 func (v *node) Moved() <-chan struct{}                   { return nil }
 func (v *node) Homes() []netip.AddrPort                  { return nil }
 func (v *node) Renew(context.Context, names.Lease) error { return nil }
@@ -287,60 +289,62 @@
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	v.net.calls += 2
-	v.net.names[vm] = addr
+	v.net.registered[vm] = addr
 	return 1, nil
 }
 
-// Quarantine implements names.Registry.
+// Quarantine implements hubreg.Registry.
 func (v *node) Quarantine(_ context.Context, e poison.Entry) error {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
-	if v.cutStore.Load() || v.net.away {
-		return fmt.Errorf("cut off")
+	if v.storeUnreachable.Load() || v.net.storeDown {
+		return fmt.Errorf("store unreachable")
 	}
 	v.net.calls += 2
-	v.net.held = append(v.net.held, e)
+	v.net.quarantined = append(v.net.quarantined, e)
 	return nil
 }
 
-// Read implements names.Registry. What need not be fresh is a second old here: nothing.
+// Read implements hubreg.Registry. It counts only fresh reads: others may return data that
+// is 1 s old, and cost the store nothing.
 func (v *node) Read(_ context.Context, fresh bool) (names.Records, error) {
-	v.wake()
+	v.waitWhileFrozen()
 	time.Sleep(4 * time.Millisecond)
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
-	if v.cutStore.Load() || v.net.away {
-		return names.Records{}, fmt.Errorf("cut off")
+	if v.storeUnreachable.Load() || v.net.storeDown {
+		return names.Records{}, fmt.Errorf("store unreachable")
 	}
 	if fresh {
 		v.net.calls++
 	}
-	out := make(map[ident.VM]netip.AddrPort, len(v.net.names))
-	for name, addr := range v.net.names {
+	out := make(map[ident.VM]netip.AddrPort, len(v.net.registered))
+	for name, addr := range v.net.registered {
 		out[name] = addr
 	}
-	return names.Records{VMs: out, Quarantined: slices.Clone(v.net.held)}, nil
+	return names.Records{VMs: out, Quarantined: slices.Clone(v.net.quarantined)}, nil
 }
 
-// fleet is some VMs on a network.
+// fleet is a set of VMs on a network.
 type fleet struct {
 	*network
 	all []*node
 	ctx context.Context
 }
 
-// play has so many VMs start within 0.3 s, one in sixteen of much capacity.
-func play(t *testing.T, vms int, loss float64, f func(t *testing.T, f *fleet)) {
+// runFleet starts the given number of VMs within 0.3 s and calls f. One VM in 16 has a
+// higher capacity than the others.
+func runFleet(t *testing.T, vms int, loss float64, f func(t *testing.T, f *fleet)) {
 	t.Helper()
-	playServers(t, vms, loss, nil, f)
+	runFleetWithServers(t, vms, loss, nil, f)
 }
 
-// playServers is like play, with VMs that follow the servers in r.
-func playServers(t *testing.T, vms int, loss float64, r *registry, f func(t *testing.T, f *fleet)) {
+// runFleetWithServers is like runFleet, with VMs that follow the servers in r.
+func runFleetWithServers(t *testing.T, vms int, loss float64, r *registry, f func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		n := &network{rng: rand.New(rand.NewPCG(7, 0)), loss: loss, nodes: make(map[netip.AddrPort]*node), names: make(map[ident.VM]netip.AddrPort), registry: r}
+		n := &network{rng: rand.New(rand.NewPCG(7, 0)), loss: loss, nodes: make(map[netip.AddrPort]*node), registered: make(map[ident.VM]netip.AddrPort), registry: r}
 		if r != nil {
 			r.net = n
 		}
@@ -350,9 +354,9 @@
 			if i%16 == 0 {
 				c.Capacity = 14
 			}
-			c.Domain = domain(c.VM)
-			fl.all = append(fl.all, &node{net: n, own: c})
-			fl.start(fl.all[i], n.delay())
+			c.Domain = domainOf(c.VM)
+			fl.all = append(fl.all, &node{net: n, self: c})
+			fl.start(fl.all[i], n.startDelay())
 		}
 		defer func() {
 			cancel()
@@ -364,46 +368,46 @@
 	})
 }
 
-// domain returns the failure domain of a VM: by its hash, which orders VMs of the same
-// capacity, so that the first ones are neighbours.
-func domain(vm ident.VM) ident.Domain {
+// domainOf returns the failure domain of a VM. It depends on the hash by which candidates
+// of the same capacity are ordered, so that the first ones are in the same domain.
+func domainOf(vm ident.VM) ident.Domain {
 	return ident.Domain(fmt.Sprint(xxhash.Sum64String(string(vm)) / (math.MaxUint64 / domains)))
 }
 
-// delay returns how long after others a VM starts.
-func (n *network) delay() time.Duration {
+// startDelay returns a random delay of a VM's start.
+func (n *network) startDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(n.rng.IntN(300)) * time.Millisecond
 }
 
-// storeCalls returns how many calls to the store were made that count whole.
+// storeCalls returns the number of calls to the store that are charged in full.
 func (n *network) storeCalls() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls
 }
 
-// start starts a VM that knows nobody.
+// start starts a VM that knows no other VMs but the seeds.
 func (f *fleet) start(v *node, after time.Duration) {
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
-	v.in, v.out, v.closed, v.dirty = make(chan datagram, 1000), make(chan passage, 10_000), make(chan struct{}), make(chan struct{}, 1)
+	v.inbox, v.outbox, v.done, v.changed = make(chan datagram, 1000), make(chan delivery, 10_000), make(chan struct{}), make(chan struct{}, 1)
 	f.mu.Unlock()
-	v.hubs, v.stop, v.down = hubs.New(v.own, f.seeds, time.Now().Add(after)), stop, false
+	v.hubs, v.stop, v.down = hubs.New(v.self, f.seeds, time.Now().Add(after)), stop, false
 	v.version.Store(0)
 	v.boot++
-	v.gossip = over(v, v.own.VM, v.boot, v, v.hubs, zap.NewNop())
-	v.poison = poison.New(poison.Config{Crashes: 3, Time: 10 * time.Minute}, v.judged)
-	v.keeper = names.New(v.own, time.Now().Add(after), v.hubs, v, v.poison, v.gossip.Beat, zap.NewNop())
-	keeper := v.keeper
+	v.gossip = newAgent(v, v.self.VM, v.boot, v, v.hubs, zap.NewNop())
+	v.poison = poison.New(poison.Config{Crashes: 3, Time: 10 * time.Minute}, v.onQuarantineChange)
+	v.registrar = names.New(v.self, time.Now().Add(after), v.hubs, v, v.poison, v.gossip.Beat, zap.NewNop())
+	registrar := v.registrar
 	if f.registry != nil {
 		v.initServers(f.registry)
 	}
 	f.mu.Lock()
-	f.nodes[v.own.Addr] = v
+	f.nodes[v.self.Addr] = v
 	f.mu.Unlock()
-	loops := []func(context.Context){keeper.Run, v.gossip.Send, v.gossip.Receive, v.carry}
+	loops := []func(context.Context){registrar.Run, v.gossip.Send, v.gossip.Receive, v.deliver}
 	if f.registry != nil {
 		loops = append(loops, v.servers.Run, v.servers.Expire)
 	}
@@ -417,14 +421,14 @@
 	}
 }
 
-// kill ends a VM without a word.
+// kill stops a VM without notice to the others.
 func (f *fleet) kill(v *node) {
 	if v.down {
 		return
 	}
 	v.down = true
 	f.mu.Lock()
-	delete(f.nodes, v.own.Addr)
+	delete(f.nodes, v.self.Addr)
 	f.mu.Unlock()
 	v.stop()
 	_ = v.group.Wait() // its goroutines return no errors
@@ -434,7 +438,7 @@
 	return slices.DeleteFunc(slices.Clone(f.all), func(v *node) bool { return v.down })
 }
 
-// hubsOf returns the VMs that a VM takes for hubs.
+// hubsOf returns the VMs that v considers to be hubs.
 func hubsOf(v *node) []ident.VM {
 	var out []ident.VM
 	for _, r := range v.hubs.Order("s", hubs.Count, time.Now()) {
@@ -443,52 +447,53 @@
 	return out
 }
 
-// agree fails the test unless all VMs agree on the hubs, and two ask the store.
-func (f *fleet) agree(t *testing.T, what string) {
+// assertAgreed fails the test unless all VMs agree on the hubs, and two VMs watch the
+// store.
+func (f *fleet) assertAgreed(t *testing.T, what string) {
 	t.Helper()
 	list := f.up()
 	for _, v := range list {
 		assert.DeepEqual(t, hubsOf(v), hubsOf(list[0]))
 	}
 	assert.Equal(t, len(hubsOf(list[0])), hubs.Count, what)
-	asks := 0
+	watching := 0
 	for _, v := range list {
 		if v.hubs.Asks(time.Now()) {
-			asks++
+			watching++
 		}
 	}
-	assert.Equal(t, asks, 2, what)
+	assert.Equal(t, watching, 2, what)
 }
 
-// spread has a VM that asks the store learn something and returns how long it takes
-// until all know.
-func (f *fleet) spread(t *testing.T, version uint64) time.Duration {
+// measureSpread sets the settings version of a VM that watches the store, and returns
+// how long it takes until all VMs know the version.
+func (f *fleet) measureSpread(t *testing.T, version uint64) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for _, v := range f.up() {
 		if v.hubs.Asks(start) {
 			v.version.Store(version)
-			v.dirty <- struct{}{}
+			v.changed <- struct{}{}
 			break
 		}
 	}
 	for _, v := range f.up() {
-		for v.version.Load() != version && time.Since(start) < known {
+		for v.version.Load() != version && time.Since(start) < maxSpreadTime {
 			time.Sleep(5 * time.Millisecond)
 		}
-		assert.Equal(t, v.version.Load(), version, "at %s", v.own.VM)
+		assert.Equal(t, v.version.Load(), version, "at %s", v.self.VM)
 	}
 	return time.Since(start)
 }
 
-// TestFleet has some hundred VMs behind links of 20 Mbit/s, with 4% of all datagrams lost,
-// find one another and bear losses.
+// TestFleet guards against VMs that do not find one another, or do not agree on the hubs
+// after failures. Some hundred VMs have links of 20 Mbit/s and lose 4% of all datagrams.
 func TestFleet(t *testing.T) {
 	const loss = 0.04
-	for name, lose := range map[string]func(f *fleet) func(v *node) bool{
+	for name, selectLost := range map[string]func(f *fleet) func(v *node) bool{
 		"all hubs are lost": func(f *fleet) func(*node) bool {
 			list := hubsOf(f.all[0])
-			return func(v *node) bool { return slices.Contains(list, v.own.VM) }
+			return func(v *node) bool { return slices.Contains(list, v.self.VM) }
 		},
 		"two thirds are lost": func(*fleet) func(*node) bool {
 			n := 0
@@ -496,32 +501,32 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, vms, loss, func(t *testing.T, f *fleet) {
+			runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 				time.Sleep(4 * time.Second)
-				f.agree(t, "at the start")
+				f.assertAgreed(t, "at the start")
 				assert.Assert(t, f.storeCalls() <= 2*vms, "%d calls to the store", f.storeCalls())
-				lost := lose(f)
-				var gone []*node
+				lost := selectLost(f)
+				var killed []*node
 				for _, v := range f.all {
 					if lost(v) {
 						f.kill(v)
-						gone = append(gone, v)
+						killed = append(killed, v)
 					}
 				}
 				time.Sleep(2*hubs.Silence + hubs.Beat)
-				f.agree(t, name)
-				f.spread(t, 1)
-				for _, v := range gone {
+				f.assertAgreed(t, name)
+				f.measureSpread(t, 1)
+				for _, v := range killed {
 					f.start(v, 0)
 				}
-				time.Sleep(agreed)
-				f.agree(t, "and come back")
-				f.spread(t, 2)
+				time.Sleep(maxAgreeTime)
+				f.assertAgreed(t, "after the restart")
+				f.measureSpread(t, 2)
 			})
 		})
 	}
 	t.Run("all lose power and start again", func(t *testing.T) {
-		play(t, vms, loss, func(t *testing.T, f *fleet) {
+		runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 			time.Sleep(4 * time.Second)
 			before := f.storeCalls()
 			for _, v := range f.all {
@@ -529,22 +534,22 @@
 			}
 			time.Sleep(time.Second)
 			for _, v := range f.all {
-				f.start(v, f.delay())
+				f.start(v, f.startDelay())
 			}
-			time.Sleep(agreed)
-			f.agree(t, "after the start")
+			time.Sleep(maxAgreeTime)
+			f.assertAgreed(t, "after the start")
 			calls := f.storeCalls() - before
 			assert.Assert(t, calls <= vms/4, "%d calls to the store", calls)
 		})
 	})
-	t.Run("VMs that start while the store is away find the others by their seeds", func(t *testing.T) {
-		play(t, vms, loss, func(t *testing.T, f *fleet) {
+	t.Run("VMs that start while the store is unreachable find the others by their seeds", func(t *testing.T) {
+		runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 			time.Sleep(4 * time.Second)
 			f.mu.Lock()
-			f.away = true
+			f.storeDown = true
 			f.mu.Unlock()
-			f.seeds = []netip.AddrPort{f.all[5].own.Addr, f.all[7].own.Addr, f.all[9].own.Addr}
-			f.kill(f.all[5]) // one is out of date
+			f.seeds = []netip.AddrPort{f.all[5].self.Addr, f.all[7].self.Addr, f.all[9].self.Addr}
+			f.kill(f.all[5]) // one seed is out of date
 			for _, v := range f.all[vms/3 : 2*vms/3] {
 				f.kill(v)
 			}
@@ -554,94 +559,95 @@
 			}
 			time.Sleep(time.Second)
 			for _, v := range f.up() {
-				assert.Assert(t, v.hubs.Heard(time.Now()) > 0, "%s hears nobody a second after the start", v.own.VM)
+				assert.Assert(t, v.hubs.Heard(time.Now()) > 0, "%s has no live peers a second after the start", v.self.VM)
 			}
-			time.Sleep(agreed - time.Second)
-			f.agree(t, "after the start")
+			time.Sleep(maxAgreeTime - time.Second)
+			f.assertAgreed(t, "after the start")
 		})
 	})
-	t.Run("a third is cut off from the others", func(t *testing.T) {
-		play(t, vms, loss, func(t *testing.T, f *fleet) {
+	t.Run("a third is partitioned from the others", func(t *testing.T) {
+		runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 			time.Sleep(4 * time.Second)
 			side := make(map[ident.VM]bool)
 			for i, v := range f.all {
-				side[v.own.VM] = i%3 == 0
+				side[v.self.VM] = i%3 == 0
 			}
 			f.mu.Lock()
-			f.cut = func(a, b *node) bool { return side[a.own.VM] != side[b.own.VM] }
+			f.partitioned = func(a, b *node) bool { return side[a.self.VM] != side[b.self.VM] }
 			f.mu.Unlock()
 			time.Sleep(8 * time.Second)
-			asks := 0
+			watching := 0
 			for _, v := range f.all {
 				if v.hubs.Asks(time.Now()) {
-					asks++
+					watching++
 				}
 			}
-			assert.Assert(t, asks <= 2*hubs.Count, "%d VMs ask the store", asks)
+			assert.Assert(t, watching <= 2*hubs.Count, "%d VMs watch the store", watching)
 			f.mu.Lock()
-			f.cut = nil
+			f.partitioned = nil
 			f.mu.Unlock()
 			time.Sleep(5 * time.Second)
-			f.agree(t, "the cut has healed")
+			f.assertAgreed(t, "after the partition")
 		})
 	})
-	t.Run("the store turns the hubs away", func(t *testing.T) {
-		play(t, vms, loss, func(t *testing.T, f *fleet) {
+	t.Run("the hubs cannot reach the store", func(t *testing.T) {
+		runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 			time.Sleep(4 * time.Second)
 			list := hubsOf(f.all[0])
 			for _, v := range f.all {
-				v.cutStore.Store(slices.Contains(list, v.own.VM))
+				v.storeUnreachable.Store(slices.Contains(list, v.self.VM))
 			}
 			time.Sleep(6 * time.Second)
-			asks := 0
+			watching := 0
 			for _, v := range f.all {
-				if !v.cutStore.Load() && v.hubs.Asks(time.Now()) {
-					asks++
+				if !v.storeUnreachable.Load() && v.hubs.Asks(time.Now()) {
+					watching++
 				}
 			}
-			assert.Assert(t, asks > 0, "VMs that the store answers ask it")
+			assert.Assert(t, watching > 0, "VMs that reach the store must watch it")
 			assert.DeepEqual(t, hubsOf(f.all[0]), list)
 		})
 	})
 	t.Run("a failure domain is lost", func(t *testing.T) {
-		play(t, vms, loss, func(t *testing.T, f *fleet) {
+		runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 			time.Sleep(4 * time.Second)
 			first := hubsOf(f.all[0])[0]
-			i := slices.IndexFunc(f.all, func(v *node) bool { return v.own.VM == first })
-			lost := f.all[i].own.Domain
+			i := slices.IndexFunc(f.all, func(v *node) bool { return v.self.VM == first })
+			lost := f.all[i].self.Domain
 			for _, v := range f.all {
-				if v.own.Domain == lost {
+				if v.self.Domain == lost {
 					f.kill(v)
 				}
 			}
 			time.Sleep(hubs.Silence)
 			for _, v := range f.up() {
-				assert.Assert(t, v.hubs.Heard(time.Now()) > 0, "%s hears no hub", v.own.VM)
+				assert.Assert(t, v.hubs.Heard(time.Now()) > 0, "%s has no live hub", v.self.VM)
 			}
 			time.Sleep(hubs.Silence + hubs.Beat)
-			f.agree(t, "after the loss")
-			f.spread(t, 1)
+			f.assertAgreed(t, "after the loss")
+			f.measureSpread(t, 1)
 		})
 	})
-	t.Run("a hub that leaves hands over", func(t *testing.T) {
-		play(t, vms, loss, func(t *testing.T, f *fleet) {
+	t.Run("a hub shuts down", func(t *testing.T) {
+		runFleet(t, vms, loss, func(t *testing.T, f *fleet) {
 			time.Sleep(4 * time.Second)
 			name := hubsOf(f.all[0])[0]
-			i := slices.IndexFunc(f.all, func(v *node) bool { return v.own.VM == name })
+			i := slices.IndexFunc(f.all, func(v *node) bool { return v.self.VM == name })
 			f.all[i].hubs.Leave()
-			time.Sleep(agreed)
-			f.agree(t, "another takes its place")
+			time.Sleep(maxAgreeTime)
+			f.assertAgreed(t, "after the shutdown")
 			assert.Assert(t, !slices.Contains(hubsOf(f.all[0]), name))
 		})
 	})
 }
 
-// TestCost checks that what a VM says and hears does not grow with the number of VMs,
-// and stays within what a VM may spend for control.
+// TestCost checks that the traffic of a VM that is not a hub does not grow with the
+// number of VMs and stays within maxControlRate, and that of a hub within a quarter of
+// its link.
 func TestCost(t *testing.T) {
-	const span = 10 * time.Second
+	const duration = 10 * time.Second
 	for _, vms := range sizes {
-		play(t, vms, 0, func(t *testing.T, f *fleet) {
+		runFleet(t, vms, 0, func(t *testing.T, f *fleet) {
 			time.Sleep(5 * time.Second)
 			list := hubsOf(f.all[0])
 			for _, v := range f.all {
@@ -649,20 +655,20 @@
 				v.bytes.Store(0)
 				v.received.Store(0)
 			}
-			time.Sleep(span)
-			most, hub := int64(0), int64(0)
+			time.Sleep(duration)
+			maxRate, maxHubRate := int64(0), int64(0)
 			for _, v := range f.all {
-				rate := (v.bytes.Load() + v.received.Load()) / int64(span/time.Second)
-				if slices.Contains(list, v.own.VM) {
-					hub = max(hub, rate)
+				rate := (v.bytes.Load() + v.received.Load()) / int64(duration/time.Second)
+				if slices.Contains(list, v.self.VM) {
+					maxHubRate = max(maxHubRate, rate)
 					continue
 				}
-				most = max(most, rate)
-				assert.Assert(t, v.sent.Load() <= (hubs.Count+1)*int64(span/hubs.Beat), "%d messages", v.sent.Load())
+				maxRate = max(maxRate, rate)
+				assert.Assert(t, v.sent.Load() <= (hubs.Count+1)*int64(duration/hubs.Beat), "%d messages", v.sent.Load())
 			}
-			assert.Assert(t, most <= controlRate, "%d B/s", most)
-			assert.Assert(t, hub <= linkRate/4, "%d B/s at a hub", hub)
-			t.Logf("%d VMs: %d B/s at a VM, %d at a hub, all know after %s", vms, most, hub, f.spread(t, 1))
+			assert.Assert(t, maxRate <= maxControlRate, "%d B/s", maxRate)
+			assert.Assert(t, maxHubRate <= linkBytesPerSecond/4, "%d B/s at a hub", maxHubRate)
+			t.Logf("%d VMs: %d B/s at a VM, %d at a hub, all VMs updated after %s", vms, maxRate, maxHubRate, f.measureSpread(t, 1))
 		})
 	}
 }
--- a/internal/peer/gossip/lapse_test.go
+++ b/internal/peer/gossip/lapse_test.go
@@ -87,7 +87,7 @@
 	time.Sleep(storeLatency)
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	if c.net.away || c.vm.cutStore.Load() {
+	if c.net.storeDown || c.vm.storeUnreachable.Load() {
 		return errUnavailable
 	}
 	return nil
@@ -132,7 +132,7 @@
 	announce := func() {
 		if now := time.Now(); v.hubs.Asks(now) || v.hubs.Hub(now) {
 			select {
-			case v.dirty <- struct{}{}:
+			case v.changed <- struct{}{}:
 			default:
 			}
 		}
@@ -171,38 +171,39 @@
 }
 
 // outage makes the store unavailable for the given duration, in which the entries of all
-// servers lapse. For the VMs in late it lasts lateDelay longer. Once the store is back, the
-// first writers servers write their entries again within one heartbeat.
-func (f *fleet) outage(r *registry, away time.Duration, writers int, late []ident.VM) {
-	f.setAway(true, late)
-	time.Sleep(away)
+// servers expire. For the VMs in late it lasts lateDelay longer. Once the store has
+// recovered, the first writers servers write their entries again within one heartbeat.
+func (f *fleet) outage(r *registry, duration time.Duration, writers int, late []ident.VM) {
+	f.setStoreDown(true, late)
+	time.Sleep(duration)
 	for n := range serverCount {
 		r.remove(serverEntry(n))
 	}
-	f.setAway(false, nil)
+	f.setStoreDown(false, nil)
 	for n := range writers {
 		time.Sleep(heartbeat / serverCount)
 		r.put(serverEntry(n))
 		if time.Duration(n)*heartbeat/serverCount > lateDelay {
-			f.setAway(false, late)
+			f.setStoreDown(false, late)
 		}
 	}
 	time.Sleep(heartbeat * time.Duration(serverCount-writers) / serverCount)
 }
 
-// setAway sets whether the store is unavailable, both in general and for the VMs in vms.
-func (f *fleet) setAway(away bool, vms []ident.VM) {
+// setStoreDown sets whether the store is unavailable, both in general and for the VMs in
+// vms.
+func (f *fleet) setStoreDown(down bool, vms []ident.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = away
+	f.storeDown = down
 	for _, v := range f.all {
-		if slices.Contains(vms, v.own.VM) {
-			v.cutStore.Store(away)
+		if slices.Contains(vms, v.self.VM) {
+			v.storeUnreachable.Store(down)
 		}
 	}
 }
 
-// TestLapses guards against VMs dropping live servers whose entries lapse during a store
+// TestLapses guards against VMs dropping live servers whose entries expire during a store
 // outage. The store is unavailable for 4.5 s to 80 VMs that lose 4% of their datagrams.
 // Every server that writes its entry again must stay usable at every VM throughout. The
 // time before the outage determines when VMs that are not hubs read the store after it.
@@ -211,25 +212,25 @@
 		before time.Duration            // time from the start to the outage
 		late   func(v *node) []ident.VM // VMs that reach the store last
 	}{
-		"all are answered at once":      {before: 4 * time.Second, late: func(*node) []ident.VM { return nil }},
-		"hubs are answered last, 4.6 s": {before: 4600 * time.Millisecond, late: hubsOf},
-		"hubs are answered last, 5 s":   {before: 5 * time.Second, late: hubsOf},
-		"hubs are answered last, 5.4 s": {before: 5400 * time.Millisecond, late: hubsOf},
+		"all VMs reach the store at once":  {before: 4 * time.Second, late: func(*node) []ident.VM { return nil }},
+		"hubs reach the store last, 4.6 s": {before: 4600 * time.Millisecond, late: hubsOf},
+		"hubs reach the store last, 5 s":   {before: 5 * time.Second, late: hubsOf},
+		"hubs reach the store last, 5.4 s": {before: 5400 * time.Millisecond, late: hubsOf},
 	} {
 		t.Run(name, func(t *testing.T) { testLapse(t, tc.before, tc.late) })
 	}
 }
 
 func testLapse(t *testing.T, before time.Duration, late func(v *node) []ident.VM) {
-	const away = 4500 * time.Millisecond
+	const outage = 4500 * time.Millisecond
 	r := newRegistry()
-	playServers(t, min(vms, 80), 0.04, r, func(t *testing.T, f *fleet) {
+	runFleetWithServers(t, min(vms, 80), 0.04, r, func(t *testing.T, f *fleet) {
 		for n := range serverCount {
 			r.put(serverEntry(n))
 		}
 		time.Sleep(before)
 		assert.Equal(t, f.minUsable(), serverCount, "before the outage")
-		f.outage(r, away, serverCount-1, late(f.all[0]))
+		f.outage(r, outage, serverCount-1, late(f.all[0]))
 		for range 20 {
 			assert.Assert(t, f.minUsable() >= serverCount-1, "%d of %d servers are usable", f.minUsable(), serverCount)
 			time.Sleep(100 * time.Millisecond)
@@ -237,7 +238,7 @@
 		time.Sleep(2 * hubs.Beat)
 		assert.Equal(t, f.minUsable(), serverCount-1, "the server that did not write its entry again is removed")
 		r.remove(serverEntry(0))
-		time.Sleep(known)
+		time.Sleep(maxSpreadTime)
 		assert.Equal(t, f.minUsable(), serverCount-2, "a removal outside an outage takes effect at once")
 	})
 }
--- a/internal/peer/gossip/race_off_test.go
+++ b/internal/peer/gossip/race_off_test.go
@@ -2,8 +2,8 @@
 
 package gossip
 
-// vms is how many VMs the fleets have.
+// vms is the number of VMs in a fleet.
 const vms = 300
 
-// sizes are those of the fleets whose cost is compared.
+// sizes are the fleet sizes of TestCost.
 var sizes = []int{20, 100, 380}
--- a/internal/peer/gossip/race_on_test.go
+++ b/internal/peer/gossip/race_on_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// vms is how many VMs the fleets have. The race detector of the runtime breaks down in
-// bubbles with as many timers as 300 VMs need; they run without it beside this.
+// vms is the number of VMs in a fleet. The race detector fails in synctest bubbles with
+// as many timers as 300 VMs need; that size is tested without the race detector.
 const vms = 48
 
-// sizes are those of the fleets whose cost is compared.
+// sizes are the fleet sizes of TestCost.
 var sizes = []int{20, vms}
 
 // TestMain runs the tests on one processor. Under the race detector the runtime runs the
