--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -29,13 +29,13 @@
 // that it receives.
 type Local interface {
 	// FillReport fills in this VM's own state.
-	Report(s *wire.State, now time.Time)
+	Report(m *wire.State, now time.Time)
 	// FillResponse fills in this hub's response to a VM that reports to it.
-	Answer(s *wire.State, to ident.VM, now time.Time)
+	Answer(m *wire.State, to ident.VM, now time.Time)
 	// HandleReport merges another VM's report.
-	Hear(s *wire.State, from netip.AddrPort, now time.Time)
+	Hear(m *wire.State, from netip.AddrPort, now time.Time)
 	// HandleResponse merges a hub's response.
-	Learn(s *wire.State, from netip.AddrPort, now time.Time)
+	Learn(m *wire.State, from netip.AddrPort, now time.Time)
 	// Clock returns this VM's time, which is sent in a report as its request time.
 	Clock() uint64
 	// VersionReply returns the reply to a report with the given request time.
@@ -153,9 +153,9 @@
 // newReport returns a message with this VM's own state.
 func (g *Gossip) newReport(now time.Time) *wire.State {
 	g.seq++
-	s := &wire.State{VM: g.vm, Boot: g.boot, Seq: g.seq}
-	g.delegate.Report(s, now)
-	return s
+	m := &wire.State{VM: g.vm, Boot: g.boot, Seq: g.seq}
+	g.delegate.Report(m, now)
+	return m
 }
 
 // sendReports reports to the hubs, to all or only to those that are due, and requests
@@ -165,11 +165,11 @@
 	if len(targets) == 0 {
 		return 0
 	}
-	s := g.newReport(now)
+	m := g.newReport(now)
 	for _, c := range targets {
-		s.Ask = g.delegate.Clock()
-		s.Digest = g.hubs.Named(c.VM)
-		g.write(Reports, s, c.Addr)
+		m.RequestTime = g.delegate.Clock()
+		m.CandidateDigest = g.hubs.Named(c.VM)
+		g.write(Reports, m, c.Addr)
 	}
 	return len(targets)
 }
@@ -188,29 +188,30 @@
 
 // sendLoads reports this VM's loads to the coordinators. It returns their number.
 func (g *Gossip) sendLoads(now time.Time) int {
-	s := g.newReport(now)
-	s.News = nil
+	m := g.newReport(now)
+	m.News = nil
 	list := g.delegate.Homes()
 	for _, addr := range list {
-		g.write(Reports, s, addr)
+		g.write(Reports, m, addr)
 	}
 	return len(list)
 }
 
 // respond sends the combined state of all VMs to a VM that reports to this one. It
 // leaves out the candidates if the digest shows that the VM has the current ones.
-func (g *Gossip) respond(to ident.VM, addr netip.AddrPort, s *wire.State, digest uint64, now time.Time) {
+func (g *Gossip) respond(to ident.VM, addr netip.AddrPort, m *wire.State, digest uint64, now time.Time) {
 	names := g.hubs.Names(now)
-	s.Hub = &wire.Hub{Digest: hubs.Digest(names)}
-	if digest != s.Hub.Digest {
-		s.Hub.Names = names
+	m.Hub = &wire.Hub{Digest: hubs.Digest(names)}
+	if digest != m.Hub.Digest {
+		m.Hub.Names = names
 	}
-	g.delegate.Answer(s, to, now)
-	g.write(Responses, s, addr)
+	g.delegate.Answer(m, to, now)
+	g.write(Responses, m, addr)
 }
 
-func (g *Gossip) write(k Kind, s *wire.State, to netip.AddrPort) {
-	for _, b := range s.Parts(maxDatagram) {
+// write sends a message, in parts if it is too large for one datagram.
+func (g *Gossip) write(k Kind, m *wire.State, to netip.AddrPort) {
+	for _, b := range m.EncodeParts(maxDatagram) {
 		if _, err := g.conn.WriteToUDPAddrPort(b, to); err != nil {
 			g.log.Debug("message not sent", zap.Stringer("kind", k), zap.Stringer("to", to), zap.Error(err))
 			continue
@@ -222,23 +223,23 @@
 
 // SendRequest sends a placement request to another VM.
 func (g *Gossip) Ask(to netip.AddrPort, req homes.Ask) {
-	g.write(Placements, &wire.State{VM: g.vm, Seat: &req}, to)
+	g.write(Placements, &wire.State{VM: g.vm, PlacementRequest: &req}, to)
 }
 
 // handle passes a message to the delegate's method for its kind.
-func (g *Gossip) handle(s *wire.State, from netip.AddrPort) {
+func (g *Gossip) handle(m *wire.State, from netip.AddrPort) {
 	switch {
-	case s.VM == g.vm:
-	case s.Seat != nil:
-		g.delegate.Seat(*s.Seat, func(a homes.Answer) { g.write(Placements, &wire.State{VM: g.vm, Answer: &a}, from) })
-	case s.Answer != nil:
-		g.delegate.Seated(*s.Answer)
-	case s.Hub != nil:
-		g.delegate.Learn(s, from, time.Now())
+	case m.VM == g.vm:
+	case m.PlacementRequest != nil:
+		g.delegate.Seat(*m.PlacementRequest, func(a homes.Answer) { g.write(Placements, &wire.State{VM: g.vm, PlacementResponse: &a}, from) })
+	case m.PlacementResponse != nil:
+		g.delegate.Seated(*m.PlacementResponse)
+	case m.Hub != nil:
+		g.delegate.Learn(m, from, time.Now())
 	default:
-		g.delegate.Hear(s, from, time.Now())
-		if s.Ask != 0 {
-			g.respond(s.VM, from, &wire.State{VM: g.vm, Boot: g.boot, Reply: g.delegate.Reply(s.Ask)}, s.Digest, time.Now())
+		g.delegate.Hear(m, from, time.Now())
+		if m.RequestTime != 0 {
+			g.respond(m.VM, from, &wire.State{VM: g.vm, Boot: g.boot, Reply: g.delegate.Reply(m.RequestTime)}, m.CandidateDigest, time.Now())
 		}
 	}
 }
@@ -254,11 +255,11 @@
 			}
 			return
 		}
-		s, err := wire.Decode(buf[:n])
+		m, err := wire.Decode(buf[:n])
 		if err != nil {
 			g.log.Warn("message not decoded", zap.Stringer("from", from), zap.Error(err))
 			continue
 		}
-		g.handle(s, from)
+		g.handle(m, from)
 	}
 }
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -186,80 +186,80 @@
 	"i-9876543210@1700000000000": {Seats: 2, Tokens: 6600},
 }
 
-func (v *node) Report(s *wire.State, now time.Time) {
-	s.Loads = localLoads
-	s.Sent = map[ident.Service]retry.Sent{"engines": {First: 12}, "plain": {First: 8, Again: 1}}
-	s.Findings = v.poison.Report(now)
-	v.fillCommon(s, now)
-	if s.Store.Asks {
-		v.addServerUpdate(s, now)
+func (v *node) Report(m *wire.State, now time.Time) {
+	m.Loads = localLoads
+	m.Sent = map[ident.Service]retry.Sent{"engines": {First: 12}, "plain": {First: 8, Again: 1}}
+	m.Findings = v.poison.Report(now)
+	v.fillCommon(m, now)
+	if m.Store.Asks {
+		v.addServerUpdate(m, now)
 	}
 }
 
 // addServerUpdate adds the VM's recent server changes to a message.
-func (v *node) addServerUpdate(s *wire.State, now time.Time) {
+func (v *node) addServerUpdate(m *wire.State, now time.Time) {
 	if v.servers == nil {
 		return
 	}
 	if n, ok := v.servers.News(now); ok {
-		s.News = &n
+		m.News = &n
 	}
 }
 
 // receiveServers applies the server changes in another VM's message. With forward,
 // servers reported as retired are announced to other VMs.
-func (v *node) receiveServers(s *wire.State, forward bool, now time.Time) {
+func (v *node) receiveServers(m *wire.State, forward bool, now time.Time) {
 	if v.servers == nil {
 		return
 	}
-	if s.News != nil {
-		v.servers.Learn(*s.News, now)
+	if m.News != nil {
+		v.servers.Learn(*m.News, now)
 	}
-	v.table.Receive(s.Leaving, forward)
+	v.table.Receive(m.Leaving, forward)
 }
 
-func (v *node) fillCommon(s *wire.State, now time.Time) {
-	s.Verdicts = v.poison.Digest(now)
-	s.Version, s.Capacity, s.Domain = v.version.Load(), v.hubs.Own().Capacity, v.self.Domain
-	s.Store = hubs.StoreStatus{Asks: v.hubs.Asks(now), Age: 300 * time.Millisecond}
+func (v *node) fillCommon(m *wire.State, now time.Time) {
+	m.Verdicts = v.poison.Digest(now)
+	m.Version, m.Capacity, m.Domain = v.version.Load(), v.hubs.Own().Capacity, v.self.Domain
+	m.Store = hubs.StoreStatus{Asks: v.hubs.Asks(now), Age: 300 * time.Millisecond}
 	if v.storeUnreachable.Load() {
-		s.Store.Age = time.Minute
+		m.Store.Age = time.Minute
 	}
 	if v.servers != nil {
-		s.Leaving = v.table.Leaving(now)
-		s.Store.Age = v.servers.Age()
+		m.Leaving = v.table.Leaving(now)
+		m.Store.Age = v.servers.Age()
 	}
 }
 
-func (v *node) Answer(s *wire.State, to ident.VM, now time.Time) {
-	s.Hub.Known, s.Hub.Heard = 100, 100
-	s.Hub.Rest = map[ident.Service]retry.Sent{"engines": {First: 1700}, "plain": {First: 2200, Again: 120}}
-	s.Findings = v.poison.Answer(to, now)
-	v.fillCommon(s, now)
-	v.addServerUpdate(s, now)
+func (v *node) Answer(m *wire.State, to ident.VM, now time.Time) {
+	m.Hub.Known, m.Hub.Heard = 100, 100
+	m.Hub.Rest = map[ident.Service]retry.Sent{"engines": {First: 1700}, "plain": {First: 2200, Again: 120}}
+	m.Findings = v.poison.Answer(to, now)
+	v.fillCommon(m, now)
+	v.addServerUpdate(m, now)
 }
 
-func (v *node) processReport(s *wire.State, from netip.AddrPort) hubs.Report {
-	if s.Version > v.version.Load() {
-		v.version.Store(s.Version)
+func (v *node) processReport(m *wire.State, from netip.AddrPort) hubs.Report {
+	if m.Version > v.version.Load() {
+		v.version.Store(m.Version)
 	}
-	return hubs.Report{Candidate: hubs.Candidate{VM: s.VM, Addr: from, Capacity: s.Capacity, Domain: s.Domain}, StoreStatus: s.Store}
+	return hubs.Report{Candidate: hubs.Candidate{VM: m.VM, Addr: from, Capacity: m.Capacity, Domain: m.Domain}, StoreStatus: m.Store}
 }
 
-func (v *node) Hear(s *wire.State, from netip.AddrPort, now time.Time) {
-	v.hubs.Reported(v.processReport(s, from), now)
-	v.poison.Reported(s.VM, s.Verdicts)
-	v.poison.Merge(s.Findings, now)
-	v.receiveServers(s, true, now)
+func (v *node) Hear(m *wire.State, from netip.AddrPort, now time.Time) {
+	v.hubs.Reported(v.processReport(m, from), now)
+	v.poison.Reported(m.VM, m.Verdicts)
+	v.poison.Merge(m.Findings, now)
+	v.receiveServers(m, true, now)
 }
 
-func (v *node) Learn(s *wire.State, from netip.AddrPort, now time.Time) {
-	if v.hubs.Answered(v.processReport(s, from), s.Hub.Names, s.Hub.Digest, now) {
+func (v *node) Learn(m *wire.State, from netip.AddrPort, now time.Time) {
+	if v.hubs.Answered(v.processReport(m, from), m.Hub.Names, m.Hub.Digest, now) {
 		v.gossip.Beat()
 	}
-	v.poison.HubAnswered(s.VM, s.Boot, s.Verdicts, now)
-	v.poison.Merge(s.Findings, now)
-	v.receiveServers(s, false, now)
+	v.poison.HubAnswered(m.VM, m.Boot, m.Verdicts, now)
+	v.poison.Merge(m.Findings, now)
+	v.receiveServers(m, false, now)
 }
 
 // onQuarantineChange reports the VM's own findings at once. A hub also announces its
--- a/internal/peer/share/client.go
+++ b/internal/peer/share/client.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return follow.News{}, trace.Wrap(err)
 	}
-	n, err := wire.DecodeNews(data)
+	n, err := wire.DecodeServerUpdate(data)
 	if err != nil {
 		return follow.News{}, trace.Wrap(err)
 	}
--- a/internal/peer/share/server.go
+++ b/internal/peer/share/server.go
@@ -77,7 +77,7 @@
 	if c.rev == n.Rev && now.Sub(c.at) < cacheTime {
 		return c.body, nil
 	}
-	body, err := routes.NewDocument(wire.EncodeNews(n)).Packed()
+	body, err := routes.NewDocument(wire.EncodeServerUpdate(n)).Packed()
 	if err == nil {
 		c.rev, c.at, c.body = n.Rev, now, body
 	}
--- a/internal/peer/wire/doc.go
+++ b/internal/peer/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds what VMs tell each other, and its encoding, which is that
-// of protocol buffers.
+// Package wire defines the messages that VMs exchange by datagrams, and encodes them in
+// the protocol buffers wire format.
 package wire
--- a/internal/peer/wire/finding.go
+++ b/internal/peer/wire/finding.go
@@ -21,23 +21,23 @@
 	crashAge    = 2
 )
 
-// Moments are sent as ages in milliseconds, since VMs' clocks differ. Zero stands for
-// no moment, so that ages begin with one.
-func ageOf(at, now time.Time) uint64 { return uint64(max(now.Sub(at).Milliseconds(), 0)) + 1 }
+// encodeTime returns a point in time as an age in milliseconds, since VMs' clocks differ.
+// One is added to the age, because zero stands for no time.
+func encodeTime(at, now time.Time) uint64 { return uint64(max(now.Sub(at).Milliseconds(), 0)) + 1 }
 
-func momentOf(age uint64, now time.Time) time.Time {
+func decodeTime(age uint64, now time.Time) time.Time {
 	return now.Add(-time.Duration(min(age-1, maxAge)) * time.Millisecond)
 }
 
-// maxAge is the oldest moment that is taken, in milliseconds.
+// maxAge is the maximum age that is decoded, in milliseconds. Older ones are cut to it.
 const maxAge = uint64(24 * time.Hour / time.Millisecond)
 
-func (s *State) appendFindings(b []byte, now time.Time) []byte {
-	if s.Verdicts != 0 {
-		b = appendNumber(b, fieldVerdict, s.Verdicts)
+func (m *State) appendFindings(b []byte, now time.Time) []byte {
+	if m.Verdicts != 0 {
+		b = appendNumber(b, fieldQuarantineDigest, m.Verdicts)
 	}
-	for i := range s.Findings {
-		b = appendBytes(b, fieldFinding, encodeFinding(&s.Findings[i], now))
+	for i := range m.Findings {
+		b = appendBytes(b, fieldFinding, encodeFinding(&m.Findings[i], now))
 	}
 	return b
 }
@@ -46,33 +46,33 @@
 	b := appendNumber(nil, findingRequest, uint64(f.Request))
 	for s, at := range f.Crashes {
 		c := appendString(nil, crashServer, string(s))
-		b = appendBytes(b, findingCrash, appendNumber(c, crashAge, ageOf(at, now)))
+		b = appendBytes(b, findingCrash, appendNumber(c, crashAge, encodeTime(at, now)))
 	}
 	if !f.Cleared.IsZero() {
-		b = appendNumber(b, findingCleared, ageOf(f.Cleared, now))
+		b = appendNumber(b, findingCleared, encodeTime(f.Cleared, now))
 	}
 	if !f.Quarantined.IsZero() {
-		b = appendNumber(b, findingQuarantined, ageOf(f.Quarantined, now))
+		b = appendNumber(b, findingQuarantined, encodeTime(f.Quarantined, now))
 	}
 	return b
 }
 
 func decodeFinding(b []byte, now time.Time) (poison.Finding, error) {
 	f := poison.Finding{Crashes: make(map[ident.Server]time.Time)}
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch {
 		case n == findingRequest:
 			f.Request = call.Fingerprint(v)
 		case n == findingCrash:
-			s, at, err := decodeCrash(text, now)
+			s, at, err := decodeCrash(data, now)
 			if err != nil {
 				return err
 			}
 			f.Crashes[s] = at
 		case n == findingCleared && v > 0:
-			f.Cleared = momentOf(v, now)
+			f.Cleared = decodeTime(v, now)
 		case n == findingQuarantined && v > 0:
-			f.Quarantined = momentOf(v, now)
+			f.Quarantined = decodeTime(v, now)
 		}
 		return nil
 	})
@@ -82,12 +82,12 @@
 func decodeCrash(b []byte, now time.Time) (ident.Server, time.Time, error) {
 	var s ident.Server
 	at := now
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch {
 		case n == crashServer:
-			s = ident.Server(text)
+			s = ident.Server(data)
 		case n == crashAge && v > 0:
-			at = momentOf(v, now)
+			at = decodeTime(v, now)
 		}
 		return nil
 	})
--- a/internal/peer/wire/finding_test.go
+++ b/internal/peer/wire/finding_test.go
@@ -11,7 +11,8 @@
 	"umberladder/internal/policy/poison"
 )
 
-// TestFinding sends findings: moments arrive as ages, in milliseconds.
+// TestFinding guards against points in time that the encoding changes: they are sent as
+// ages, so that the time in transit, here 300 ms, is added to them.
 func TestFinding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -22,16 +23,16 @@
 		b := (&State{VM: "vm", Findings: list}).Encode()
 		const passed = 300 * time.Millisecond
 		time.Sleep(passed)
-		s, err := Decode(b)
+		m, err := Decode(b)
 		assert.NilError(t, err)
 		for i := range list {
-			assert.Equal(t, s.Findings[i].Request, list[i].Request)
-			assert.Equal(t, len(s.Findings[i].Crashes), len(list[i].Crashes))
+			assert.Equal(t, m.Findings[i].Request, list[i].Request)
+			assert.Equal(t, len(m.Findings[i].Crashes), len(list[i].Crashes))
 			for id, at := range list[i].Crashes {
-				assert.Assert(t, s.Findings[i].Crashes[id].Equal(at.Add(passed)))
+				assert.Assert(t, m.Findings[i].Crashes[id].Equal(at.Add(passed)))
 			}
-			assert.Equal(t, s.Findings[i].Cleared.IsZero(), list[i].Cleared.IsZero())
-			assert.Equal(t, s.Findings[i].Quarantined.IsZero(), list[i].Quarantined.IsZero())
+			assert.Equal(t, m.Findings[i].Cleared.IsZero(), list[i].Cleared.IsZero())
+			assert.Equal(t, m.Findings[i].Quarantined.IsZero(), list[i].Quarantined.IsZero())
 		}
 	})
 }
--- a/internal/peer/wire/hub.go
+++ b/internal/peer/wire/hub.go
@@ -12,68 +12,68 @@
 	"umberladder/internal/state/hubs"
 )
 
-// Hub is what a hub adds to its state for a VM that reports to it.
+// HubResponse holds the fields that a hub adds to its message for a VM that reports to it.
 type Hub struct {
-	Digest uint64                       // of the candidates that the hub names
-	Names  []hubs.Candidate             // left out if the VM has those of the digest
-	Known  int                          // VMs that report to the hub, or did of late
-	Heard  int                          // VMs whose sendings are in Rest
-	Rest   map[ident.Service]retry.Sent // what all but the VM sent in the window of the retry budget
+	Digest uint64                       // of the candidates that the hub lists
+	Names  []hubs.Candidate             // left out if the VM has the candidates with this digest
+	Known  int                          // number of VMs that report to the hub, or did recently
+	Heard  int                          // number of VMs whose attempts are in PeerAttempts
+	Rest   map[ident.Service]retry.Sent // of all VMs but the receiver, in the window of the retry budget
 }
 
-// Field numbers of a hub's words and of a candidate in them.
+// Field numbers of a hub's response and of a candidate in it.
 const (
-	hubDigest = 1
-	hubName   = 2
-	hubKnown  = 3
-	hubHeard  = 4
-	hubRest   = 5
+	hubCandidateDigest = 1
+	hubCandidate       = 2
+	hubKnown           = 3
+	hubReporting       = 4
+	hubPeerAttempts    = 5
 
-	nameVM       = 1
-	nameAddr     = 2
-	nameCapacity = 3
-	nameDomain   = 4
+	candidateVM       = 1
+	candidateAddr     = 2
+	candidateCapacity = 3
+	candidateDomain   = 4
 )
 
 func (h *Hub) encode() []byte {
-	b := appendNumber(nil, hubDigest, h.Digest)
+	b := appendNumber(nil, hubCandidateDigest, h.Digest)
 	for _, c := range h.Names {
-		b = appendBytes(b, hubName, encodeName(c))
+		b = appendBytes(b, hubCandidate, encodeCandidate(c))
 	}
 	b = appendNumber(b, hubKnown, uint64(h.Known))
-	b = appendNumber(b, hubHeard, uint64(h.Heard))
+	b = appendNumber(b, hubReporting, uint64(h.Heard))
 	for name, n := range h.Rest {
-		b = appendBytes(b, hubRest, encodeSent(name, n))
+		b = appendBytes(b, hubPeerAttempts, encodeAttempts(name, n))
 	}
 	return b
 }
 
-func encodeName(c hubs.Candidate) []byte {
-	b := appendString(nil, nameVM, string(c.VM))
-	b = appendString(b, nameAddr, c.Addr.String())
-	b = appendNumber(b, nameCapacity, uint64(c.Capacity))
-	return appendString(b, nameDomain, string(c.Domain))
+func encodeCandidate(c hubs.Candidate) []byte {
+	b := appendString(nil, candidateVM, string(c.VM))
+	b = appendString(b, candidateAddr, c.Addr.String())
+	b = appendNumber(b, candidateCapacity, uint64(c.Capacity))
+	return appendString(b, candidateDomain, string(c.Domain))
 }
 
 func decodeHub(b []byte) (*Hub, error) {
 	h := &Hub{Rest: make(map[ident.Service]retry.Sent)}
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		var err error
 		switch n {
-		case hubDigest:
+		case hubCandidateDigest:
 			h.Digest = v
-		case hubName:
+		case hubCandidate:
 			var c hubs.Candidate
-			c, err = decodeName(text)
+			c, err = decodeCandidate(data)
 			h.Names = append(h.Names, c)
 		case hubKnown:
 			h.Known = int(min(v, math.MaxInt32))
-		case hubHeard:
+		case hubReporting:
 			h.Heard = int(min(v, math.MaxInt32))
-		case hubRest:
+		case hubPeerAttempts:
 			var name ident.Service
 			var sent retry.Sent
-			name, sent, err = decodeSent(text)
+			name, sent, err = decodeAttempts(data)
 			h.Rest[name] = sent
 		}
 		return err
@@ -81,21 +81,21 @@
 	return h, err
 }
 
-func decodeName(b []byte) (hubs.Candidate, error) {
+func decodeCandidate(b []byte) (hubs.Candidate, error) {
 	var c hubs.Candidate
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
-		case nameVM:
-			c.VM = ident.VM(text)
-		case nameAddr:
-			addr, err := netip.ParseAddrPort(string(text))
+		case candidateVM:
+			c.VM = ident.VM(data)
+		case candidateAddr:
+			addr, err := netip.ParseAddrPort(string(data))
 			if err != nil {
 				return trace.Wrap(err)
 			}
 			c.Addr = addr
-		case nameDomain:
-			c.Domain = ident.Domain(text)
-		case nameCapacity:
+		case candidateDomain:
+			c.Domain = ident.Domain(data)
+		case candidateCapacity:
 			c.Capacity = hubs.Capacity(min(v, math.MaxUint8))
 		}
 		return nil
--- a/internal/peer/wire/news.go
+++ b/internal/peer/wire/news.go
@@ -12,12 +12,12 @@
 	"umberladder/internal/state/follow"
 )
 
-// Field numbers of news and of a change in them.
+// Field numbers of an update of servers and of a change in it.
 const (
-	newsBase   = 1
-	newsRev    = 2
-	newsChange = 3
-	newsAge    = 4
+	updateBase   = 1
+	updateRev    = 2
+	updateChange = 3
+	updateAge    = 4
 
 	changeRev     = 1
 	changeServer  = 2
@@ -27,16 +27,16 @@
 	changeDomain  = 6
 	changeSlots   = 7
 	changeLeaving = 8
-	changeLapse   = 9
+	changeGrace   = 9
 )
 
-// EncodeNews returns news as a message.
-func EncodeNews(n *follow.News) []byte {
-	b := appendNumber(nil, newsBase, uint64(n.Base))
-	b = appendNumber(b, newsRev, uint64(n.Rev))
-	b = appendNumber(b, newsAge, uint64(n.Age))
+// EncodeServerUpdate encodes an update of servers.
+func EncodeServerUpdate(n *follow.News) []byte {
+	b := appendNumber(nil, updateBase, uint64(n.Base))
+	b = appendNumber(b, updateRev, uint64(n.Rev))
+	b = appendNumber(b, updateAge, uint64(n.Age))
 	for _, c := range n.Changes {
-		b = appendBytes(b, newsChange, encodeChange(c))
+		b = appendBytes(b, updateChange, encodeChange(c))
 	}
 	return b
 }
@@ -45,7 +45,7 @@
 	b := appendNumber(nil, changeRev, uint64(c.Rev))
 	b = appendString(b, changeServer, string(c.Entry.ID))
 	if c.Lapse > 0 {
-		b = appendNumber(b, changeLapse, uint64(c.Lapse))
+		b = appendNumber(b, changeGrace, uint64(c.Lapse))
 	}
 	if c.Gone {
 		return appendNumber(b, changeGone, 1)
@@ -60,19 +60,19 @@
 	return b
 }
 
-// DecodeNews reads news.
-func DecodeNews(b []byte) (*follow.News, error) {
+// DecodeServerUpdate decodes an update of servers.
+func DecodeServerUpdate(b []byte) (*follow.News, error) {
 	n := &follow.News{}
-	err := fields(b, func(num protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(num protowire.Number, data []byte, v uint64) error {
 		switch num {
-		case newsBase:
+		case updateBase:
 			n.Base = follow.Revision(v)
-		case newsRev:
+		case updateRev:
 			n.Rev = follow.Revision(v)
-		case newsAge:
+		case updateAge:
 			n.Age = time.Duration(v)
-		case newsChange:
-			c, err := decodeChange(text)
+		case updateChange:
+			c, err := decodeChange(data)
 			if err != nil {
 				return err
 			}
@@ -86,27 +86,27 @@
 func decodeChange(b []byte) (follow.Change, error) {
 	var c follow.Change
 	e := backs.Entry{}
-	err := fields(b, func(num protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(num protowire.Number, data []byte, v uint64) error {
 		switch num {
 		case changeRev:
 			c.Rev = follow.Revision(v)
 		case changeServer:
-			e.ID = ident.Server(text)
+			e.ID = ident.Server(data)
 		case changeGone:
 			c.Gone = v != 0
 		case changeService:
-			e.Service = ident.Service(text)
+			e.Service = ident.Service(data)
 		case changeAddr:
-			addr, err := netip.ParseAddrPort(string(text))
+			addr, err := netip.ParseAddrPort(string(data))
 			if err != nil {
 				return trace.Wrap(err)
 			}
 			e.Addr = addr
 		case changeDomain:
-			e.Domain = ident.Domain(text)
+			e.Domain = ident.Domain(data)
 		case changeSlots:
 			e.Slots = int(v)
-		case changeLapse:
+		case changeGrace:
 			c.Lapse = time.Duration(v)
 		case changeLeaving:
 			e.Leaving = v != 0
--- a/internal/peer/wire/parts.go
+++ b/internal/peer/wire/parts.go
@@ -5,46 +5,46 @@
 	"umberladder/internal/route/seats"
 )
 
-// partLoads is how many loads one part holds: at most 100 bytes each, so that a part
-// has room beside them.
-const partLoads = 250
+// maxPartLoads is the maximum number of loads in a part. A load takes at most 100 bytes,
+// so that the part has space left for the other fields.
+const maxPartLoads = 250
 
-// Parts returns the state as messages of at most limit bytes, one if possible. Only
-// changes of servers may be left out, if they alone are larger: whoever lacks them
-// takes the list.
-func (s *State) Parts(limit int) [][]byte {
-	if b := s.Encode(); len(b) <= limit {
+// EncodeParts encodes the message as one datagram, or as several if it is larger than
+// limit bytes. It leaves out the update of servers if that alone exceeds the limit; the
+// receivers then fetch the complete server list.
+func (m *State) EncodeParts(limit int) [][]byte {
+	if b := m.Encode(); len(b) <= limit {
 		return [][]byte{b}
 	}
 	var out [][]byte
-	if s.News != nil {
-		news := *s
-		news.Loads, news.Part, news.Ask = nil, newsPart, 0 // the parts with loads ask
-		if b := news.Encode(); len(b) <= limit {
+	if m.News != nil {
+		update := *m
+		update.Loads, update.Part, update.RequestTime = nil, updatePart, 0 // only the parts with loads request a reply
+		if b := update.Encode(); len(b) <= limit {
 			out = append(out, b)
 		}
 	}
-	for n, loads := range chunks(s.Loads) {
-		part := *s
+	for n, loads := range splitLoads(m.Loads) {
+		part := *m
 		part.News, part.Loads, part.Part = nil, loads, n
 		out = append(out, part.Encode())
 	}
 	return out
 }
 
-// newsPart marks a part without loads, which says nothing of them.
-const newsPart = 1 << 20
+// updatePart is the part number of a message with an update of servers and without loads.
+const updatePart = 1 << 20
 
-// HasLoads reports whether the state tells the VM's loads, or a part of them.
-func (s *State) HasLoads() bool { return s.Hub == nil && s.Part != newsPart }
+// HasLoads reports whether the message holds the VM's loads or a part of them.
+func (m *State) HasLoads() bool { return m.Hub == nil && m.Part != updatePart }
 
-// chunks divides loads into parts; there is one at least.
-func chunks(all map[ident.Server]seats.Load) []map[ident.Server]seats.Load {
+// splitLoads divides loads into one or more parts.
+func splitLoads(all map[ident.Server]seats.Load) []map[ident.Server]seats.Load {
 	out := []map[ident.Server]seats.Load{{}}
 	for id, l := range all {
 		last := out[len(out)-1]
-		if len(last) == partLoads {
-			last = make(map[ident.Server]seats.Load, partLoads)
+		if len(last) == maxPartLoads {
+			last = make(map[ident.Server]seats.Load, maxPartLoads)
 			out = append(out, last)
 		}
 		last[id] = l
--- a/internal/peer/wire/seat.go
+++ b/internal/peer/wire/seat.go
@@ -11,131 +11,131 @@
 	"umberladder/internal/route/pick"
 )
 
-// Field numbers of an ask for room and of its answer.
+// Field numbers of a placement request and of its response.
 const (
-	seatNumber  = 1
-	seatService = 2
-	seatUse     = 3
-	seatRank    = 4
-	seatNeed    = 5
-	seatRead    = 6
-	seatMemory  = 7
-	seatFrom    = 8
-	seatSkip    = 9
-	seatBackup  = 10
-	seatWait    = 11
-	seatDue     = 12
-	seatMark    = 13
-	seatFailed  = 14
-	seatSource  = 15
+	requestID           = 1
+	requestService      = 2
+	requestPurpose      = 3
+	requestRank         = 4
+	requestNeed         = 5
+	requestPrefill      = 6
+	requestEngineMemory = 7
+	requestFrom         = 8
+	requestExclude      = 9
+	requestBackup       = 10
+	requestMaxWait      = 11
+	requestTargetWait   = 12
+	requestRetryKey     = 13
+	requestUnreachable  = 14
+	requestSource       = 15
 
-	answerNumber = 1
-	answerState  = 2
-	answerServer = 3
-	answerBackup = 4
-	answerAhead  = 5
-	answerRetry  = 6
+	responseID         = 1
+	responseState      = 2
+	responseServer     = 3
+	responseBackup     = 4
+	responseAhead      = 5
+	responseRetryAfter = 6
 )
 
-func encodeSeat(a *homes.Ask) []byte {
-	w := &a.Want
-	b := appendNumber(nil, seatNumber, a.Number)
-	b = appendString(b, seatService, string(w.Service))
-	b = appendNumber(b, seatUse, uint64(w.Use))
-	b = appendNumber(b, seatRank, uint64(w.Rank))
-	b = appendNumber(b, seatNeed, uint64(w.Need))
-	b = appendNumber(b, seatRead, uint64(w.Read))
-	b = appendNumber(b, seatMemory, uint64(w.Memory))
-	b = appendString(b, seatFrom, string(w.From))
+func encodePlacementRequest(req *homes.Ask) []byte {
+	w := &req.Want
+	b := appendNumber(nil, requestID, req.Number)
+	b = appendString(b, requestService, string(w.Service))
+	b = appendNumber(b, requestPurpose, uint64(w.Use))
+	b = appendNumber(b, requestRank, uint64(w.Rank))
+	b = appendNumber(b, requestNeed, uint64(w.Need))
+	b = appendNumber(b, requestPrefill, uint64(w.Read))
+	b = appendNumber(b, requestEngineMemory, uint64(w.Memory))
+	b = appendString(b, requestFrom, string(w.From))
 	for _, id := range w.Skip {
-		b = appendString(b, seatSkip, string(id))
+		b = appendString(b, requestExclude, string(id))
 	}
 	for _, id := range w.Failed {
-		b = appendString(b, seatFailed, string(id))
+		b = appendString(b, requestUnreachable, string(id))
 	}
 	if w.Source != "" {
-		b = appendString(b, seatSource, string(w.Source))
+		b = appendString(b, requestSource, string(w.Source))
 	}
 	if w.Backup {
-		b = appendNumber(b, seatBackup, 1)
+		b = appendNumber(b, requestBackup, 1)
 	}
-	b = appendNumber(b, seatDue, uint64(w.Due))
-	b = appendNumber(b, seatMark, w.Mark)
-	return appendNumber(b, seatWait, uint64(w.Wait))
+	b = appendNumber(b, requestTargetWait, uint64(w.Due))
+	b = appendNumber(b, requestRetryKey, w.Mark)
+	return appendNumber(b, requestMaxWait, uint64(w.Wait))
 }
 
-func decodeSeat(vm ident.VM, b []byte) (*homes.Ask, error) {
-	a := &homes.Ask{VM: vm}
-	w := &a.Want
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+func decodePlacementRequest(vm ident.VM, b []byte) (*homes.Ask, error) {
+	req := &homes.Ask{VM: vm}
+	w := &req.Want
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
-		case seatNumber:
-			a.Number = v
-		case seatService:
-			w.Service = ident.Service(text)
-		case seatUse:
+		case requestID:
+			req.Number = v
+		case requestService:
+			w.Service = ident.Service(data)
+		case requestPurpose:
 			w.Use = pick.Use(min(v, math.MaxUint8))
-		case seatRank:
+		case requestRank:
 			w.Rank = int(v)
-		case seatNeed:
+		case requestNeed:
 			w.Need = int(v)
-		case seatRead:
+		case requestPrefill:
 			w.Read = int(v)
-		case seatMemory:
+		case requestEngineMemory:
 			w.Memory = int(v)
-		case seatFrom:
-			w.From = ident.Domain(text)
-		case seatSkip:
-			w.Skip = append(w.Skip, ident.Server(text))
-		case seatFailed:
-			w.Failed = append(w.Failed, ident.Server(text))
-		case seatSource:
-			w.Source = ident.Server(text)
-		case seatBackup:
+		case requestFrom:
+			w.From = ident.Domain(data)
+		case requestExclude:
+			w.Skip = append(w.Skip, ident.Server(data))
+		case requestUnreachable:
+			w.Failed = append(w.Failed, ident.Server(data))
+		case requestSource:
+			w.Source = ident.Server(data)
+		case requestBackup:
 			w.Backup = v != 0
-		case seatMark:
+		case requestRetryKey:
 			w.Mark = v
-		case seatDue:
+		case requestTargetWait:
 			w.Due = time.Duration(v)
-		case seatWait:
+		case requestMaxWait:
 			w.Wait = time.Duration(v)
 		}
 		return nil
 	})
-	return a, err
+	return req, err
 }
 
-func encodeAnswer(a *homes.Answer) []byte {
-	b := appendNumber(nil, answerNumber, a.Number)
-	b = appendNumber(b, answerState, uint64(a.State))
-	if a.Server != "" {
-		b = appendString(b, answerServer, string(a.Server))
+func encodePlacementResponse(resp *homes.Answer) []byte {
+	b := appendNumber(nil, responseID, resp.Number)
+	b = appendNumber(b, responseState, uint64(resp.State))
+	if resp.Server != "" {
+		b = appendString(b, responseServer, string(resp.Server))
 	}
-	if a.Backup != "" {
-		b = appendString(b, answerBackup, string(a.Backup))
+	if resp.Backup != "" {
+		b = appendString(b, responseBackup, string(resp.Backup))
 	}
-	b = appendNumber(b, answerAhead, uint64(a.Ahead))
-	return appendNumber(b, answerRetry, uint64(a.Retry))
+	b = appendNumber(b, responseAhead, uint64(resp.Ahead))
+	return appendNumber(b, responseRetryAfter, uint64(resp.Retry))
 }
 
-func decodeAnswer(b []byte) (*homes.Answer, error) {
-	a := &homes.Answer{}
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+func decodePlacementResponse(b []byte) (*homes.Answer, error) {
+	resp := &homes.Answer{}
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
-		case answerNumber:
-			a.Number = v
-		case answerState:
-			a.State = homes.State(min(v, math.MaxUint8))
-		case answerServer:
-			a.Server = ident.Server(text)
-		case answerBackup:
-			a.Backup = ident.Server(text)
-		case answerAhead:
-			a.Ahead = int(v)
-		case answerRetry:
-			a.Retry = time.Duration(v)
+		case responseID:
+			resp.Number = v
+		case responseState:
+			resp.State = homes.State(min(v, math.MaxUint8))
+		case responseServer:
+			resp.Server = ident.Server(data)
+		case responseBackup:
+			resp.Backup = ident.Server(data)
+		case responseAhead:
+			resp.Ahead = int(v)
+		case responseRetryAfter:
+			resp.Retry = time.Duration(v)
 		}
 		return nil
 	})
-	return a, err
+	return resp, err
 }
--- a/internal/peer/wire/state.go
+++ b/internal/peer/wire/state.go
@@ -17,168 +17,168 @@
 	"umberladder/internal/state/hubs"
 )
 
-// State is one VM's message.
+// Message is a message of one VM to another.
 type State struct {
 	VM      ident.VM
-	Boot    uint64 // of the process; a later one replaces all that was told before
-	Seq     uint64 // of the message within its boot
-	Part    int    // of the loads: those of parts with the same number belong together
+	Boot    uint64 // number of the process; a higher one invalidates all earlier messages
+	Seq     uint64 // number of the message within its boot
+	Part    int    // number of the part of the loads; parts with the same Boot and Seq belong together
 	Loads   map[ident.Server]seats.Load
 	Sent    map[ident.Service]retry.Sent // in the window of the retry budget
-	Leaving []ident.Server               // servers seen to leave recently
-	// Draining are servers that have said themselves that they drain, while their
-	// entries may say otherwise.
+	Leaving []ident.Server               // servers that were found to be retired recently
+	// Draining are the servers that have announced that they drain. Their entries in the
+	// store may not say so yet.
 	Draining []ident.Server
 	Version  uint64           // of the settings in force
-	Store    hubs.StoreStatus // of its way to the store
-	News     *follow.News     // changes of servers; nil: not sent
-	// Findings are of requests that crash servers.
+	Store    hubs.StoreStatus // the VM's connection to the store
+	News     *follow.News     // changes of servers; nil: none sent
+	// Findings are the evidence about requests under which servers crash.
 	Findings []poison.Finding
-	Verdicts uint64 // digest of the VM's verdicts; zero: it has none
-	// Limits are the rate limits that servers have stated. Their request counts cover the
-	// VM's own requests or, in a hub's answer, those of all VMs but the receiver.
+	Verdicts uint64 // of the VM's quarantine decisions; zero: it has none
+	// Limits are the rate limits that servers have announced. Their request counts cover
+	// the VM's own requests or, in a hub's response, those of all VMs but the receiver.
 	Limits []rates.Limit
 
-	Capacity hubs.Capacity
-	Domain   ident.Domain // of the VM
-	Digest   uint64       // of the candidates that the receiver has named; zero: none
-	Ask      uint64       // moment of the VM's clock, sent back in the reply; zero: none is wanted
-	Reply    *Reply
-	Hub      *Hub // in answers to those that report to the VM
+	Capacity        hubs.Capacity
+	Domain          ident.Domain // of the VM
+	CandidateDigest uint64       // of the candidates that the receiver has listed; zero: none
+	RequestTime     uint64       // by the VM's clock, returned in the reply; zero: no reply is requested
+	Reply           *Reply
+	Hub             *Hub // in responses to VMs that report to this one
 
-	// Seat and Answer are of messages that hold nothing else.
-	Seat   *homes.Ask
-	Answer *homes.Answer
+	// A message with PlacementRequest or PlacementResponse holds nothing else.
+	PlacementRequest  *homes.Ask
+	PlacementResponse *homes.Answer
 }
 
-// Reply says at which moment a version of the settings was the newest.
+// VersionReply reports a settings version and when it was last known to be the newest.
 type Reply struct {
-	Ask     uint64
+	Ask     uint64 // request time of the report, by the requester's clock
 	Version uint64
-	Age     time.Duration // of that moment, when the reply was made
+	Age     time.Duration // time since then, when the reply was made
 }
 
-// Field numbers of a message and of a load in it.
+// Field numbers of a message and of the messages nested in it.
 const (
-	fieldVM      = 1
-	fieldBoot    = 2
-	fieldSeq     = 3
-	fieldLoad    = 4
-	fieldLeaving = 5
-	fieldSent    = 6
-	fieldVersion = 7
-	fieldAsks    = 8
-	fieldAge     = 9
-	fieldNews    = 10
-	fieldAsk     = 11
-	fieldReply   = 12
-	fieldSeat    = 13
-	fieldAnswer  = 14
-	fieldHub     = 15
-	fieldCap     = 16
-	fieldDigest  = 17
-	fieldPart    = 18
-	fieldFinding = 19
-	fieldDrain   = 20
-	fieldDomain  = 21
-	fieldVerdict = 22
-	fieldLimit   = 23
+	fieldVM                = 1
+	fieldBoot              = 2
+	fieldSeq               = 3
+	fieldLoad              = 4
+	fieldRetired           = 5
+	fieldAttempts          = 6
+	fieldSettingsVersion   = 7
+	fieldWatching          = 8
+	fieldServersAge        = 9
+	fieldServerUpdate      = 10
+	fieldRequestTime       = 11
+	fieldVersionReply      = 12
+	fieldPlacementRequest  = 13
+	fieldPlacementResponse = 14
+	fieldHub               = 15
+	fieldCapacity          = 16
+	fieldCandidateDigest   = 17
+	fieldPart              = 18
+	fieldFinding           = 19
+	fieldDraining          = 20
+	fieldDomain            = 21
+	fieldQuarantineDigest  = 22
+	fieldLimit             = 23
 
-	loadServer  = 1
-	loadSeats   = 2
-	loadTokens  = 3
-	loadBacklog = 4
-	loadCopies  = 5
-	loadSends   = 6
+	loadServer    = 1
+	loadCalls     = 2
+	loadTokens    = 3
+	loadBacklog   = 4
+	loadCopiesIn  = 5
+	loadCopiesOut = 6
 
-	replyAsk     = 1
-	replyVersion = 2
-	replyAge     = 3
+	replyRequestTime = 1
+	replyVersion     = 2
+	replyAge         = 3
 
-	sentService = 1
-	sentFirst   = 2
-	sentAgain   = 3
+	attemptsService = 1
+	attemptsFirst   = 2
+	attemptsRetries = 3
 )
 
-// Encode returns the message.
-func (s *State) Encode() []byte {
-	b := appendString(nil, fieldVM, string(s.VM))
-	b = appendNumber(b, fieldBoot, s.Boot)
-	b = appendNumber(b, fieldSeq, s.Seq)
-	if s.Part > 0 {
-		b = appendNumber(b, fieldPart, uint64(s.Part))
+// Encode encodes the message.
+func (m *State) Encode() []byte {
+	b := appendString(nil, fieldVM, string(m.VM))
+	b = appendNumber(b, fieldBoot, m.Boot)
+	b = appendNumber(b, fieldSeq, m.Seq)
+	if m.Part > 0 {
+		b = appendNumber(b, fieldPart, uint64(m.Part))
 	}
-	for id, l := range s.Loads {
+	for id, l := range m.Loads {
 		b = appendBytes(b, fieldLoad, encodeLoad(id, l))
 	}
-	for name, n := range s.Sent {
-		b = appendBytes(b, fieldSent, encodeSent(name, n))
+	for name, n := range m.Sent {
+		b = appendBytes(b, fieldAttempts, encodeAttempts(name, n))
 	}
-	for _, id := range s.Leaving {
-		b = appendString(b, fieldLeaving, string(id))
+	for _, id := range m.Leaving {
+		b = appendString(b, fieldRetired, string(id))
 	}
-	for _, id := range s.Draining {
-		b = appendString(b, fieldDrain, string(id))
+	for _, id := range m.Draining {
+		b = appendString(b, fieldDraining, string(id))
 	}
-	b = appendNumber(b, fieldVersion, s.Version)
-	if s.Store.Asks {
-		b = appendNumber(b, fieldAsks, 1)
+	b = appendNumber(b, fieldSettingsVersion, m.Version)
+	if m.Store.Asks {
+		b = appendNumber(b, fieldWatching, 1)
 	}
-	b = appendNumber(b, fieldAge, uint64(s.Store.Age))
-	b = appendNumber(b, fieldCap, uint64(s.Capacity))
-	if s.Domain != "" {
-		b = appendString(b, fieldDomain, string(s.Domain))
+	b = appendNumber(b, fieldServersAge, uint64(m.Store.Age))
+	b = appendNumber(b, fieldCapacity, uint64(m.Capacity))
+	if m.Domain != "" {
+		b = appendString(b, fieldDomain, string(m.Domain))
 	}
-	if s.Digest != 0 {
-		b = appendNumber(b, fieldDigest, s.Digest)
+	if m.CandidateDigest != 0 {
+		b = appendNumber(b, fieldCandidateDigest, m.CandidateDigest)
 	}
-	if s.News != nil {
-		b = appendBytes(b, fieldNews, EncodeNews(s.News))
+	if m.News != nil {
+		b = appendBytes(b, fieldServerUpdate, EncodeServerUpdate(m.News))
 	}
-	b = s.appendFindings(b, time.Now())
-	for _, l := range s.Limits {
+	b = m.appendFindings(b, time.Now())
+	for _, l := range m.Limits {
 		b = appendBytes(b, fieldLimit, encodeLimit(l, time.Now()))
 	}
-	if s.Ask != 0 {
-		b = appendNumber(b, fieldAsk, s.Ask)
+	if m.RequestTime != 0 {
+		b = appendNumber(b, fieldRequestTime, m.RequestTime)
 	}
-	if s.Reply != nil {
-		b = appendBytes(b, fieldReply, s.Reply.encode())
+	if m.Reply != nil {
+		b = appendBytes(b, fieldVersionReply, m.Reply.encode())
 	}
-	if s.Hub != nil {
-		b = appendBytes(b, fieldHub, s.Hub.encode())
+	if m.Hub != nil {
+		b = appendBytes(b, fieldHub, m.Hub.encode())
 	}
-	if s.Seat != nil {
-		b = appendBytes(b, fieldSeat, encodeSeat(s.Seat))
+	if m.PlacementRequest != nil {
+		b = appendBytes(b, fieldPlacementRequest, encodePlacementRequest(m.PlacementRequest))
 	}
-	if s.Answer != nil {
-		b = appendBytes(b, fieldAnswer, encodeAnswer(s.Answer))
+	if m.PlacementResponse != nil {
+		b = appendBytes(b, fieldPlacementResponse, encodePlacementResponse(m.PlacementResponse))
 	}
 	return b
 }
 
 func (r *Reply) encode() []byte {
-	b := appendNumber(nil, replyAsk, r.Ask)
+	b := appendNumber(nil, replyRequestTime, r.Ask)
 	b = appendNumber(b, replyVersion, r.Version)
 	return appendNumber(b, replyAge, uint64(r.Age))
 }
 
 func encodeLoad(id ident.Server, l seats.Load) []byte {
 	b := appendString(nil, loadServer, string(id))
-	b = appendNumber(b, loadSeats, uint64(l.Seats))
+	b = appendNumber(b, loadCalls, uint64(l.Seats))
 	b = appendNumber(b, loadTokens, uint64(l.Tokens))
 	b = appendNumber(b, loadBacklog, uint64(l.Backlog))
-	b = appendNumber(b, loadCopies, uint64(l.Copies))
+	b = appendNumber(b, loadCopiesIn, uint64(l.Copies))
 	if l.Sends == 0 {
 		return b
 	}
-	return appendNumber(b, loadSends, uint64(l.Sends))
+	return appendNumber(b, loadCopiesOut, uint64(l.Sends))
 }
 
-func encodeSent(name ident.Service, n retry.Sent) []byte {
-	b := appendString(nil, sentService, string(name))
-	b = appendNumber(b, sentFirst, uint64(n.First))
-	return appendNumber(b, sentAgain, uint64(n.Again))
+func encodeAttempts(name ident.Service, n retry.Sent) []byte {
+	b := appendString(nil, attemptsService, string(name))
+	b = appendNumber(b, attemptsFirst, uint64(n.First))
+	return appendNumber(b, attemptsRetries, uint64(n.Again))
 }
 
 func appendString(b []byte, n protowire.Number, s string) []byte {
@@ -193,93 +193,93 @@
 	return protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 }
 
-// Decode reads a message. Fields it does not know are passed over.
+// Decode decodes a message. It ignores unknown fields.
 func Decode(b []byte) (*State, error) {
-	s := &State{Loads: make(map[ident.Server]seats.Load), Sent: make(map[ident.Service]retry.Sent)}
-	err := fields(b, s.take)
-	if err == nil && s.VM == "" {
+	m := &State{Loads: make(map[ident.Server]seats.Load), Sent: make(map[ident.Service]retry.Sent)}
+	err := forEachField(b, m.setField)
+	if err == nil && m.VM == "" {
 		err = trace.BadParameter("the message names no VM")
 	}
-	return s, trace.Wrap(err)
+	return m, trace.Wrap(err)
 }
 
-// take maps one field of a message.
-func (s *State) take(n protowire.Number, text []byte, v uint64) error {
+// setField decodes one field of a message.
+func (m *State) setField(n protowire.Number, data []byte, v uint64) error {
 	var err error
 	switch n {
 	case fieldVM:
-		s.VM = ident.VM(text)
+		m.VM = ident.VM(data)
 	case fieldDomain:
-		s.Domain = ident.Domain(text)
+		m.Domain = ident.Domain(data)
 	case fieldLoad:
 		var id ident.Server
 		var l seats.Load
-		id, l, err = decodeLoad(text)
-		s.Loads[id] = l
-	case fieldSent:
+		id, l, err = decodeLoad(data)
+		m.Loads[id] = l
+	case fieldAttempts:
 		var name ident.Service
 		var sent retry.Sent
-		name, sent, err = decodeSent(text)
-		s.Sent[name] = sent
-	case fieldLeaving:
-		s.Leaving = append(s.Leaving, ident.Server(text))
-	case fieldDrain:
-		s.Draining = append(s.Draining, ident.Server(text))
-	case fieldNews:
-		s.News, err = DecodeNews(text)
+		name, sent, err = decodeAttempts(data)
+		m.Sent[name] = sent
+	case fieldRetired:
+		m.Leaving = append(m.Leaving, ident.Server(data))
+	case fieldDraining:
+		m.Draining = append(m.Draining, ident.Server(data))
+	case fieldServerUpdate:
+		m.News, err = DecodeServerUpdate(data)
 	case fieldFinding:
 		var f poison.Finding
-		f, err = decodeFinding(text, time.Now())
-		s.Findings = append(s.Findings, f)
+		f, err = decodeFinding(data, time.Now())
+		m.Findings = append(m.Findings, f)
 	case fieldLimit:
 		var l rates.Limit
-		l, err = decodeLimit(text, time.Now())
-		s.Limits = append(s.Limits, l)
-	case fieldReply:
-		s.Reply, err = decodeReply(text)
+		l, err = decodeLimit(data, time.Now())
+		m.Limits = append(m.Limits, l)
+	case fieldVersionReply:
+		m.Reply, err = decodeReply(data)
 	case fieldHub:
-		s.Hub, err = decodeHub(text)
-	case fieldSeat:
-		s.Seat, err = decodeSeat(s.VM, text)
-	case fieldAnswer:
-		s.Answer, err = decodeAnswer(text)
+		m.Hub, err = decodeHub(data)
+	case fieldPlacementRequest:
+		m.PlacementRequest, err = decodePlacementRequest(m.VM, data)
+	case fieldPlacementResponse:
+		m.PlacementResponse, err = decodePlacementResponse(data)
 	default:
-		s.takeNumber(n, v)
+		m.setNumber(n, v)
 	}
 	return err
 }
 
-// takeNumber maps one field of a message that holds a number.
-func (s *State) takeNumber(n protowire.Number, v uint64) {
+// setNumber sets one numeric field of a message.
+func (m *State) setNumber(n protowire.Number, v uint64) {
 	switch n {
 	case fieldBoot:
-		s.Boot = v
+		m.Boot = v
 	case fieldSeq:
-		s.Seq = v
+		m.Seq = v
 	case fieldPart:
-		s.Part = int(min(v, math.MaxInt32))
-	case fieldVersion:
-		s.Version = v
-	case fieldAsks:
-		s.Store.Asks = v != 0
-	case fieldAge:
-		s.Store.Age = time.Duration(v)
-	case fieldCap:
-		s.Capacity = hubs.Capacity(min(v, math.MaxUint8))
-	case fieldDigest:
-		s.Digest = v
-	case fieldVerdict:
-		s.Verdicts = v
-	case fieldAsk:
-		s.Ask = v
+		m.Part = int(min(v, math.MaxInt32))
+	case fieldSettingsVersion:
+		m.Version = v
+	case fieldWatching:
+		m.Store.Asks = v != 0
+	case fieldServersAge:
+		m.Store.Age = time.Duration(v)
+	case fieldCapacity:
+		m.Capacity = hubs.Capacity(min(v, math.MaxUint8))
+	case fieldCandidateDigest:
+		m.CandidateDigest = v
+	case fieldQuarantineDigest:
+		m.Verdicts = v
+	case fieldRequestTime:
+		m.RequestTime = v
 	}
 }
 
 func decodeReply(b []byte) (*Reply, error) {
 	r := &Reply{}
-	err := fields(b, func(n protowire.Number, _ []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, _ []byte, v uint64) error {
 		switch n {
-		case replyAsk:
+		case replyRequestTime:
 			r.Ask = v
 		case replyVersion:
 			r.Version = v
@@ -294,19 +294,19 @@
 func decodeLoad(b []byte) (ident.Server, seats.Load, error) {
 	var id ident.Server
 	var l seats.Load
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case loadServer:
-			id = ident.Server(text)
-		case loadSeats:
+			id = ident.Server(data)
+		case loadCalls:
 			l.Seats = int(v)
 		case loadTokens:
 			l.Tokens = int(v)
 		case loadBacklog:
 			l.Backlog = int(v)
-		case loadCopies:
+		case loadCopiesIn:
 			l.Copies = int(v)
-		case loadSends:
+		case loadCopiesOut:
 			l.Sends = int(v)
 		}
 		return nil
@@ -314,16 +314,16 @@
 	return id, l, err
 }
 
-func decodeSent(b []byte) (ident.Service, retry.Sent, error) {
+func decodeAttempts(b []byte) (ident.Service, retry.Sent, error) {
 	var name ident.Service
 	var sent retry.Sent
-	err := fields(b, func(n protowire.Number, text []byte, v uint64) error {
+	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
-		case sentService:
-			name = ident.Service(text)
-		case sentFirst:
+		case attemptsService:
+			name = ident.Service(data)
+		case attemptsFirst:
 			sent.First = int(v)
-		case sentAgain:
+		case attemptsRetries:
 			sent.Again = int(v)
 		}
 		return nil
@@ -331,21 +331,21 @@
 	return name, sent, err
 }
 
-// fields calls f for each field of a message, with its text or its number.
-func fields(b []byte, f func(n protowire.Number, text []byte, v uint64) error) error {
+// forEachField calls f for each field of an encoded message, with its bytes or its number.
+func forEachField(b []byte, f func(n protowire.Number, data []byte, v uint64) error) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
 			return trace.Wrap(protowire.ParseError(n))
 		}
 		b = b[n:]
-		var text []byte
+		var data []byte
 		var v uint64
 		switch typ {
 		case protowire.VarintType:
 			v, n = protowire.ConsumeVarint(b)
 		case protowire.BytesType:
-			text, n = protowire.ConsumeBytes(b)
+			data, n = protowire.ConsumeBytes(b)
 		default:
 			n = protowire.ConsumeFieldValue(num, typ, b)
 		}
@@ -353,7 +353,7 @@
 			return trace.Wrap(protowire.ParseError(n))
 		}
 		b = b[n:]
-		if err := f(num, text, v); err != nil {
+		if err := f(num, data, v); err != nil {
 			return err
 		}
 	}
