--- a/internal/peer/link/conn.go
+++ b/internal/peer/link/conn.go
@@ -11,32 +11,32 @@
 
 const bufferSize = 4096
 
-// conn is a connection whose reads and writes each have their own deadline,
-// so that a stream may last for ever and a silence may not.
+// conn is a connection that sets a new deadline for each read and write, so that
+// the time without data is limited but the duration of a stream is not.
 type conn struct {
 	net.Conn
-	idle    time.Duration
-	written int64
-	r       *bufio.Reader
-	w       *bufio.Writer
+	idleTimeout time.Duration
+	written     int64
+	r           *bufio.Reader
+	w           *bufio.Writer
 }
 
-func newConn(c net.Conn, idle time.Duration) *conn {
-	k := &conn{Conn: c, idle: idle}
+func newConn(c net.Conn, idleTimeout time.Duration) *conn {
+	k := &conn{Conn: c, idleTimeout: idleTimeout}
 	k.r = bufio.NewReaderSize(k, bufferSize)
 	k.w = bufio.NewWriterSize(k, bufferSize)
 	return k
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(c.idle)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.idleTimeout)); err != nil {
 		return 0, trace.Wrap(err)
 	}
 	return c.Conn.Read(p)
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(c.idle)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(c.idleTimeout)); err != nil {
 		return 0, trace.Wrap(err)
 	}
 	n, err := c.Conn.Write(p)
@@ -44,13 +44,13 @@
 	return n, err
 }
 
-// quiet reports whether the peer has neither closed an idle connection nor
+// reusable reports whether the peer has neither closed an idle connection nor
 // sent anything on it.
-func (c *conn) quiet() bool {
+func (c *conn) reusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
-	if err := c.SetReadDeadline(time.Now().Add(probe)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(idleProbeTime)); err != nil {
 		return false
 	}
 	var b [1]byte
@@ -58,6 +58,6 @@
 	return os.IsTimeout(err)
 }
 
-// probe is how long an idle connection is listened to before its next use.
-// A deadline that has passed already would fail without reading.
-const probe = 50 * time.Microsecond
+// idleProbeTime is how long reusable waits for data on an idle connection. It
+// must not be zero, since a read fails at once after a deadline in the past.
+const idleProbeTime = 50 * time.Microsecond
--- a/internal/peer/link/dialer.go
+++ b/internal/peer/link/dialer.go
@@ -14,34 +14,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Options vary one exchange.
+// Options are the options of one request.
 type Options struct {
-	Fresh bool          // dial, never reuse: a stale connection would look like a lost answer
-	Body  int           // largest answer body read whole, in bytes
-	Idle  time.Duration // longest silence; zero takes the dialer's
+	Fresh bool          // dial a new connection, since a failure of a stale one would look like a lost response
+	Body  int           // maximum size of a response body that is read as a whole, in bytes
+	Idle  time.Duration // maximum time without data; zero: that of the dialer
 }
 
-// Dialer opens, keeps and reuses connections. It is safe for use by several
-// goroutines.
+// Dialer sends requests over connections that it opens and reuses. It is safe
+// for concurrent use.
 type Dialer struct {
-	from    netip.Addr
-	connect time.Duration
-	idle    time.Duration
-	keep    int
+	localAddr      netip.Addr
+	connectTimeout time.Duration
+	idleTimeout    time.Duration
+	maxIdle        int
 
-	mu    sync.Mutex
-	spare map[netip.AddrPort][]*conn
+	mu        sync.Mutex
+	idleConns map[netip.AddrPort][]*conn
 }
 
-// New makes a dialer that waits up to connect for a connection and up to idle
-// for each read or write, and keeps up to keep spare connections an address.
-// Connections come from the address from, so that a peer can tell VMs apart; if
-// it is not valid or unspecified, the system chooses.
-func New(from netip.Addr, connect, idle time.Duration, keep int) *Dialer {
-	return &Dialer{from: from, connect: connect, idle: idle, keep: keep, spare: make(map[netip.AddrPort][]*conn)}
+// New returns a dialer that waits up to connectTimeout for a connection and up
+// to idleTimeout for each read or write, and keeps up to maxIdle idle
+// connections per address. Connections are made from localAddr, so that a peer
+// can tell VMs apart. The system chooses the address if localAddr is invalid or
+// unspecified.
+func New(localAddr netip.Addr, connectTimeout, idleTimeout time.Duration, maxIdle int) *Dialer {
+	return &Dialer{localAddr: localAddr, connectTimeout: connectTimeout, idleTimeout: idleTimeout, maxIdle: maxIdle, idleConns: make(map[netip.AddrPort][]*conn)}
 }
 
-// Do sends req and reads the whole answer into resp.
+// Do sends req and reads the complete response into resp.
 func (d *Dialer) Do(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request, resp *fasthttp.Response, o Options) error {
 	c, stop, err := d.send(ctx, addr, req, o)
 	if err != nil {
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// Open sends req and reads the head of the answer; the body is read from the
-// returned stream, which must be closed.
+// DoStream sends req and reads the header of the response into resp. The body
+// is read from the returned stream, which the caller must close.
 func (d *Dialer) Open(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request, resp *fasthttp.Response, o Options) (io.ReadCloser, error) {
 	c, stop, err := d.send(ctx, addr, req, o)
 	if err != nil {
@@ -94,13 +95,13 @@
 }
 
 func (d *Dialer) get(ctx context.Context, addr netip.AddrPort, o Options) (*conn, error) {
-	idle := o.Idle
-	if idle <= 0 {
-		idle = d.idle
+	idleTimeout := o.Idle
+	if idleTimeout <= 0 {
+		idleTimeout = d.idleTimeout
 	}
 	if !o.Fresh {
-		if c := d.take(addr); c != nil {
-			c.idle = idle
+		if c := d.takeIdle(addr); c != nil {
+			c.idleTimeout = idleTimeout
 			c.written = 0
 			return c, nil
 		}
@@ -109,19 +110,19 @@
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "no connection to %s", addr)
 	}
-	return newConn(c, idle), nil
+	return newConn(c, idleTimeout), nil
 }
 
 func (d *Dialer) dial(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: d.connect, KeepAliveConfig: keepAlive()}
-	if d.from.IsValid() && !d.from.IsUnspecified() {
-		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(d.from, 0))
+	dialer := net.Dialer{Timeout: d.connectTimeout, KeepAliveConfig: keepAliveConfig()}
+	if d.localAddr.IsValid() && !d.localAddr.IsUnspecified() {
+		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(d.localAddr, 0))
 	}
 	return dialer.DialContext(ctx, "tcp", addr.String())
 }
 
-// Refused reports whether nobody listens at addr. It opens a connection for it, which
-// it closes at once.
+// RefusesConnections reports whether connections to addr are refused. It opens a
+// connection to find out, and closes it at once.
 func (d *Dialer) Refused(ctx context.Context, addr netip.AddrPort) bool {
 	c, err := d.dial(ctx, addr)
 	if err == nil {
@@ -130,25 +131,25 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-func (d *Dialer) take(addr netip.AddrPort) *conn {
+func (d *Dialer) takeIdle(addr netip.AddrPort) *conn {
 	for {
-		c := d.pop(addr)
-		if c == nil || c.quiet() {
+		c := d.popIdle(addr)
+		if c == nil || c.reusable() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-func (d *Dialer) pop(addr netip.AddrPort) *conn {
+func (d *Dialer) popIdle(addr netip.AddrPort) *conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.spare[addr]
+	s := d.idleConns[addr]
 	if len(s) == 0 {
 		return nil
 	}
 	c := s[len(s)-1]
-	d.spare[addr] = s[:len(s)-1]
+	d.idleConns[addr] = s[:len(s)-1]
 	return c
 }
 
@@ -159,14 +160,15 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.spare[addr]) >= d.keep {
+	if len(d.idleConns[addr]) >= d.maxIdle {
 		_ = c.Close()
 		return
 	}
-	d.spare[addr] = append(d.spare[addr], c)
+	d.idleConns[addr] = append(d.idleConns[addr], c)
 }
 
-// cause prefers the context's own reason to the broken connection it left.
+// cause returns the context's cause if ctx has ended, because the connection
+// was then closed for that reason, and err otherwise.
 func cause(ctx context.Context, err error) error {
 	if e := context.Cause(ctx); e != nil {
 		return e
@@ -177,9 +179,9 @@
 	return err
 }
 
-// Timeout reports whether err came from a deadline.
+// IsTimeout reports whether err was caused by a deadline.
 func Timeout(err error) bool {
-	// The codec has an error of its own for it, which is no net.Error.
+	// The codec's own timeout error does not implement net.Error.
 	var n interface{ Timeout() bool }
 	return errors.As(err, &n) && n.Timeout()
 }
@@ -190,7 +192,7 @@
 	stop func() bool
 }
 
-// Close ends the connection: a stream's is never reused.
+// Close closes the connection. The connection of a stream is never reused.
 func (s *stream) Close() error {
 	s.stop()
 	return trace.Wrap(s.conn.Close())
--- a/internal/peer/link/doc.go
+++ b/internal/peer/link/doc.go
@@ -1,9 +1,8 @@
-// Package link carries one HTTP request over one connection and tells exactly
-// how far it came.
+// Package httpc is an HTTP client that reports how far a failed request came.
 //
-// The HTTP codec is fasthttp's. Its client is not used, because it retries,
-// and because it may give a connection back while an answer is still under
-// way. Here a connection serves one request at a time, is kept only after the
-// whole answer was read, and is closed in every other case, so that a late
-// answer can't meet a later request. Nothing is ever sent twice.
+// It uses the HTTP codec of fasthttp, but not its client, because that retries
+// requests, and may reuse a connection on which a response is still arriving.
+// Here a connection serves one request at a time. It is reused only after the
+// complete response was read, and is closed in every other case, so that a late
+// response cannot be taken for that of a later request. No request is retried.
 package link
--- a/internal/peer/link/error.go
+++ b/internal/peer/link/error.go
@@ -4,24 +4,24 @@
 	"fmt"
 )
 
-// Stage says where an exchange failed.
+// Stage is the stage at which a request failed.
 type Stage uint8
 
-// The stages of an exchange.
+// The stages of a request.
 const (
-	Connect Stage = iota // no connection: the request can't have run
-	Write                // the request was not written whole
-	Read                 // the answer was not read whole
+	Connect Stage = iota // no connection: the request cannot have run
+	Write                // the request was not written completely
+	Read                 // the response was not read completely
 )
 
 func (s Stage) String() string {
 	return [...]string{"connect", "write", "read"}[s]
 }
 
-// Error is the failure of one exchange.
+// Error is the failure of a request.
 type Error struct {
 	Stage   Stage
-	Written int64 // bytes handed to the network
+	Written int64 // number of bytes written to the connection
 	Err     error
 }
 
@@ -31,5 +31,5 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Unsent reports whether no byte of the request left this VM.
+// Unsent reports whether no byte of the request was sent.
 func (e *Error) Unsent() bool { return e.Written == 0 }
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// serve runs f on each connection to a new listener, numbered from 0.
-func serve(t *testing.T, f func(n int, c net.Conn, r *bufio.Reader)) netip.AddrPort {
+// startServer runs f for each connection to a new listener, numbered from 0.
+func startServer(t *testing.T, f func(n int, c net.Conn, r *bufio.Reader)) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 	return string(req.URI().Path()), err
 }
 
-func answer(c net.Conn, body string) {
+func writeResponse(c net.Conn, body string) {
 	var resp fasthttp.Response
 	resp.SetBodyString(body)
 	w := bufio.NewWriter(c)
@@ -68,10 +68,10 @@
 
 func newDialer() *Dialer { return New(netip.Addr{}, time.Second, 300*time.Millisecond, 4) }
 
-// TestLateAnswer lets a call time out and then answers it: the next call must
-// get its own answer, not the late one.
+// TestLateAnswer guards against a late response that is taken for that of the
+// next request. The server responds to a request after the request has timed out.
 func TestLateAnswer(t *testing.T) {
-	addr := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			path, err := readRequest(r)
 			if err != nil {
@@ -80,7 +80,7 @@
 			if path == "/slow" {
 				time.Sleep(400 * time.Millisecond)
 			}
-			answer(c, path)
+			writeResponse(c, path)
 		}
 	})
 	d := newDialer()
@@ -94,20 +94,20 @@
 	}
 }
 
-// TestDoubledAnswer has a server that sends every answer twice: the copy must
-// not be taken for the answer to the next call.
+// TestDoubledAnswer guards against a duplicate response that is taken for that
+// of the next request. The server sends every response twice.
 func TestDoubledAnswer(t *testing.T) {
-	doubled := make(chan struct{}, 3)
-	addr := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	duplicateSent := make(chan struct{}, 3)
+	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			path, err := readRequest(r)
 			if err != nil {
 				return
 			}
-			answer(c, path)
+			writeResponse(c, path)
 			time.Sleep(20 * time.Millisecond)
-			answer(c, path)
-			doubled <- struct{}{}
+			writeResponse(c, path)
+			duplicateSent <- struct{}{}
 		}
 	})
 	d := newDialer()
@@ -115,20 +115,20 @@
 		body, err := do(d, addr, path, Options{})
 		assert.NilError(t, err)
 		assert.Equal(t, body, path)
-		<-doubled
+		<-duplicateSent
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
 func TestReuse(t *testing.T) {
 	conns := make(chan int, 10)
-	addr := serve(t, func(n int, c net.Conn, r *bufio.Reader) {
+	addr := startServer(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns <- n
 		for {
 			if _, err := readRequest(r); err != nil {
 				return
 			}
-			answer(c, "ok")
+			writeResponse(c, "ok")
 		}
 	})
 	d := newDialer()
@@ -136,10 +136,10 @@
 		_, err := do(d, addr, "/", Options{})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(conns), 1, "a kept connection is used again")
+	assert.Equal(t, len(conns), 1, "an idle connection is reused")
 	_, err := do(d, addr, "/", Options{Fresh: true})
 	assert.NilError(t, err)
-	assert.Equal(t, len(conns), 2, "a fresh one is not")
+	assert.Equal(t, len(conns), 2, "a new connection is dialled")
 }
 
 func TestErrors(t *testing.T) {
@@ -153,14 +153,14 @@
 		assert.Assert(t, errors.As(err, &le))
 		assert.Assert(t, le.Unsent() && le.Stage == Connect)
 	})
-	t.Run("closed without a word", func(t *testing.T) {
-		addr := serve(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = readRequest(r) })
+	t.Run("closed without a response", func(t *testing.T) {
+		addr := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = readRequest(r) })
 		_, err := do(newDialer(), addr, "/", Options{})
 		assert.Assert(t, errors.As(err, &le))
 		assert.Assert(t, !le.Unsent() && le.Stage == Read && le.Written > 0)
 	})
-	t.Run("cut in the body", func(t *testing.T) {
-		addr := serve(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	t.Run("closed in the body", func(t *testing.T) {
+		addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			_, _ = readRequest(r)
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"))
 		})
@@ -169,7 +169,7 @@
 		assert.Equal(t, le.Stage, Read)
 	})
 	t.Run("the caller's context ends", func(t *testing.T) {
-		addr := serve(t, func(_ int, _ net.Conn, r *bufio.Reader) {
+		addr := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
 			_, _ = readRequest(r)
 			time.Sleep(200 * time.Millisecond)
 		})
--- a/internal/peer/link/raw.go
+++ b/internal/peer/link/raw.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// keepAliveIdle, keepAliveEvery and keepAliveCount find a peer that went away
-	// silently within 4 s.
-	keepAliveIdle  = time.Second
-	keepAliveEvery = time.Second
-	keepAliveCount = 3
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a peer that is gone
+	// without notice within 4 s.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
 )
 
-// Answer is the answer to one exchange. Its body must be closed, which ends
-// the connection.
+// Response is the response to one request. The caller must close its body,
+// which closes the connection.
 type Answer struct {
 	Header fasthttp.ResponseHeader
-	Body   io.ReadCloser // ends with io.EOF only if the body is whole
+	Body   io.ReadCloser // ends with io.EOF only if the body is complete
 }
 
-// Send writes a head and a body on a connection of its own, byte for byte, and
-// reads the head of the answer.
+// DoRaw sends a request with the given header and body unchanged, over a new
+// connection, and reads the header of the response.
 func (d *Dialer) Send(ctx context.Context, addr netip.AddrPort, head *fasthttp.RequestHeader, body []byte, o Options) (*Answer, error) {
 	o.Fresh = true
 	c, err := d.get(ctx, addr, o)
@@ -36,18 +36,18 @@
 		return nil, &Error{Stage: Connect, Err: cause(ctx, err)}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	a, failed := c.exchange(head, body)
-	if failed != nil {
+	resp, exchangeErr := c.roundTrip(head, body)
+	if exchangeErr != nil {
 		stop()
 		_ = c.Close()
-		failed.Err = cause(ctx, failed.Err)
-		return nil, failed
+		exchangeErr.Err = cause(ctx, exchangeErr.Err)
+		return nil, exchangeErr
 	}
-	a.Body = &stream{Reader: a.Body, conn: c, stop: stop}
-	return a, nil
+	resp.Body = &stream{Reader: resp.Body, conn: c, stop: stop}
+	return resp, nil
 }
 
-func (c *conn) exchange(head *fasthttp.RequestHeader, body []byte) (*Answer, *Error) {
+func (c *conn) roundTrip(head *fasthttp.RequestHeader, body []byte) (*Answer, *Error) {
 	_, err := c.w.Write(head.Header())
 	if err == nil {
 		_, err = c.w.Write(body)
@@ -58,15 +58,16 @@
 	if err != nil {
 		return nil, &Error{Stage: Write, Written: c.written, Err: err}
 	}
-	a := &Answer{}
-	if err := c.readHead(&a.Header); err != nil {
+	resp := &Answer{}
+	if err := c.readHead(&resp.Header); err != nil {
 		return nil, &Error{Stage: Read, Written: c.written, Err: err}
 	}
-	a.Body = io.NopCloser(c.body(&a.Header, head.IsHead()))
-	return a, nil
+	resp.Body = io.NopCloser(c.body(&resp.Header, head.IsHead()))
+	return resp, nil
 }
 
-// readHead reads the head of the final answer and passes over informational ones.
+// readHead reads the header of the final response. It skips informational
+// responses.
 func (c *conn) readHead(h *fasthttp.ResponseHeader) error {
 	h.DisableNormalizing()
 	for {
@@ -79,46 +80,47 @@
 	}
 }
 
-// body returns a reader of the body that tells a whole one from one cut short.
-func (c *conn) body(h *fasthttp.ResponseHeader, none bool) io.Reader {
+// body returns a reader of the response's body, which returns an error other
+// than io.EOF if the body is truncated.
+func (c *conn) body(h *fasthttp.ResponseHeader, noBody bool) io.Reader {
 	n := h.ContentLength()
 	switch s := h.StatusCode(); {
-	case none || s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified || n == 0:
-		return eof{}
+	case noBody || s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified || n == 0:
+		return emptyBody{}
 	case n == -1:
 		return httputil.NewChunkedReader(c.r)
 	case n > 0:
-		return &exact{r: c.r, left: n}
+		return &limitedBody{r: c.r, left: n}
 	default:
-		return c.r // ends with the connection
+		return c.r // the body ends when the peer closes the connection
 	}
 }
 
-type eof struct{}
+type emptyBody struct{}
 
-func (eof) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
-// exact reads a body of known length.
-type exact struct {
+// limitedBody reads a body of known length.
+type limitedBody struct {
 	r    io.Reader
 	left int
 }
 
-func (e *exact) Read(p []byte) (int, error) {
-	if e.left == 0 {
+func (b *limitedBody) Read(p []byte) (int, error) {
+	if b.left == 0 {
 		return 0, io.EOF
 	}
-	if len(p) > e.left {
-		p = p[:e.left]
+	if len(p) > b.left {
+		p = p[:b.left]
 	}
-	n, err := e.r.Read(p)
-	e.left -= n
-	if errors.Is(err, io.EOF) && e.left > 0 {
+	n, err := b.r.Read(p)
+	b.left -= n
+	if errors.Is(err, io.EOF) && b.left > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveEvery, Count: keepAliveCount}
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
