--- a/internal/peer/nodes/codec.go
+++ b/internal/peer/nodes/codec.go
@@ -24,13 +24,13 @@
 func decodeMember(w *proto.Member) (member.Member, error) {
 	addr, err := netip.ParseAddrPort(w.GetAddress())
 	if err != nil {
-		return member.Member{}, trace.BadParameter("a member's address is %q", w.GetAddress())
+		return member.Member{}, trace.BadParameter("invalid member address %q", w.GetAddress())
 	}
 	if err := ident.CheckName(w.GetName()); err != nil {
 		return member.Member{}, trace.Wrap(err)
 	}
 	if w.GetState() > uint32(member.Dead) {
-		return member.Member{}, trace.BadParameter("a member's state is %d", w.GetState())
+		return member.Member{}, trace.BadParameter("invalid member state %d", w.GetState())
 	}
 	return member.Member{
 		Name:        ident.VM(w.GetName()),
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// encodePacket returns the wire form of a packet.
+// encodePacket encodes a packet as a protocol buffers message.
 func encodePacket(p *member.Packet) ([]byte, error) {
 	w := &proto.Packet{
 		Kind:             uint32(p.Kind),
@@ -58,14 +58,14 @@
 	return data, trace.Wrap(err)
 }
 
-// decodePacket reads the wire form of a packet.
+// decodePacket decodes a packet.
 func decodePacket(data []byte) (member.Packet, error) {
 	var w proto.Packet
 	if err := pb.Unmarshal(data, &w); err != nil {
 		return member.Packet{}, trace.Wrap(err)
 	}
 	if w.GetKind() > uint32(member.Announced) {
-		return member.Packet{}, trace.BadParameter("a packet's kind is %d", w.GetKind())
+		return member.Packet{}, trace.BadParameter("invalid packet kind %d", w.GetKind())
 	}
 	from, err := decodeMember(w.GetFrom())
 	if err != nil {
--- a/internal/peer/nodes/doc.go
+++ b/internal/peer/nodes/doc.go
@@ -1,6 +1,6 @@
-// Package nodes carries what the entry VMs tell each other: small datagrams
-// over UDP (membership, news, the revision of settings), whose loss is
-// harmless, and twirp calls over TCP (settings, claims), which must be
-// answered. Both are authenticated with the VMs' key ring; what is not made by
-// the ring is dropped and counted.
+// Package nodes is the transport between the entry VMs. It sends small UDP
+// datagrams (membership, its updates, the settings version), whose loss is
+// harmless, and twirp calls over TCP (settings, claims, reservations), which
+// need a response. Both are authenticated with the VMs' key ring. Messages that
+// were not sealed with a key of the ring are dropped and counted.
 package nodes
--- a/internal/peer/nodes/error.go
+++ b/internal/peer/nodes/error.go
@@ -6,8 +6,8 @@
 	"umberladder/internal/state/member"
 )
 
-// failed turns the failure of a call to another VM into this package's error.
-func failed(m member.Member, err error) error {
+// callError returns the error of a call to another VM, or nil if err is nil.
+func callError(m member.Member, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/peer/nodes/rpc.go
+++ b/internal/peer/nodes/rpc.go
@@ -19,58 +19,58 @@
 )
 
 const (
-	sealHeader = "Umberladder-Seal"
-	maxCall    = 64 << 20
-	headerTime = 5 * time.Second
-	callIdle   = time.Minute
-	keptConns  = 2
+	sealHeader    = "Umberladder-Seal"
+	maxCallSize   = 64 << 20
+	headerTimeout = 5 * time.Second
+	idleTimeout   = time.Minute
+	maxIdleConns  = 2
 )
 
-// signed is what a call's seal covers: its path and its body.
-func signed(path string, body []byte) []byte {
+// sealedBytes returns the bytes that a call's seal covers: its path and its body.
+func sealedBytes(path string, body []byte) []byte {
 	return append([]byte(path+"\n"), body...)
 }
 
-// Clients makes twirp clients for other VMs. It is safe for use by several
-// goroutines.
+// ClientPool holds the twirp clients for other VMs. It is safe for concurrent
+// use.
 type Clients struct {
 	http *http.Client
 
-	mu    sync.Mutex
-	known map[netip.AddrPort]proto.Nodes
+	mu      sync.Mutex
+	clients map[netip.AddrPort]proto.Nodes
 }
 
-// NewClients makes clients whose calls are sealed by the ring.
+// NewClientPool returns a pool of clients that seal their calls with ring.
 func NewClients(ring *seal.Ring, timeout time.Duration) *Clients {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: timeout}).DialContext,
-		MaxIdleConnsPerHost: keptConns,
-		IdleConnTimeout:     callIdle,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	c := &http.Client{Transport: &sealer{ring: ring, next: t}, Timeout: timeout}
-	return &Clients{http: c, known: map[netip.AddrPort]proto.Nodes{}}
+	c := &http.Client{Transport: &sealTransport{ring: ring, next: t}, Timeout: timeout}
+	return &Clients{http: c, clients: map[netip.AddrPort]proto.Nodes{}}
 }
 
 // To returns the client of the VM at addr.
 func (c *Clients) To(addr netip.AddrPort) proto.Nodes {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.known[addr]
+	n := c.clients[addr]
 	if n == nil {
 		n = proto.NewNodesProtobufClient("http://"+addr.String(), c.http)
-		c.known[addr] = n
+		c.clients[addr] = n
 	}
 	return n
 }
 
-// sealer seals each call it sends.
-type sealer struct {
+// sealTransport is an http.RoundTripper that seals each call.
+type sealTransport struct {
 	ring *seal.Ring
 	next http.RoundTripper
 }
 
-func (s *sealer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *sealTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -78,71 +78,72 @@
 	_ = r.Body.Close()
 	r = r.Clone(r.Context())
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	// Without this, net/http could send the call a second time by itself.
+	// With GetBody set, net/http could retry the call by itself.
 	r.GetBody = nil
-	sum := s.ring.Packet(nil, signed(r.URL.Path, body))
-	r.Header.Set(sealHeader, base64.StdEncoding.EncodeToString(sum[:seal.Overhead]))
+	sealed := s.ring.Packet(nil, sealedBytes(r.URL.Path, body))
+	r.Header.Set(sealHeader, base64.StdEncoding.EncodeToString(sealed[:seal.Overhead]))
 	return s.next.RoundTrip(r)
 }
 
-// Serve answers other VMs' calls on ln until ctx ends.
+// Serve serves other VMs' calls on ln until ctx ends.
 func Serve(ctx context.Context, ln net.Listener, ring *seal.Ring, traffic *Traffic, n proto.Nodes) error {
 	s := &http.Server{
-		Handler:           opener(ring, traffic, proto.NewNodesServer(n)),
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       2 * callIdle,
+		Handler:           requireSeal(ring, traffic, proto.NewNodesServer(n)),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       2 * idleTimeout,
 	}
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
-	err := s.Serve(&meter{Listener: ln, bytes: &traffic.Calls})
+	err := s.Serve(&countingListener{Listener: ln, bytes: &traffic.Calls})
 	if ctx.Err() != nil {
 		return nil
 	}
 	return trace.Wrap(err)
 }
 
-// meter counts the bytes of a listener's connections.
-type meter struct {
+// countingListener counts the bytes read and written on its connections.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Uint64
 }
 
-func (m *meter) Accept() (net.Conn, error) {
-	c, err := m.Listener.Accept()
+func (l *countingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &metered{Conn: c, bytes: m.bytes}, nil
+	return &countingConn{Conn: c, bytes: l.bytes}, nil
 }
 
-type metered struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Uint64
 }
 
-func (m *metered) Read(p []byte) (int, error) {
-	n, err := m.Conn.Read(p)
-	m.bytes.Add(uint64(n))
+func (c *countingConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	c.bytes.Add(uint64(n))
 	return n, err
 }
 
-func (m *metered) Write(p []byte) (int, error) {
-	n, err := m.Conn.Write(p)
-	m.bytes.Add(uint64(n))
+func (c *countingConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
+	c.bytes.Add(uint64(n))
 	return n, err
 }
 
-// opener lets only calls through that the ring sealed.
-func opener(ring *seal.Ring, traffic *Traffic, next http.Handler) http.Handler {
+// requireSeal passes calls on to next if they are sealed with a key of the ring,
+// and rejects and counts all others.
+func requireSeal(ring *seal.Ring, traffic *Traffic, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallSize))
 		if err != nil {
 			http.Error(w, "the call can't be read", http.StatusBadRequest)
 			return
 		}
-		sum, err := base64.StdEncoding.DecodeString(r.Header.Get(sealHeader))
+		tag, err := base64.StdEncoding.DecodeString(r.Header.Get(sealHeader))
 		if err == nil {
-			_, err = ring.OpenPacket(append(sum, signed(r.URL.Path, body)...))
+			_, err = ring.OpenPacket(append(tag, sealedBytes(r.URL.Path, body)...))
 		}
 		if err != nil {
 			traffic.Forged.Add(1)
--- a/internal/peer/nodes/server.go
+++ b/internal/peer/nodes/server.go
@@ -16,42 +16,43 @@
 	"umberladder/internal/state/term"
 )
 
-// Claimer keeps claims for other VMs.
+// Claimer manages claims for other VMs.
 type Claimer interface {
-	Claim(shard int, key string, minted time.Time, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer)
-	Finish(shard int, key string, r ident.Request, ran bool, answer *proto.Answer)
+	Claim(shard int, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer)
+	Finish(shard int, key string, r ident.Request, ran bool, response *proto.Answer)
 	Accept(ctx context.Context, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error)
 }
 
-// Documents gives other VMs the settings they lack.
-type Documents interface {
+// DocumentSource provides the settings documents that other VMs lack.
+type DocumentSource interface {
 	Newer(after uint64) (docs []config.Document, upTo uint64)
 }
 
-// Seater finds and keeps places on engines for other VMs.
-type Seater interface {
+// Coordinator places generations on engines for other VMs and keeps their
+// reservations.
+type Coordinator interface {
 	Seat(ctx context.Context, ask *proto.SeatAsk) *proto.SeatReply
 	News(news *proto.SeatNews)
 }
 
-// Reporter gives other VMs this VM's report on service-level burn, and what a
-// workspace uses here.
+// Reporter provides this VM's report on service-level burn, and a workspace's
+// usage at this VM.
 type Reporter interface {
 	Report() []byte
 	Usage(w ident.Workspace) (gate.Usage, bool)
 }
 
-// Server answers other VMs' calls. It implements proto.Nodes.
+// Server serves other VMs' calls. It implements proto.Nodes.
 type Server struct {
-	docs   Documents
-	claims Claimer
-	seats  Seater
-	report Reporter
+	docs        DocumentSource
+	claims      Claimer
+	coordinator Coordinator
+	reporter    Reporter
 }
 
-// NewServer makes a server over this VM's parts.
-func NewServer(d Documents, c Claimer, s Seater, r Reporter) *Server {
-	return &Server{docs: d, claims: c, seats: s, report: r}
+// NewServer returns a server that passes calls on to the given components.
+func NewServer(d DocumentSource, c Claimer, coord Coordinator, r Reporter) *Server {
+	return &Server{docs: d, claims: c, coordinator: coord, reporter: r}
 }
 
 // Pull implements proto.Nodes.
@@ -66,13 +67,13 @@
 
 // Claim implements proto.Nodes.
 func (s *Server) Claim(_ context.Context, r *proto.ClaimRequest) (*proto.ClaimReply, error) {
-	at := strings.LastIndexByte(r.GetKey(), '/')
-	minted, ok := ident.Minted(r.GetKey()[at+1:])
+	slash := strings.LastIndexByte(r.GetKey(), '/')
+	created, ok := ident.Minted(r.GetKey()[slash+1:])
 	if !ok || r.GetShard() >= keeper.Shards || len(r.GetFingerprint()) != 32 {
 		return nil, twirp.NewError(twirp.InvalidArgument, "not a claim")
 	}
-	v, answer := s.claims.Claim(int(r.GetShard()), r.GetKey(), minted, [32]byte(r.GetFingerprint()), ident.Request(r.GetRequest()))
-	return &proto.ClaimReply{Verdict: uint32(v), Answer: answer}, nil
+	v, response := s.claims.Claim(int(r.GetShard()), r.GetKey(), created, [32]byte(r.GetFingerprint()), ident.Request(r.GetRequest()))
+	return &proto.ClaimReply{Verdict: uint32(v), Answer: response}, nil
 }
 
 // Finish implements proto.Nodes.
@@ -83,21 +84,21 @@
 
 // Handover implements proto.Nodes.
 func (s *Server) Handover(ctx context.Context, r *proto.HandoverRequest) (*proto.HandoverReply, error) {
-	taken, err := s.claims.Accept(ctx, int(r.GetShard()), r.GetRevision(), time.UnixMilli(r.GetTermStartMs()), r.GetClaims())
+	accepted, err := s.claims.Accept(ctx, int(r.GetShard()), r.GetRevision(), time.UnixMilli(r.GetTermStartMs()), r.GetClaims())
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, "the shard is not taken")
 	}
-	return &proto.HandoverReply{Taken: taken}, nil
+	return &proto.HandoverReply{Taken: accepted}, nil
 }
 
 // Burn implements proto.Nodes.
 func (s *Server) Burn(context.Context, *proto.BurnRequest) (*proto.BurnReply, error) {
-	return &proto.BurnReply{Report: s.report.Report()}, nil
+	return &proto.BurnReply{Report: s.reporter.Report()}, nil
 }
 
 // Usage implements proto.Nodes.
 func (s *Server) Usage(_ context.Context, r *proto.UsageRequest) (*proto.UsageReply, error) {
-	u, ok := s.report.Usage(ident.Workspace(r.GetWorkspace()))
+	u, ok := s.reporter.Usage(ident.Workspace(r.GetWorkspace()))
 	if !ok {
 		return nil, twirp.NewError(twirp.NotFound, "no such workspace")
 	}
@@ -112,29 +113,29 @@
 
 // Seat implements proto.Nodes.
 func (s *Server) Seat(ctx context.Context, r *proto.SeatAsk) (*proto.SeatReply, error) {
-	return s.seats.Seat(ctx, r), nil
+	return s.coordinator.Seat(ctx, r), nil
 }
 
 // News implements proto.Nodes.
 func (s *Server) News(_ context.Context, r *proto.SeatNews) (*proto.SeatNewsReply, error) {
-	s.seats.News(r)
+	s.coordinator.News(r)
 	return &proto.SeatNewsReply{}, nil
 }
 
-// Peers calls other VMs.
+// Client calls other VMs.
 type Peers struct {
 	clients *Clients
 }
 
-// NewPeers makes the caller's side.
+// NewClient returns a client that uses the connections of c.
 func NewPeers(c *Clients) *Peers { return &Peers{clients: c} }
 
-// Pull fetches the documents that another VM has and that are newer than a
-// revision, and the revision up to which these are all.
+// Pull fetches the documents of another VM that are newer than a revision, and
+// returns them with the revision up to which they are complete.
 func (p *Peers) Pull(ctx context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
 	reply, err := p.clients.To(from.Address).Pull(ctx, &proto.PullRequest{Revision: after})
 	if err != nil {
-		return nil, 0, failed(from, err)
+		return nil, 0, callError(from, err)
 	}
 	out := make([]config.Document, 0, len(reply.GetDocuments()))
 	for _, d := range reply.GetDocuments() {
@@ -143,33 +144,34 @@
 	return out, reply.GetRevision(), nil
 }
 
-// Claim asks the holder of a shard.
-func (p *Peers) Claim(ctx context.Context, to member.Member, shard int, key string, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
+// Claim requests a claim on a key from the holder of its shard.
+func (p *Peers) Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
 	reply, err := p.clients.To(to.Address).Claim(ctx, &proto.ClaimRequest{
 		Shard:       uint32(shard),
 		Key:         key,
-		Fingerprint: sum[:],
+		Fingerprint: fingerprint[:],
 		Request:     string(r),
 	})
 	if err != nil {
-		return term.NotHolder, nil, failed(to, err)
+		return term.NotHolder, nil, callError(to, err)
 	}
 	return term.Verdict(reply.GetVerdict()), reply.GetAnswer(), nil
 }
 
-// Finish tells the holder of a shard the end of a request.
-func (p *Peers) Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, answer *proto.Answer) error {
+// Finish reports the end of a request to the holder of a shard.
+func (p *Peers) Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error {
 	_, err := p.clients.To(to.Address).Finish(ctx, &proto.FinishRequest{
 		Shard:   uint32(shard),
 		Key:     key,
 		Request: string(r),
 		Ran:     ran,
-		Answer:  answer,
+		Answer:  response,
 	})
-	return failed(to, err)
+	return callError(to, err)
 }
 
-// Handover hands a shard's term to its next holder.
+// Handover hands a shard's term over to its next holder, and reports whether
+// that accepted it.
 func (p *Peers) Handover(ctx context.Context, to member.Member, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
 	reply, err := p.clients.To(to.Address).Handover(ctx, &proto.HandoverRequest{
 		Shard:       uint32(shard),
@@ -178,7 +180,7 @@
 		Claims:      claims,
 	})
 	if err != nil {
-		return false, failed(to, err)
+		return false, callError(to, err)
 	}
 	return reply.GetTaken(), nil
 }
@@ -187,16 +189,16 @@
 func (p *Peers) Burn(ctx context.Context, from member.Member) ([]byte, error) {
 	reply, err := p.clients.To(from.Address).Burn(ctx, &proto.BurnRequest{})
 	if err != nil {
-		return nil, failed(from, err)
+		return nil, callError(from, err)
 	}
 	return reply.GetReport(), nil
 }
 
-// Usage asks what a workspace uses on another VM.
+// Usage fetches a workspace's usage at another VM.
 func (p *Peers) Usage(ctx context.Context, from member.Member, w ident.Workspace) (gate.Usage, error) {
 	reply, err := p.clients.To(from.Address).Usage(ctx, &proto.UsageRequest{Workspace: string(w)})
 	if err != nil {
-		return gate.Usage{}, failed(from, err)
+		return gate.Usage{}, callError(from, err)
 	}
 	return gate.Usage{
 		Open:       int(reply.GetOpen()),
@@ -207,14 +209,15 @@
 	}, nil
 }
 
-// Seat asks a model's home for a place.
+// Seat requests a reservation from a model's coordinator.
 func (p *Peers) Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error) {
 	reply, err := p.clients.To(to.Address).Seat(ctx, ask)
-	return reply, failed(to, err)
+	return reply, callError(to, err)
 }
 
-// News tells a model's home how seated generations are.
+// News reports the state of generations with a reservation to a model's
+// coordinator.
 func (p *Peers) News(ctx context.Context, to member.Member, news *proto.SeatNews) error {
 	_, err := p.clients.To(to.Address).News(ctx, news)
-	return failed(to, err)
+	return callError(to, err)
 }
--- a/internal/peer/nodes/socket.go
+++ b/internal/peer/nodes/socket.go
@@ -12,16 +12,16 @@
 	"umberladder/internal/state/member"
 )
 
-// maxDatagram is the largest datagram read; those sent stay well below the
-// usual 1,500 bytes of a link.
+// maxDatagram is the maximum size of a received datagram, in bytes. Datagrams
+// sent stay well below the usual link MTU of 1,500 bytes.
 const maxDatagram = 2048
 
-// Traffic counts what a VM sent and received.
+// Traffic counts the datagrams and calls that a VM sent and received.
 type Traffic struct {
 	Sent, Received           atomic.Uint64 // bytes of datagrams, without IP and UDP headers
 	SentCount, ReceivedCount atomic.Uint64
-	Forged                   atomic.Uint64 // dropped: not made by the ring, or not readable
-	Calls                    atomic.Uint64 // bytes of calls answered, both ways, with HTTP headers
+	Forged                   atomic.Uint64 // messages dropped: not sealed with a key of the ring, or not decoded
+	Calls                    atomic.Uint64 // bytes of calls served, in both directions, with HTTP headers
 }
 
 // Socket sends and receives sealed datagrams.
@@ -31,7 +31,7 @@
 	traffic *Traffic
 }
 
-// Listen opens the socket of a VM.
+// Listen opens a UDP socket at addr.
 func Listen(addr netip.AddrPort, ring *seal.Ring, traffic *Traffic) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -40,7 +40,7 @@
 	return &Socket{conn: conn, ring: ring, traffic: traffic}, nil
 }
 
-// Send sends one packet. A failure is the same to the receiver as a loss.
+// Send sends one packet. For the receiver a failure is the same as a lost packet.
 func (s *Socket) Send(to netip.AddrPort, p *member.Packet) error {
 	data, err := encodePacket(p)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return trace.Wrap(err)
 }
 
-// Run hands each packet to take until ctx ends.
-func (s *Socket) Run(ctx context.Context, take func(member.Packet)) error {
+// Run calls handle for each received packet until ctx ends.
+func (s *Socket) Run(ctx context.Context, handle func(member.Packet)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram)
@@ -64,7 +64,7 @@
 			return nil
 		}
 		if err != nil {
-			continue // for instance an ICMP answer to a datagram sent
+			continue // for example an ICMP error for a datagram sent before
 		}
 		s.traffic.Received.Add(uint64(n))
 		s.traffic.ReceivedCount.Add(1)
@@ -73,7 +73,7 @@
 			s.traffic.Forged.Add(1)
 			continue
 		}
-		take(p)
+		handle(p)
 	}
 }
 
