--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -123,7 +123,8 @@
 }
 
 // fakeFleet simulates VMs of which some hold 62 KB of settings. A link of 10 Mbit/s
-// needs 50 ms for them; a fetch takes transferTime * quotaBytes / size.
+// carries them in 50 ms (transferTime). A fetch takes transferTime * quotaBytes / size,
+// which is 197 ms.
 type fakeFleet struct {
 	mu       sync.Mutex
 	holders  map[netip.AddrPort]bool
--- a/internal/peer/wire/state_test.go
+++ b/internal/peer/wire/state_test.go
@@ -36,11 +36,11 @@
 		m.Leaving = append(m.Leaving, ident.Server(name.Draw(t, "leaving")))
 		m.Draining = append(m.Draining, ident.Server(name.Draw(t, "draining")))
 	}
-	if rapid.Bool().Draw(t, "asks") {
+	if rapid.Bool().Draw(t, "watching") {
 		m.Store = hubs.StoreStatus{Asks: true, Age: time.Duration(n.Draw(t, "age"))}
 		m.News = &follow.News{Base: 3, Rev: 9, Age: time.Duration(n.Draw(t, "news-age")), Changes: []follow.Change{
-			{Rev: 4, Gone: true, Entry: backs.Entry{ID: "gone"}, Lapse: time.Duration(n.Draw(t, "gone-lapse"))},
-			{Rev: 9, Lapse: time.Duration(n.Draw(t, "lapse")), Entry: backs.Entry{
+			{Rev: 4, Gone: true, Entry: backs.Entry{ID: "gone"}, Lapse: time.Duration(n.Draw(t, "gone-grace"))},
+			{Rev: 9, Lapse: time.Duration(n.Draw(t, "grace")), Entry: backs.Entry{
 				ID: "came", Service: "s", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Domain: "a",
 				Slots: n.Draw(t, "slots"), Leaving: rapid.Bool().Draw(t, "leaves"),
 			}},
@@ -53,10 +53,10 @@
 		}}
 	}
 	if rapid.Bool().Draw(t, "reply") {
-		m.RequestTime = uint64(n.Draw(t, "ask"))
+		m.RequestTime = uint64(n.Draw(t, "request-time"))
 		m.Reply = &Reply{Ask: m.RequestTime, Version: 7, Age: time.Second}
 	}
-	if rapid.Bool().Draw(t, "seat") {
+	if rapid.Bool().Draw(t, "placement") {
 		m.PlacementRequest = &homes.Ask{VM: m.VM, Number: 8, Want: pick.Want{
 			Service: "s", Use: pick.Move, Rank: n.Draw(t, "rank"), Need: n.Draw(t, "need"), Read: n.Draw(t, "read"), Memory: n.Draw(t, "memory"),
 			From: "a", Source: "s", Skip: []ident.Server{"x", "y"}, Failed: []ident.Server{"z"}, Backup: rapid.Bool().Draw(t, "backup"), Wait: time.Duration(n.Draw(t, "wait")), Due: time.Second, Mark: rapid.Uint64().Draw(t, "mark"),
