--- a/internal/fake/engine/doc.go
+++ b/internal/fake/engine/doc.go
@@ -1,9 +1,10 @@
-// Package engine is a stand-in for a model engine: continuous batching with a
-// step time that grows with the batch, memory that each token takes from,
-// preemption by priority when it is full, a bounded prefix cache, resumable
-// and cancellable streams, and load reports that lag.
+// Package engine implements a fake model engine with continuous batching. Its
+// step time grows with the batch, each token takes memory, and streams are
+// preempted by priority when the memory is full. It has a bounded prefix cache,
+// streams that can be resumed and cancelled, and load reports that lag.
 //
-// It produces what the prompt orders: "produce=<n> seed=<s> tag=<t>" yields n
-// tokens that follow from s, and is recorded under t, so that a test can ask
-// what ran. docs/ENGINE.md describes its protocol.
+// The prompt sets what a generation produces: "produce=<n> seed=<s> tag=<t>"
+// yields n tokens that are derived from s. Each started generation is recorded
+// under t, so that a test can check what ran. docs/ENGINE.md describes the
+// protocol.
 package engine
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -16,108 +16,109 @@
 )
 
 const (
-	cacheHead    = 64 // bytes of a prompt that make its cache key
-	keepFinished = 30 * time.Second
-	idleStep     = 5 * time.Millisecond
+	cacheKeyBytes     = 64 // length of the prompt prefix that is the cache key
+	finishedRetention = 30 * time.Second
+	idleStepTime      = 5 * time.Millisecond
 )
 
-// Config sizes an engine.
+// Config holds the sizes and timings of an engine.
 type Config struct {
-	Name       string
-	Memory     int           // tokens held by running streams
-	Batch      int           // most streams in one step
-	StepBase   time.Duration // time of a step with an empty batch
-	StepStream time.Duration // added for each stream in the batch
-	Prefill    time.Duration // for each prompt token not in the cache
-	Cache      int           // prompt prefixes held
-	ReportLag  time.Duration // age of the load reports
-	Fencing    bool          // orders with an old fencing number are refused
+	Name            string
+	Memory          int           // capacity in tokens, shared by the running streams
+	Batch           int           // maximum number of streams in one step
+	StepBase        time.Duration // duration of a step with an empty batch
+	StepStream      time.Duration // added to a step for each stream in the batch
+	PrefillPerToken time.Duration // time for each prompt token that is not in the cache
+	CacheEntries    int           // capacity of the prefix cache, in prefixes
+	ReportLag       time.Duration // age of the load reports
+	Fencing         bool          // refuse commands with a stale fencing number
 }
 
-// DefaultConfig returns a small engine.
+// DefaultConfig returns the configuration of a small engine.
 func DefaultConfig(name string) Config {
 	return Config{
-		Name:       name,
-		Memory:     6000,
-		Batch:      64,
-		StepBase:   4 * time.Millisecond,
-		StepStream: 100 * time.Microsecond,
-		Prefill:    20 * time.Microsecond,
-		Cache:      64,
-		ReportLag:  200 * time.Millisecond,
+		Name:            name,
+		Memory:          6000,
+		Batch:           64,
+		StepBase:        4 * time.Millisecond,
+		StepStream:      100 * time.Microsecond,
+		PrefillPerToken: 20 * time.Microsecond,
+		CacheEntries:    64,
+		ReportLag:       200 * time.Millisecond,
 	}
 }
 
-// Faults are what a test switches on.
+// Faults are the failures that a test injects.
 type Faults struct {
-	Stall    time.Duration // no step before this much time has passed
-	CutAfter int           // each link is cut after so many tokens
-	Refuse   bool          // new generations are refused before they start
-	Late     time.Duration // heads of answers come this late
-	Leaving  bool          // the engine is leaving
-	NewRun   bool          // a resume is answered from another generation
-	CutFrom  netip.Addr    // nothing goes to this address
+	Stall           time.Duration // time between steps, in place of the normal step time
+	DropAfter       int           // each connection is closed after this many tokens
+	Refuse          bool          // new generations are refused before they start
+	ResponseDelay   time.Duration // delay before each response
+	Draining        bool          // the engine reports that it drains and refuses new generations
+	WrongGeneration bool          // a resume returns the events of another generation
+	PartitionedFrom netip.Addr    // simulated network partition: nothing is sent to this address
 }
 
-// Count is what happened on an engine.
-type Count struct {
-	Starts    int
-	Completed int
-	Preempted int
-	Late      int // new work offered after the engine had long been leaving
-	Orders    int // orders taken
+// Counts holds the event counters of an engine.
+type Counts struct {
+	Starts     int
+	Completed  int
+	Preempted  int
+	LateStarts int // generations requested later than drainGrace after the drain began
+	Commands   int // commands accepted
 }
 
-// Load is one load report.
+// Load is a load report.
 type Load struct {
 	Running, Waiting, MemoryUsed, MemorySize int
-	Leaving                                  bool
+	Draining                                 bool
 	At                                       time.Time
-	events                                   uint64 // cache events by then
+	lastCacheEvent                           uint64 // sequence number of the newest cache event
 }
 
-// Engine is a stand-in engine. Its fields below mu are guarded by it.
+// Engine is a fake model engine.
 type Engine struct {
 	cfg    Config
 	faults atomic.Pointer[Faults]
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	gens    map[string]*generation
-	running []*generation
-	waiting []*generation
-	used    int
-	record  *record.Record
-	counts  Count
-	cache   *cache.Cache
-	fence   uint64
-	reports []Load
-	leaveAt time.Time
+	mu          sync.Mutex // guards the fields below
+	changed     *sync.Cond
+	generations map[string]*generation
+	running     []*generation
+	waiting     []*generation
+	memoryUsed  int
+	runs        *record.Record
+	counts      Counts
+	cache       *cache.Cache
+	maxFence    uint64
+	reports     []Load
+	drainStart  time.Time
 }
 
 type generation struct {
-	id       string
-	order    prompt.Order
-	run      string
-	priority int
-	prompt   int
-	produced int
-	limit    int
-	ready    time.Time
-	started  time.Time
-	done     bool
-	finish   string
-	paused   bool
-	readers  int
-	left     time.Time
-	detach   time.Duration
+	id            string
+	spec          prompt.Order
+	runID         string
+	priority      int
+	promptTokens  int
+	produced      int
+	maxTokens     int
+	prefillDone   time.Time
+	started       time.Time
+	done          bool
+	finishReason  string
+	paused        bool
+	readers       int
+	idleSince     time.Time
+	detachTimeout time.Duration
 }
 
-func (g *generation) memory() int { return g.prompt + g.produced }
+func (g *generation) memory() int { return g.promptTokens + g.produced }
 
-// New makes an engine that records what it runs; Run drives it.
+// New returns an engine that records the generations it starts in rec. They
+// make progress only while Run is running.
 func New(cfg Config, rec *record.Record) *Engine {
-	e := &Engine{cfg: cfg, gens: map[string]*generation{}, record: rec, cache: cache.New(cfg.Cache)}
+	e := &Engine{cfg: cfg, generations: map[string]*generation{}, runs: rec, cache: cache.New(cfg.CacheEntries)}
 	e.changed = sync.NewCond(&e.mu)
 	e.faults.Store(&Faults{})
 	return e
@@ -126,17 +127,17 @@
 // Name returns the engine's name.
 func (e *Engine) Name() string { return e.cfg.Name }
 
-// Fault replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (e *Engine) Fault(f Faults) {
-	if f.Leaving && !e.faults.Load().Leaving {
+	if f.Draining && !e.faults.Load().Draining {
 		e.mu.Lock()
-		e.leaveAt = time.Now()
+		e.drainStart = time.Now()
 		e.mu.Unlock()
 	}
 	e.faults.Store(&f)
 }
 
-// Run steps the engine until ctx ends.
+// Run steps the engine until ctx is done, then ends all generations.
 func (e *Engine) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait := e.step(time.Now())
@@ -150,37 +151,37 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, g := range e.gens {
+	for _, g := range e.generations {
 		g.done = true
 	}
 	e.changed.Broadcast()
 	return nil
 }
 
-// step produces one token of each running stream and returns the time the
-// next step takes.
+// step produces one token for each running stream and returns the time until
+// the next step.
 func (e *Engine) step(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forget(now)
+	e.expire(now)
 	e.admit(now)
 	for _, g := range slices.Clone(e.running) {
-		if g.paused || now.Before(g.ready) {
+		if g.paused || now.Before(g.prefillDone) {
 			continue
 		}
-		if e.used >= e.cfg.Memory && !e.preempt(g) {
+		if e.memoryUsed >= e.cfg.Memory && !e.preempt(g) {
 			continue
 		}
 		g.produced++
-		e.used++
-		if g.produced >= g.limit {
+		e.memoryUsed++
+		if g.produced >= g.maxTokens {
 			e.finish(g, now)
 		}
 	}
-	e.report(now)
+	e.recordLoad(now)
 	e.changed.Broadcast()
 	if len(e.running) == 0 {
-		return idleStep
+		return idleStepTime
 	}
 	return e.cfg.StepBase + time.Duration(len(e.running))*e.cfg.StepStream
 }
@@ -188,30 +189,31 @@
 func (e *Engine) admit(now time.Time) {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Batch {
 		g := e.waiting[0]
-		if e.used+g.memory() >= e.cfg.Memory {
+		if e.memoryUsed+g.memory() >= e.cfg.Memory {
 			return
 		}
 		e.waiting = e.waiting[1:]
 		g.paused = false
-		g.ready = now.Add(e.prefill(g))
-		e.used += g.memory()
+		g.prefillDone = now.Add(e.prefill(g))
+		e.memoryUsed += g.memory()
 		e.running = append(e.running, g)
 	}
 }
 
-// prefill returns how long the prompt takes, and remembers its prefix. A
-// stream that was preempted computes what it had produced anew.
+// prefill returns the prefill time of g and adds its prompt prefix to the
+// cache. A preempted stream also recomputes the tokens it had produced.
 func (e *Engine) prefill(g *generation) time.Duration {
-	key := xxhash.Sum64String(g.order.Prompt()[:min(cacheHead, len(g.order.Prompt()))])
+	key := xxhash.Sum64String(g.spec.Prompt()[:min(cacheKeyBytes, len(g.spec.Prompt()))])
 	cost := g.memory()
 	if e.cache.Use(key) {
 		cost = g.produced
 	}
-	return time.Duration(cost) * e.cfg.Prefill
+	return time.Duration(cost) * e.cfg.PrefillPerToken
 }
 
-// preempt frees memory for g by pausing the running stream of the lowest
-// priority, the latest of several. It reports whether g itself goes on.
+// preempt frees memory for g by pausing the running stream with the lowest
+// priority, and among equals the one that started last. It reports whether g
+// keeps running.
 func (e *Engine) preempt(g *generation) bool {
 	victim := g
 	for _, r := range e.running {
@@ -222,61 +224,61 @@
 	}
 	victim.paused = true
 	e.counts.Preempted++
-	e.used -= victim.memory()
+	e.memoryUsed -= victim.memory()
 	e.running = slices.DeleteFunc(e.running, func(r *generation) bool { return r == victim })
-	e.wait(victim)
+	e.enqueue(victim)
 	return victim != g
 }
 
-// wait queues g by priority, then by start.
-func (e *Engine) wait(g *generation) {
-	at, _ := slices.BinarySearchFunc(e.waiting, g, func(a, b *generation) int {
+// enqueue adds g to the waiting streams, ordered by priority and start time.
+func (e *Engine) enqueue(g *generation) {
+	i, _ := slices.BinarySearchFunc(e.waiting, g, func(a, b *generation) int {
 		if a.priority != b.priority {
 			return a.priority - b.priority
 		}
 		return a.started.Compare(b.started)
 	})
-	e.waiting = slices.Insert(e.waiting, at, g)
+	e.waiting = slices.Insert(e.waiting, i, g)
 }
 
 func (e *Engine) finish(g *generation, now time.Time) {
 	g.done = true
-	g.left = now
-	g.finish = "stop"
-	if g.produced < g.order.Tokens {
-		g.finish = "length"
+	g.idleSince = now
+	g.finishReason = "stop"
+	if g.produced < g.spec.Tokens {
+		g.finishReason = "length"
 	}
 	e.counts.Completed++
-	e.drop(g)
+	e.remove(g)
 }
 
-// drop takes g off the engine and frees its memory.
-func (e *Engine) drop(g *generation) {
+// remove takes g out of the running and waiting streams and frees its memory.
+func (e *Engine) remove(g *generation) {
 	same := func(r *generation) bool { return r == g }
 	if slices.ContainsFunc(e.running, same) {
-		e.used -= g.memory()
+		e.memoryUsed -= g.memory()
 	}
 	e.running = slices.DeleteFunc(e.running, same)
 	e.waiting = slices.DeleteFunc(e.waiting, same)
 }
 
-// forget cancels streams that nobody has read for their detach time, and
-// drops finished ones later.
-func (e *Engine) forget(now time.Time) {
-	for id, g := range e.gens {
+// expire cancels generations that have had no reader for their detach timeout,
+// and deletes finished ones after finishedRetention.
+func (e *Engine) expire(now time.Time) {
+	for id, g := range e.generations {
 		switch {
 		case g.readers > 0:
-		case g.done && now.Sub(g.left) > keepFinished:
-			delete(e.gens, id)
-		case !g.done && now.Sub(g.left) > g.detach:
-			e.drop(g)
+		case g.done && now.Sub(g.idleSince) > finishedRetention:
+			delete(e.generations, id)
+		case !g.done && now.Sub(g.idleSince) > g.detachTimeout:
+			e.remove(g)
 			g.done = true
-			g.finish = "cancelled"
+			g.finishReason = "cancelled"
 		}
 	}
 }
 
-// Report returns the load report that the engine shows now, which lags.
+// LoadReport returns the published load report, which lags by Config.ReportLag.
 func (e *Engine) Report() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -286,24 +288,24 @@
 	return e.reports[0]
 }
 
-// Follow runs a generation without a network: token is called with the number
-// of tokens produced, each time there are more. It returns how often the
-// generation was preempted.
-func (e *Engine) Follow(id, prompt string, priority int, token func(n int)) int {
-	g := makeGeneration(id, prompt, priority)
-	if status, _ := e.begin(g); status != 0 {
+// Generate runs a generation in process, without HTTP. It calls onToken with
+// the number of tokens produced so far whenever that number has grown, and
+// returns how often the generation was preempted.
+func (e *Engine) Follow(id, prompt string, priority int, onToken func(n int)) int {
+	g := newGeneration(id, prompt, priority)
+	if status, _ := e.submit(g); status != 0 {
 		return 0
 	}
 	preempted, paused, next := 0, false, 0
 	for {
-		upTo, done, _, pause := e.await(g, next, paused)
-		if pause && !paused {
+		upTo, done, _, nowPaused := e.waitForProgress(g, next, paused)
+		if nowPaused && !paused {
 			preempted++
 		}
-		paused = pause
+		paused = nowPaused
 		if upTo > next {
 			next = upTo
-			token(next)
+			onToken(next)
 		}
 		if done {
 			return preempted
@@ -311,25 +313,25 @@
 	}
 }
 
-// Runs returns how often the order with the tag was started.
-func (e *Engine) Runs(tag string) int { return e.record.Runs(tag) }
+// Runs returns how often a generation with the tag was started.
+func (e *Engine) Runs(tag string) int { return e.runs.Runs(tag) }
 
-// Counts returns what happened so far.
-func (e *Engine) Counts() Count {
+// Counts returns the current event counters.
+func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-func (e *Engine) report(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	e.reports = append(e.reports, Load{
-		Running:    len(e.running),
-		Waiting:    len(e.waiting),
-		MemoryUsed: e.used,
-		MemorySize: e.cfg.Memory,
-		Leaving:    e.faults.Load().Leaving,
-		At:         now,
-		events:     e.cache.Seq(),
+		Running:        len(e.running),
+		Waiting:        len(e.waiting),
+		MemoryUsed:     e.memoryUsed,
+		MemorySize:     e.cfg.Memory,
+		Draining:       e.faults.Load().Draining,
+		At:             now,
+		lastCacheEvent: e.cache.Seq(),
 	})
 	for len(e.reports) > 1 && now.Sub(e.reports[1].At) >= e.cfg.ReportLag {
 		e.reports = e.reports[1:]
--- a/internal/fake/engine/orders.go
+++ b/internal/fake/engine/orders.go
@@ -8,14 +8,15 @@
 	"github.com/valyala/fastjson"
 )
 
-// showCache lists the cache events after a number, as late as load reports.
-func (e *Engine) showCache(ctx *fasthttp.RequestCtx) {
+// handleCacheEvents lists the cache events after a sequence number. The list
+// lags like the load reports.
+func (e *Engine) handleCacheEvents(ctx *fasthttp.RequestCtx) {
 	after, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	upTo := uint64(0)
 	if len(e.reports) > 0 {
-		upTo = e.reports[0].events
+		upTo = e.reports[0].lastCacheEvent
 	}
 	var a fastjson.Arena
 	list := a.NewArray()
@@ -32,22 +33,23 @@
 	ctx.SetBody(list.MarshalTo(nil))
 }
 
-// order takes an order to load or change something. An engine that checks
-// fencing numbers refuses one older than the newest it has seen.
-func (e *Engine) order(ctx *fasthttp.RequestCtx) {
+// handleCommand accepts a command to load or change something. With
+// Config.CheckFencing, a command is refused if its fencing number is older than
+// the newest one seen.
+func (e *Engine) handleCommand(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil || v.GetUint64("fence") == 0 || len(v.GetStringBytes("kind")) == 0 {
-		refuseStart(ctx, fasthttp.StatusBadRequest, false, "want kind and fence")
+		writeError(ctx, fasthttp.StatusBadRequest, false, "want kind and fence")
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	fence := v.GetUint64("fence")
-	if e.cfg.Fencing && fence < e.fence {
-		refuseStart(ctx, fasthttp.StatusConflict, false, fmt.Sprintf("fencing number %d is older than %d", fence, e.fence))
+	if e.cfg.Fencing && fence < e.maxFence {
+		writeError(ctx, fasthttp.StatusConflict, false, fmt.Sprintf("fencing number %d is older than %d", fence, e.maxFence))
 		return
 	}
-	e.fence = max(e.fence, fence)
-	e.counts.Orders++
+	e.maxFence = max(e.maxFence, fence)
+	e.counts.Commands++
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -21,149 +21,152 @@
 
 const (
 	generationsPath = "/v1/generations"
-	leaveGrace      = 3 * time.Second
-	dieStatus       = 3
+	drainGrace      = 3 * time.Second
+	dieExitCode     = 3
 )
 
-// Serve answers on ln until ctx ends.
+// Serve accepts connections on ln until ctx is done.
 func (e *Engine) Serve(ctx context.Context, ln net.Listener) error {
-	return httpd.Serve(ctx, ln, e.cfg.Name, e.receive)
+	return httpd.Serve(ctx, ln, e.cfg.Name, e.handle)
 }
 
-// swallow holds a link in silence while it is cut, and reports whether it was.
-func (e *Engine) swallow(conn net.Conn) bool {
-	return httpd.Swallow(conn, func() netip.Addr { return e.faults.Load().CutFrom })
+// blackhole blocks while conn's remote address is partitioned from the engine.
+// It reports whether it blocked; the connection is then closed.
+func (e *Engine) blackhole(conn net.Conn) bool {
+	return httpd.Blackhole(conn, func() netip.Addr { return e.faults.Load().PartitionedFrom })
 }
 
-// receive answers a request as the link to its sender allows.
-func (e *Engine) receive(ctx *fasthttp.RequestCtx) {
-	if e.swallow(ctx.Conn()) {
+// handle applies the injected partition and response delay, then routes the
+// request.
+func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
+	if e.blackhole(ctx.Conn()) {
 		return
 	}
-	if late := e.faults.Load().Late; late > 0 {
-		time.Sleep(late)
+	if delay := e.faults.Load().ResponseDelay; delay > 0 {
+		time.Sleep(delay)
 	}
-	e.handle(ctx)
+	e.route(ctx)
 }
 
-func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
+func (e *Engine) route(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
-	id, one := strings.CutPrefix(path, generationsPath+"/")
+	id, hasID := strings.CutPrefix(path, generationsPath+"/")
 	switch {
 	case path == generationsPath && ctx.IsPost():
-		e.start(ctx)
-	case one && ctx.IsGet():
-		e.resume(ctx, id)
-	case one && ctx.IsDelete():
-		e.cancel(ctx, id)
+		e.handleStart(ctx)
+	case hasID && ctx.IsGet():
+		e.handleResume(ctx, id)
+	case hasID && ctx.IsDelete():
+		e.handleCancel(ctx, id)
 	case path == "/v1/load":
-		e.load(ctx)
+		e.handleLoad(ctx)
 	case path == "/v1/cache-events":
-		e.showCache(ctx)
+		e.handleCacheEvents(ctx)
 	case path == "/v1/orders" && ctx.IsPost():
-		e.order(ctx)
+		e.handleCommand(ctx)
 	case path == "/v1/counts":
-		e.showCounts(ctx)
+		e.handleCounts(ctx)
 	case path == "/v1/faults" && ctx.IsPost():
-		e.setFaults(ctx)
+		e.handleFaults(ctx)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-func refuseStart(ctx *fasthttp.RequestCtx, status int, started bool, why string) {
+func writeError(ctx *fasthttp.RequestCtx, status int, started bool, message string) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
-	fmt.Fprintf(ctx, `{"started":%t,"error":%q}`, started, why)
+	fmt.Fprintf(ctx, `{"started":%t,"error":%q}`, started, message)
 }
 
-func (e *Engine) start(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleStart(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil {
-		refuseStart(ctx, fasthttp.StatusBadRequest, false, "bad json")
+		writeError(ctx, fasthttp.StatusBadRequest, false, "bad json")
 		return
 	}
-	if f := e.faults.Load(); f.Refuse || f.Leaving {
-		if f.Leaving {
-			e.noteLate()
+	if f := e.faults.Load(); f.Refuse || f.Draining {
+		if f.Draining {
+			e.countLateStart()
 		}
 		ctx.Response.Header.Set("Retry-After", "1")
-		refuseStart(ctx, fasthttp.StatusServiceUnavailable, false, "not taking work")
+		writeError(ctx, fasthttp.StatusServiceUnavailable, false, "not taking work")
 		return
 	}
-	g := newGeneration(v)
-	if status, why := e.begin(g); status != 0 {
-		refuseStart(ctx, status, status == fasthttp.StatusConflict, why)
+	g := parseGeneration(v)
+	if status, message := e.submit(g); status != 0 {
+		writeError(ctx, status, status == fasthttp.StatusConflict, message)
 		return
 	}
 	e.stream(ctx, g, 0)
 }
 
-// begin takes a generation in, or returns the status of its refusal.
-func (e *Engine) begin(g *generation) (int, string) {
+// submit records a generation and queues it. It returns status 0, or the status
+// and message of the refusal.
+func (e *Engine) submit(g *generation) (int, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gens[g.id] != nil {
+	if e.generations[g.id] != nil {
 		return fasthttp.StatusConflict, "the generation has started before"
 	}
-	if err := e.record.Add(g.order.Tag); err != nil {
+	if err := e.runs.Add(g.spec.Tag); err != nil {
 		return fasthttp.StatusInternalServerError, err.Error()
 	}
-	e.gens[g.id] = g
+	e.generations[g.id] = g
 	e.counts.Starts++
-	e.wait(g)
+	e.enqueue(g)
 	g.readers++
 	return 0, ""
 }
 
-func newGeneration(v *fastjson.Value) *generation {
-	g := makeGeneration(string(v.GetStringBytes("id")), string(v.GetStringBytes("prompt")), v.GetInt("priority"))
-	g.detach = time.Duration(v.GetInt("detach_ms")) * time.Millisecond
+func parseGeneration(v *fastjson.Value) *generation {
+	g := newGeneration(string(v.GetStringBytes("id")), string(v.GetStringBytes("prompt")), v.GetInt("priority"))
+	g.detachTimeout = time.Duration(v.GetInt("detach_ms")) * time.Millisecond
 	if n := v.GetInt("max_tokens"); n > 0 {
-		g.limit = min(g.limit, n)
+		g.maxTokens = min(g.maxTokens, n)
 	}
 	return g
 }
 
-func makeGeneration(id, text string, priority int) *generation {
-	o := prompt.Parse(text)
+func newGeneration(id, text string, priority int) *generation {
+	spec := prompt.Parse(text)
 	now := time.Now()
 	return &generation{
-		id:       id,
-		order:    o,
-		run:      strconv.FormatInt(now.UnixNano()&0xffffffff, 36),
-		priority: priority,
-		prompt:   len(text)/4 + 1,
-		limit:    o.Tokens,
-		started:  now,
-		left:     now,
+		id:           id,
+		spec:         spec,
+		runID:        strconv.FormatInt(now.UnixNano()&0xffffffff, 36),
+		priority:     priority,
+		promptTokens: len(text)/4 + 1,
+		maxTokens:    spec.Tokens,
+		started:      now,
+		idleSince:    now,
 	}
 }
 
-// noteLate counts work offered after the time in which callers must have
-// learnt that the engine is leaving.
-func (e *Engine) noteLate() {
+// countLateStart counts a generation requested later than drainGrace after the
+// drain began. By then callers must know that the engine drains.
+func (e *Engine) countLateStart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.leaveAt) > leaveGrace {
-		e.counts.Late++
+	if time.Since(e.drainStart) > drainGrace {
+		e.counts.LateStarts++
 	}
 }
 
-func (e *Engine) resume(ctx *fasthttp.RequestCtx, id string) {
+func (e *Engine) handleResume(ctx *fasthttp.RequestCtx, id string) {
 	from, err := strconv.Atoi(string(ctx.QueryArgs().Peek("from")))
 	if err != nil || from < 0 {
-		refuseStart(ctx, fasthttp.StatusBadRequest, true, "from is not a whole number")
+		writeError(ctx, fasthttp.StatusBadRequest, true, "from is not a whole number")
 		return
 	}
 	e.mu.Lock()
-	g := e.gens[id]
-	if g == nil || g.done && g.finish == "cancelled" {
+	g := e.generations[id]
+	if g == nil || g.done && g.finishReason == "cancelled" {
 		e.mu.Unlock()
-		refuseStart(ctx, fasthttp.StatusNotFound, false, "no such generation")
+		writeError(ctx, fasthttp.StatusNotFound, false, "no such generation")
 		return
 	}
-	if e.faults.Load().NewRun {
+	if e.faults.Load().WrongGeneration {
 		other := *g
 		other.id = "other-" + g.id
 		g = &other
@@ -177,10 +180,10 @@
 	ctx.SetContentType("text/event-stream")
 	conn := ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		err := e.write(w, conn, g, from)
+		err := e.writeTokens(w, conn, g, from)
 		e.mu.Lock()
 		g.readers--
-		g.left = time.Now()
+		g.idleSince = time.Now()
 		e.mu.Unlock()
 		if err != nil {
 			_ = conn.Close()
@@ -188,29 +191,29 @@
 	})
 }
 
-// write sends tokens from index next on, until the generation ends or the
-// reader is gone.
-func (e *Engine) write(w *bufio.Writer, conn net.Conn, g *generation, next int) error {
+// writeTokens sends the tokens from index next on. It returns when the
+// generation ends or the connection fails.
+func (e *Engine) writeTokens(w *bufio.Writer, conn net.Conn, g *generation, next int) error {
 	sent, paused := 0, false
 	for {
-		upTo, done, finish, pause := e.await(g, next, paused)
-		if e.swallow(conn) {
-			return trace.ConnectionProblem(nil, "the link was cut")
+		upTo, done, finishReason, nowPaused := e.waitForProgress(g, next, paused)
+		if e.blackhole(conn) {
+			return trace.ConnectionProblem(nil, "connection closed by an injected partition")
 		}
-		if pause != paused {
-			paused = pause
+		if nowPaused != paused {
+			paused = nowPaused
 			writePause(w, g.id, paused)
 		}
 		for ; next < upTo; next++ {
-			fmt.Fprintf(w, "data: {\"id\":%q,\"index\":%d,\"text\":%q}\n\n", g.id, next, g.order.Text(next, g.run))
+			fmt.Fprintf(w, "data: {\"id\":%q,\"index\":%d,\"text\":%q}\n\n", g.id, next, g.spec.Text(next, g.runID))
 			sent++
-			if cut := e.faults.Load().CutAfter; cut > 0 && sent >= cut {
+			if limit := e.faults.Load().DropAfter; limit > 0 && sent >= limit {
 				_ = w.Flush()
-				return trace.ConnectionProblem(nil, "the link is cut")
+				return trace.ConnectionProblem(nil, "connection closed by an injected fault")
 			}
 		}
 		if done && next >= upTo {
-			return writeEnd(w, g.id, next, finish)
+			return writeDone(w, g.id, next, finishReason)
 		}
 		if err := w.Flush(); err != nil {
 			return trace.Wrap(err)
@@ -218,15 +221,17 @@
 	}
 }
 
-// await waits until the generation has more than next tokens, ends, or is no
-// longer paused or running as it was.
-func (e *Engine) await(g *generation, next int, paused bool) (int, bool, string, bool) {
+// waitForProgress blocks until the generation has produced more than next
+// tokens, has ended, or its pause state differs from paused. It returns the
+// number of tokens, whether the generation has ended, its finish reason, and
+// whether it is paused.
+func (e *Engine) waitForProgress(g *generation, next int, paused bool) (int, bool, string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for g.produced <= next && !g.done && g.paused == paused {
 		e.changed.Wait()
 	}
-	return g.produced, g.done, g.finish, g.paused
+	return g.produced, g.done, g.finishReason, g.paused
 }
 
 func writePause(w *bufio.Writer, id string, paused bool) {
@@ -237,56 +242,56 @@
 	fmt.Fprintf(w, "event: %s\ndata: {\"id\":%q}\n\n", kind, id)
 }
 
-func writeEnd(w *bufio.Writer, id string, tokens int, finish string) error {
-	if finish == "" || finish == "cancelled" {
+func writeDone(w *bufio.Writer, id string, tokens int, finishReason string) error {
+	if finishReason == "" || finishReason == "cancelled" {
 		return trace.ConnectionProblem(nil, "the generation was cancelled")
 	}
-	fmt.Fprintf(w, "event: done\ndata: {\"id\":%q,\"tokens\":%d,\"finish\":%q}\n\n", id, tokens, finish)
+	fmt.Fprintf(w, "event: done\ndata: {\"id\":%q,\"tokens\":%d,\"finish\":%q}\n\n", id, tokens, finishReason)
 	return trace.Wrap(w.Flush())
 }
 
-func (e *Engine) cancel(ctx *fasthttp.RequestCtx, id string) {
+func (e *Engine) handleCancel(ctx *fasthttp.RequestCtx, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if g := e.gens[id]; g != nil && !g.done {
-		e.drop(g)
+	if g := e.generations[id]; g != nil && !g.done {
+		e.remove(g)
 		g.done = true
-		g.finish = "cancelled"
+		g.finishReason = "cancelled"
 		e.changed.Broadcast()
 	}
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-func (e *Engine) load(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleLoad(ctx *fasthttp.RequestCtx) {
 	l := e.Report()
 	ctx.SetContentType("application/json")
 	fmt.Fprintf(ctx, `{"running":%d,"waiting":%d,"memory_used":%d,"memory_size":%d,"leaving":%t,"age_ms":%d}`,
-		l.Running, l.Waiting, l.MemoryUsed, l.MemorySize, l.Leaving, time.Since(l.At).Milliseconds())
+		l.Running, l.Waiting, l.MemoryUsed, l.MemorySize, l.Draining, time.Since(l.At).Milliseconds())
 }
 
-func (e *Engine) showCounts(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleCounts(ctx *fasthttp.RequestCtx) {
 	c := e.Counts()
 	ctx.SetContentType("application/json")
 	fmt.Fprintf(ctx, `{"starts":%d,"completed":%d,"preempted":%d,"late":%d,"orders":%d}`,
-		c.Starts, c.Completed, c.Preempted, c.Late, c.Orders)
+		c.Starts, c.Completed, c.Preempted, c.LateStarts, c.Commands)
 }
 
-func (e *Engine) setFaults(ctx *fasthttp.RequestCtx) {
+func (e *Engine) handleFaults(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	if v.GetBool("die") {
-		os.Exit(dieStatus)
+		os.Exit(dieExitCode)
 	}
 	e.Fault(Faults{
-		Stall:    time.Duration(v.GetInt("stall_ms")) * time.Millisecond,
-		CutAfter: v.GetInt("cut_after"),
-		Refuse:   v.GetBool("refuse"),
-		Late:     time.Duration(v.GetInt("late_ms")) * time.Millisecond,
-		Leaving:  v.GetBool("leaving"),
-		NewRun:   v.GetBool("new_run"),
-		CutFrom:  httpd.Address(v.GetStringBytes("cut_from")),
+		Stall:           time.Duration(v.GetInt("stall_ms")) * time.Millisecond,
+		DropAfter:       v.GetInt("cut_after"),
+		Refuse:          v.GetBool("refuse"),
+		ResponseDelay:   time.Duration(v.GetInt("late_ms")) * time.Millisecond,
+		Draining:        v.GetBool("leaving"),
+		WrongGeneration: v.GetBool("new_run"),
+		PartitionedFrom: httpd.Address(v.GetStringBytes("cut_from")),
 	})
 }
--- a/internal/fake/httpd/httpd.go
+++ b/internal/fake/httpd/httpd.go
@@ -39,27 +39,28 @@
 
 func (quiet) Printf(string, ...any) {}
 
-// cutPoll is how often a link that is cut looks whether it still is.
-const cutPoll = 20 * time.Millisecond
+// blackholePoll is the interval at which Blackhole checks whether the partition
+// still exists.
+const blackholePoll = 20 * time.Millisecond
 
-// Swallow holds a connection in silence while its other end is at the address
-// that from returns, and reports whether it was held at all. Such a connection
-// is closed once the cut is over.
-func Swallow(conn net.Conn, from func() netip.Addr) bool {
-	to, ok := conn.RemoteAddr().(*net.TCPAddr)
+// Blackhole simulates a network partition: it blocks, sending nothing, while
+// the remote address of conn equals the one that partitioned returns. It reports
+// whether it blocked. A blocked connection is closed when the partition ends.
+func Blackhole(conn net.Conn, partitioned func() netip.Addr) bool {
+	remote, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return false
 	}
-	addr := to.AddrPort().Addr().Unmap()
-	held := false
-	for from() == addr {
-		held = true
-		time.Sleep(cutPoll)
+	remoteAddr := remote.AddrPort().Addr().Unmap()
+	blocked := false
+	for partitioned() == remoteAddr {
+		blocked = true
+		time.Sleep(blackholePoll)
 	}
-	if held {
+	if blocked {
 		_ = conn.Close()
 	}
-	return held
+	return blocked
 }
 
 // Address reads an IP address; what is none gives the zero one.
