--- a/internal/fake/store/doc.go
+++ b/internal/fake/store/doc.go
@@ -1,5 +1,5 @@
-// Package store is a stand-in for the platform's key-value service:
-// compare-and-swap, leases, waiting watches, a limit on calls a second, and
-// the outages and lost replies that the real one has. docs/STORE.md describes
-// its protocol.
+// Package store implements a fake of the platform's key-value service. It has
+// compare-and-swap, leases, watches that wait for changes, a limit on calls per
+// second, and injected outages and lost replies like those of the real service.
+// docs/STORE.md describes the protocol.
 package store
--- a/internal/fake/store/meter.go
+++ b/internal/fake/store/meter.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// meter counts the calls of each caller, and the busiest second.
-type meter struct {
-	mu      sync.Mutex
-	calls   map[string]int
-	refused int // over the store's rates
-	second  int64
-	now     int // calls in that second
-	peak    int
+// callMeter counts the calls of each caller and in the busiest second.
+type callMeter struct {
+	mu            sync.Mutex
+	calls         map[string]int
+	refused       int // over the rate limit
+	currentSecond int64
+	currentCalls  int // calls in currentSecond
+	peakPerSecond int
 }
 
-func (m *meter) note(caller string, at time.Time) {
+func (m *callMeter) recordCall(caller string, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls[caller]++
-	if s := at.Unix(); s != m.second {
-		m.second, m.now = s, 0
+	if s := at.Unix(); s != m.currentSecond {
+		m.currentSecond, m.currentCalls = s, 0
 	}
-	m.now++
-	m.peak = max(m.peak, m.now)
+	m.currentCalls++
+	m.peakPerSecond = max(m.peakPerSecond, m.currentCalls)
 }
 
-func (m *meter) refuse() {
+func (m *callMeter) recordRefusal() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refused++
 }
 
-// Count is what the store was asked.
-type Count struct {
-	Calls   map[string]int // by caller
-	Peak    int            // in the busiest second
-	Refused int            // over the store's rates
+// Counts holds the numbers of calls that the store has received.
+type Counts struct {
+	Calls         map[string]int // by caller
+	PeakPerSecond int            // in the busiest second
+	Refused       int            // over the rate limit
 }
 
-func (m *meter) count() Count {
+func (m *callMeter) snapshot() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Count{Calls: maps.Clone(m.calls), Peak: m.peak, Refused: m.refused}
+	return Counts{Calls: maps.Clone(m.calls), PeakPerSecond: m.peakPerSecond, Refused: m.refused}
 }
--- a/internal/fake/store/server.go
+++ b/internal/fake/store/server.go
@@ -22,57 +22,58 @@
 const (
 	writesPerSecond = 400
 	readsPerSecond  = 2000
-	maxValue        = 1 << 20
-	maxWatch        = 30 * time.Second
-	hangUp          = 3 * time.Second
+	maxValueBytes   = 1 << 20
+	maxWatchWait    = 30 * time.Second
+	hangTime        = 3 * time.Second
 	settingsPrefix  = "/settings"
 )
 
-// Faults are what a test switches on.
+// Faults are the failures that a test injects.
 type Faults struct {
 	Down        bool          // every call gets 503
-	Hang        bool          // every call waits and is then cut
-	Slow        time.Duration // every call takes this much longer
-	LoseReplies float64       // share of writes whose reply is lost
-	// DropAfter is how long it is down after each write under /settings took
-	// effect: the writer gets its reply, and nobody else hears of it.
-	DropAfter time.Duration
+	Hang        bool          // every call waits for hangTime, then its connection is closed
+	Delay       time.Duration // added to the duration of every call
+	LoseReplies float64       // fraction of writes whose reply is lost
+	// DownAfterWrite is how long the store is down after each successful write
+	// under /settings. The writer gets its reply, but no watcher sees the change
+	// before the outage ends.
+	DownAfterWrite time.Duration
 }
 
-// Server speaks the store's protocol over a Table.
+// Server serves the store's HTTP protocol from a Table.
 type Server struct {
 	table  *Table
 	faults atomic.Pointer[Faults]
 	writes *rate.Limiter
 	reads  *rate.Limiter
 
-	meter meter
-	back  atomic.Int64 // when a drop is over, in Unix nanoseconds
+	meter     callMeter
+	downUntil atomic.Int64 // end of a DownAfterWrite outage, in Unix nanoseconds
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// New makes a server whose lost replies follow from seed.
+// New returns a server for table. The seed determines which replies are lost.
 func New(table *Table, seed uint64) *Server {
 	s := &Server{
 		table:  table,
 		writes: rate.NewLimiter(writesPerSecond, writesPerSecond),
 		reads:  rate.NewLimiter(readsPerSecond, readsPerSecond),
-		meter:  meter{calls: map[string]int{}},
+		meter:  callMeter{calls: map[string]int{}},
 		rng:    rand.New(rand.NewPCG(seed, 0)),
 	}
 	s.faults.Store(&Faults{})
 	return s
 }
 
-// Fault replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Server) Fault(f Faults) { s.faults.Store(&f) }
 
-// Count returns what was asked so far.
-func (s *Server) Count() Count { return s.meter.count() }
+// Counts returns the numbers of calls received so far.
+func (s *Server) Count() Counts { return s.meter.snapshot() }
 
-// Serve answers on ln until ctx ends.
+// Serve accepts connections on ln until ctx is done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	return httpd.Serve(ctx, ln, "store", s.handle)
 }
@@ -81,37 +82,37 @@
 	path := string(ctx.Path())
 	switch path {
 	case "/faults":
-		s.setFaults(ctx)
+		s.handleFaults(ctx)
 		return
 	case "/calls":
-		s.showCalls(ctx)
+		s.handleCalls(ctx)
 		return
 	}
-	if !s.count(ctx) || !s.healthy(ctx) {
+	if !s.admit(ctx) || !s.available(ctx) {
 		return
 	}
 	switch {
 	case strings.HasPrefix(path, "/kv/"):
-		s.value(ctx, strings.TrimPrefix(path, "/kv"))
+		s.handleValue(ctx, strings.TrimPrefix(path, "/kv"))
 	case path == "/list":
-		items, rev := s.table.List(query(ctx, "prefix"), number(ctx, "after"), time.Now())
+		items, rev := s.table.List(queryArg(ctx, "prefix"), uintArg(ctx, "after"), time.Now())
 		writeItems(ctx, items, rev)
 	case path == "/watch":
-		wait := min(time.Duration(number(ctx, "wait_ms"))*time.Millisecond, maxWatch)
-		items, rev := s.table.Watch(query(ctx, "prefix"), number(ctx, "after"), wait, ctx.Done())
-		if s.healthy(ctx) {
+		wait := min(time.Duration(uintArg(ctx, "wait_ms"))*time.Millisecond, maxWatchWait)
+		items, rev := s.table.Watch(queryArg(ctx, "prefix"), uintArg(ctx, "after"), wait, ctx.Done())
+		if s.available(ctx) {
 			writeItems(ctx, items, rev)
 		}
 	case strings.HasPrefix(path, "/leases"):
-		s.lease(ctx, strings.TrimPrefix(path, "/leases"))
+		s.handleLease(ctx, strings.TrimPrefix(path, "/leases"))
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 	s.loseReply(ctx)
 }
 
-func (s *Server) count(ctx *fasthttp.RequestCtx) bool {
-	s.meter.note(string(ctx.Request.Header.Peek("Caller")), time.Now())
+func (s *Server) admit(ctx *fasthttp.RequestCtx) bool {
+	s.meter.recordCall(string(ctx.Request.Header.Peek("Caller")), time.Now())
 	limit := s.reads
 	if !ctx.IsGet() {
 		limit = s.writes
@@ -119,29 +120,30 @@
 	if limit.Allow() {
 		return true
 	}
-	s.meter.refuse()
+	s.meter.recordRefusal()
 	ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 	return false
 }
 
-func (s *Server) healthy(ctx *fasthttp.RequestCtx) bool {
+func (s *Server) available(ctx *fasthttp.RequestCtx) bool {
 	f := s.faults.Load()
-	if f.Slow > 0 {
-		time.Sleep(f.Slow)
+	if f.Delay > 0 {
+		time.Sleep(f.Delay)
 	}
 	if f.Hang {
-		time.Sleep(hangUp)
+		time.Sleep(hangTime)
 		_ = ctx.Conn().Close()
 		return false
 	}
-	if f.Down || time.Now().UnixNano() < s.back.Load() {
+	if f.Down || time.Now().UnixNano() < s.downUntil.Load() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return false
 	}
 	return true
 }
 
-// loseReply cuts the connection after a write took effect.
+// loseReply closes the connection of a write that has been handled, with the
+// probability Faults.ReplyLossRatio.
 func (s *Server) loseReply(ctx *fasthttp.RequestCtx) {
 	p := s.faults.Load().LoseReplies
 	if p <= 0 || ctx.IsGet() {
@@ -155,7 +157,7 @@
 	}
 }
 
-func (s *Server) value(ctx *fasthttp.RequestCtx, path string) {
+func (s *Server) handleValue(ctx *fasthttp.RequestCtx, path string) {
 	now := time.Now()
 	switch {
 	case ctx.IsGet():
@@ -167,40 +169,40 @@
 		ctx.Response.Header.Set("Revision", strconv.FormatUint(it.Revision, 10))
 		ctx.SetBody(it.Value)
 	case ctx.IsPut():
-		if len(ctx.PostBody()) > maxValue {
+		if len(ctx.PostBody()) > maxValueBytes {
 			ctx.SetStatusCode(fasthttp.StatusRequestEntityTooLarge)
 			return
 		}
 		body := append([]byte(nil), ctx.PostBody()...)
-		s.drop(path, now)
-		rev, ok := s.table.Put(path, body, number(ctx, "if"), number(ctx, "lease"), now)
+		s.startOutage(path, now)
+		rev, ok := s.table.Put(path, body, uintArg(ctx, "if"), uintArg(ctx, "lease"), now)
 		if !ok {
-			s.back.Store(0)
+			s.downUntil.Store(0)
 			ctx.SetStatusCode(fasthttp.StatusPreconditionFailed)
 			return
 		}
 		ctx.Response.Header.Set("Revision", strconv.FormatUint(rev, 10))
 	case ctx.IsDelete():
-		if !s.table.Delete(path, number(ctx, "if"), now) {
+		if !s.table.Delete(path, uintArg(ctx, "if"), now) {
 			ctx.SetStatusCode(fasthttp.StatusPreconditionFailed)
 		}
 	}
 }
 
-// drop begins a drop, if that fault is on. It comes before the write, so that
-// no watcher slips through between.
-func (s *Server) drop(path string, now time.Time) {
-	if d := s.faults.Load().DropAfter; d > 0 && strings.HasPrefix(path, settingsPrefix) {
-		s.back.Store(now.Add(d).UnixNano())
+// startOutage starts the outage of Faults.DownAfterWrite. It is called before
+// the write, so that no watcher can read the change before the outage starts.
+func (s *Server) startOutage(path string, now time.Time) {
+	if d := s.faults.Load().DownAfterWrite; d > 0 && strings.HasPrefix(path, settingsPrefix) {
+		s.downUntil.Store(now.Add(d).UnixNano())
 	}
 }
 
-func (s *Server) lease(ctx *fasthttp.RequestCtx, rest string) {
+func (s *Server) handleLease(ctx *fasthttp.RequestCtx, rest string) {
 	now := time.Now()
 	id, _ := strconv.ParseUint(strings.TrimPrefix(rest, "/"), 10, 64)
 	switch {
 	case rest == "" && ctx.IsPost():
-		id = s.table.Grant(time.Duration(number(ctx, "ttl_ms"))*time.Millisecond, now)
+		id = s.table.Grant(time.Duration(uintArg(ctx, "ttl_ms"))*time.Millisecond, now)
 	case ctx.IsPost():
 		if !s.table.Renew(id, now) {
 			ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -212,7 +214,7 @@
 	fmt.Fprintf(ctx, `{"lease":%d,"now_ms":%d}`, id, now.UnixMilli())
 }
 
-func (s *Server) showCalls(ctx *fasthttp.RequestCtx) {
+func (s *Server) handleCalls(ctx *fasthttp.RequestCtx) {
 	var a fastjson.Arena
 	o, calls := a.NewObject(), a.NewObject()
 	c := s.Count()
@@ -220,23 +222,23 @@
 		calls.Set(name, a.NewNumberInt(n))
 	}
 	o.Set("calls", calls)
-	o.Set("peak", a.NewNumberInt(c.Peak))
+	o.Set("peak", a.NewNumberInt(c.PeakPerSecond))
 	o.Set("refused", a.NewNumberInt(c.Refused))
 	ctx.SetBody(o.MarshalTo(nil))
 }
 
-func (s *Server) setFaults(ctx *fasthttp.RequestCtx) {
+func (s *Server) handleFaults(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	s.Fault(Faults{
-		Down:        v.GetBool("down"),
-		Hang:        v.GetBool("hang"),
-		Slow:        time.Duration(v.GetInt("slow_ms")) * time.Millisecond,
-		DropAfter:   time.Duration(v.GetInt("drop_after_ms")) * time.Millisecond,
-		LoseReplies: v.GetFloat64("lose_replies"),
+		Down:           v.GetBool("down"),
+		Hang:           v.GetBool("hang"),
+		Delay:          time.Duration(v.GetInt("slow_ms")) * time.Millisecond,
+		DownAfterWrite: time.Duration(v.GetInt("drop_after_ms")) * time.Millisecond,
+		LoseReplies:    v.GetFloat64("lose_replies"),
 	})
 }
 
@@ -261,11 +263,11 @@
 	ctx.SetBody(o.MarshalTo(nil))
 }
 
-func query(ctx *fasthttp.RequestCtx, name string) string {
+func queryArg(ctx *fasthttp.RequestCtx, name string) string {
 	return string(ctx.QueryArgs().Peek(name))
 }
 
-func number(ctx *fasthttp.RequestCtx, name string) uint64 {
-	n, _ := strconv.ParseUint(query(ctx, name), 10, 64)
+func uintArg(ctx *fasthttp.RequestCtx, name string) uint64 {
+	n, _ := strconv.ParseUint(queryArg(ctx, name), 10, 64)
 	return n
 }
--- a/internal/fake/store/table.go
+++ b/internal/fake/store/table.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// Item is one value. A deleted value has no Value and keeps its revision.
+// Item is a stored value. A deleted item has no Value, and its Revision is that
+// of the deletion.
 type Item struct {
 	Path     string
 	Revision uint64
 	Value    []byte
 	Deleted  bool
-	lease    uint64
+	leaseID  uint64
 }
 
-// Table holds the values and leases. Revisions rise by one with each write.
+// Table holds the values and leases. Each write increments the revision.
 type Table struct {
-	mu       sync.Mutex
-	items    map[string]Item
-	leases   map[uint64]*lease
-	revision uint64
-	nextID   uint64
-	changed  chan struct{}
+	mu          sync.Mutex
+	items       map[string]Item
+	leases      map[uint64]*lease
+	revision    uint64
+	lastLeaseID uint64
+	changed     chan struct{}
 }
 
 type lease struct {
@@ -41,7 +42,7 @@
 	}
 }
 
-// Get returns the value at path.
+// Get returns the value at path, and whether it exists.
 func (t *Table) Get(path string, now time.Time) (Item, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,16 +51,16 @@
 	return it, ok && !it.Deleted
 }
 
-// List returns the values under prefix changed after the revision, deleted
-// ones too, and the table's revision.
+// List returns the items under prefix that changed after the given revision,
+// deleted ones included, and the table's revision.
 func (t *Table) List(prefix string, after uint64, now time.Time) ([]Item, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	return t.list(prefix, after), t.revision
+	return t.changedItems(prefix, after), t.revision
 }
 
-func (t *Table) list(prefix string, after uint64) []Item {
+func (t *Table) changedItems(prefix string, after uint64) []Item {
 	var out []Item
 	for _, it := range t.items {
 		if it.Revision > after && strings.HasPrefix(it.Path, prefix) {
@@ -70,15 +71,15 @@
 	return out
 }
 
-// Watch is List, but waits on until there is something to return, the stop
-// channel closes, or the wait is over.
+// Watch is like List, but blocks until there are items to return, stop is
+// closed, or wait has passed.
 func (t *Table) Watch(prefix string, after uint64, wait time.Duration, stop <-chan struct{}) ([]Item, uint64) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
 		t.expire(time.Now())
-		items, rev, changed := t.list(prefix, after), t.revision, t.changed
+		items, rev, changed := t.changedItems(prefix, after), t.revision, t.changed
 		t.mu.Unlock()
 		if len(items) > 0 {
 			return items, rev
@@ -93,40 +94,42 @@
 	}
 }
 
-// Put writes the value at path if its revision still is want (0: absent) and
-// returns the new revision. A value with a lease goes when the lease does.
-func (t *Table) Put(path string, value []byte, want, leaseID uint64, now time.Time) (uint64, bool) {
+// Put writes the value at path if its revision is wantRevision, where 0 means
+// that the value does not exist. It returns the new revision and whether the
+// value was written. A value with a lease is deleted when the lease ends.
+func (t *Table) Put(path string, value []byte, wantRevision, leaseID uint64, now time.Time) (uint64, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	if !t.matches(path, want) {
+	if !t.revisionMatches(path, wantRevision) {
 		return 0, false
 	}
 	if leaseID != 0 && t.leases[leaseID] == nil {
 		return 0, false
 	}
-	t.write(Item{Path: path, Value: value, lease: leaseID})
+	t.write(Item{Path: path, Value: value, leaseID: leaseID})
 	return t.revision, true
 }
 
-// Delete removes the value at path if its revision still is want.
-func (t *Table) Delete(path string, want uint64, now time.Time) bool {
+// Delete removes the value at path if its revision is wantRevision, and reports
+// whether it did.
+func (t *Table) Delete(path string, wantRevision uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
-	if !t.matches(path, want) {
+	if !t.revisionMatches(path, wantRevision) {
 		return false
 	}
 	t.write(Item{Path: path, Deleted: true})
 	return true
 }
 
-func (t *Table) matches(path string, want uint64) bool {
+func (t *Table) revisionMatches(path string, wantRevision uint64) bool {
 	it, ok := t.items[path]
 	if !ok || it.Deleted {
-		return want == 0
+		return wantRevision == 0
 	}
-	return it.Revision == want
+	return it.Revision == wantRevision
 }
 
 func (t *Table) write(it Item) {
@@ -137,16 +140,16 @@
 	t.changed = make(chan struct{})
 }
 
-// Grant makes a lease.
+// Grant creates a lease and returns its ID.
 func (t *Table) Grant(ttl time.Duration, now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.nextID++
-	t.leases[t.nextID] = &lease{ttl: ttl, expires: now.Add(ttl)}
-	return t.nextID
+	t.lastLeaseID++
+	t.leases[t.lastLeaseID] = &lease{ttl: ttl, expires: now.Add(ttl)}
+	return t.lastLeaseID
 }
 
-// Renew prolongs a lease; false if it has lapsed.
+// Renew extends a lease by its TTL. It reports false if the lease has expired.
 func (t *Table) Renew(id uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +162,7 @@
 	return true
 }
 
-// Revoke ends a lease and deletes its values.
+// Revoke ends a lease and deletes the values attached to it.
 func (t *Table) Revoke(id uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,7 +179,7 @@
 		}
 		delete(t.leases, id)
 		for path, it := range t.items {
-			if it.lease == id && !it.Deleted {
+			if it.leaseID == id && !it.Deleted {
 				t.write(Item{Path: path, Deleted: true})
 			}
 		}
