--- a/internal/fake/copier/copier.go
+++ b/internal/fake/copier/copier.go
@@ -1,5 +1,5 @@
-// Package copier copies an engine's answers to its callers and does nothing
-// else: the least that any relay must do, to measure against.
+// Package proxy implements a minimal proxy that copies an engine's responses to
+// its clients and does nothing else. It is the baseline for measurements.
 package copier
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	bufferSize = 4096
-	waitTime   = 10 * time.Second
-	maxHead    = 1 << 16
+	bufferSize      = 4096
+	idleTimeout     = 10 * time.Second
+	maxBufferedBody = 1 << 16
 )
 
-// Server copies one engine's answers.
+// Server forwards requests to one engine.
 type Server struct {
 	engine netip.AddrPort
 	dialer *link.Dialer
 }
 
-// New makes a copier of the engine at addr.
+// New returns a proxy for the engine at addr.
 func New(addr netip.AddrPort) *Server {
-	return &Server{engine: addr, dialer: link.New(netip.Addr{}, time.Second, waitTime, 1)}
+	return &Server{engine: addr, dialer: link.New(netip.Addr{}, time.Second, idleTimeout, 1)}
 }
 
-// Serve answers on ln until ctx ends.
+// Serve accepts connections on ln until ctx is done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	return httpd.Serve(ctx, ln, "copy", s.handle)
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	var resp fasthttp.Response
-	body, err := s.dialer.Open(context.Background(), s.engine, &ctx.Request, &resp, link.Options{Fresh: true, Body: maxHead})
+	body, err := s.dialer.Open(context.Background(), s.engine, &ctx.Request, &resp, link.Options{Fresh: true, Body: maxBufferedBody})
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
 		return
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -87,7 +87,7 @@
 	running     []*generation
 	waiting     []*generation
 	memoryUsed  int
-	runs        *record.Record
+	runLog      *record.Record
 	counts      Counts
 	cache       *cache.Cache
 	maxFence    uint64
@@ -115,10 +115,10 @@
 
 func (g *generation) memory() int { return g.promptTokens + g.produced }
 
-// New returns an engine that records the generations it starts in rec. They
+// New returns an engine that records the generations it starts in runLog. They
 // make progress only while Run is running.
-func New(cfg Config, rec *record.Record) *Engine {
-	e := &Engine{cfg: cfg, generations: map[string]*generation{}, runs: rec, cache: cache.New(cfg.CacheEntries)}
+func New(cfg Config, runLog *record.Record) *Engine {
+	e := &Engine{cfg: cfg, generations: map[string]*generation{}, runLog: runLog, cache: cache.New(cfg.CacheEntries)}
 	e.changed = sync.NewCond(&e.mu)
 	e.faults.Store(&Faults{})
 	return e
@@ -314,7 +314,7 @@
 }
 
 // Runs returns how often a generation with the tag was started.
-func (e *Engine) Runs(tag string) int { return e.runs.Runs(tag) }
+func (e *Engine) Runs(tag string) int { return e.runLog.Runs(tag) }
 
 // Counts returns the current event counters.
 func (e *Engine) Counts() Counts {
@@ -331,7 +331,7 @@
 		MemorySize:     e.cfg.Memory,
 		Draining:       e.faults.Load().Draining,
 		At:             now,
-		lastCacheEvent: e.cache.Seq(),
+		lastCacheEvent: e.cache.LastSeq(),
 	})
 	for len(e.reports) > 1 && now.Sub(e.reports[1].At) >= e.cfg.ReportLag {
 		e.reports = e.reports[1:]
--- a/internal/fake/engine/orders.go
+++ b/internal/fake/engine/orders.go
@@ -24,7 +24,7 @@
 		o := a.NewObject()
 		o.Set("seq", a.NewNumberString(strconv.FormatUint(ev.Seq, 10)))
 		o.Set("prefix", a.NewString(strconv.FormatUint(ev.Prefix, 16)))
-		if ev.Gone {
+		if ev.Evicted {
 			o.Set("gone", a.NewTrue())
 		}
 		list.SetArrayItem(n, o)
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -109,7 +109,7 @@
 	if e.generations[g.id] != nil {
 		return fasthttp.StatusConflict, "the generation has started before"
 	}
-	if err := e.runs.Add(g.spec.Tag); err != nil {
+	if err := e.runLog.Add(g.spec.Tag); err != nil {
 		return fasthttp.StatusInternalServerError, err.Error()
 	}
 	e.generations[g.id] = g
@@ -205,7 +205,7 @@
 			writePause(w, g.id, paused)
 		}
 		for ; next < upTo; next++ {
-			fmt.Fprintf(w, "data: {\"id\":%q,\"index\":%d,\"text\":%q}\n\n", g.id, next, g.spec.Text(next, g.runID))
+			fmt.Fprintf(w, "data: {\"id\":%q,\"index\":%d,\"text\":%q}\n\n", g.id, next, g.spec.Token(next, g.runID))
 			sent++
 			if limit := e.faults.Load().DropAfter; limit > 0 && sent >= limit {
 				_ = w.Flush()
@@ -292,6 +292,6 @@
 		ResponseDelay:   time.Duration(v.GetInt("late_ms")) * time.Millisecond,
 		Draining:        v.GetBool("leaving"),
 		WrongGeneration: v.GetBool("new_run"),
-		PartitionedFrom: httpd.Address(v.GetStringBytes("cut_from")),
+		PartitionedFrom: httpd.ParseAddr(v.GetStringBytes("cut_from")),
 	})
 }
--- a/internal/fake/httpd/httpd.go
+++ b/internal/fake/httpd/httpd.go
@@ -1,5 +1,5 @@
-// Package httpd serves HTTP for the stand-ins. It drops the library's log
-// lines, as stand-ins break connections on purpose.
+// Package httpd serves HTTP for the fakes. It discards the log lines of the HTTP
+// library, because fakes break connections on purpose.
 package httpd
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxBody is the largest request body that a stand-in takes, in bytes.
-const maxBody = 4 << 20
+// maxBodyBytes is the maximum size of a request body.
+const maxBodyBytes = 4 << 20
 
-// Serve answers on ln with handle until ctx ends.
+// Serve serves HTTP on ln with handle until ctx is done. It then returns nil.
 func Serve(ctx context.Context, ln net.Listener, name string, handle fasthttp.RequestHandler) error {
 	s := &fasthttp.Server{
 		Handler:            handle,
 		Name:               name,
-		MaxRequestBodySize: maxBody,
+		MaxRequestBodySize: maxBodyBytes,
 		CloseOnShutdown:    true,
 		NoDefaultDate:      true,
-		Logger:             quiet{},
+		Logger:             discardLogger{},
 	}
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
@@ -34,10 +34,10 @@
 	return trace.Wrap(err)
 }
 
-// quiet drops every line.
-type quiet struct{}
+// discardLogger discards all log lines.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // blackholePoll is the interval at which Blackhole checks whether the partition
 // still exists.
@@ -63,8 +63,8 @@
 	return blocked
 }
 
-// Address reads an IP address; what is none gives the zero one.
-func Address(text []byte) netip.Addr {
+// ParseAddr parses an IP address. It returns the zero address for invalid text.
+func ParseAddr(text []byte) netip.Addr {
 	a, err := netip.ParseAddr(string(text))
 	if err != nil {
 		return netip.Addr{}
--- a/internal/fake/plain/plain.go
+++ b/internal/fake/plain/plain.go
@@ -1,6 +1,7 @@
-// Package plain is a stand-in for a team's own HTTP server: bookings, tank
-// checks, ticket look-ups. It answers with the tag of the call and counts how
-// often each tag ran, so that a test can tell lost and doubled calls.
+// Package plain implements a fake of a workspace's own HTTP server (bookings,
+// tank checks, ticket look-ups). Its response contains the tag of the call. It
+// counts how often each tag ran, so that a test can detect lost and duplicated
+// calls.
 package plain
 
 import (
@@ -17,51 +18,51 @@
 	"umberladder/internal/fake/record"
 )
 
-// Faults are what a test switches on.
+// Faults are the failures that a test injects.
 type Faults struct {
-	Late  time.Duration // answers come this late
-	Cut   bool          // the call runs and its answer is cut
+	Delay time.Duration // the call runs and its response is delayed by this much
+	Cut   bool          // the call runs and its connection is closed without a response
 	Error bool          // the call runs and fails with 500
 }
 
-// Server is a stand-in plain server.
+// Server is a fake plain server.
 type Server struct {
 	name   string
 	faults atomic.Pointer[Faults]
-	record *record.Record
+	runLog *record.Record
 }
 
-// New makes a server that records what it runs.
-func New(name string, rec *record.Record) *Server {
-	s := &Server{name: name, record: rec}
+// New returns a server that records the calls it runs in runLog.
+func New(name string, runLog *record.Record) *Server {
+	s := &Server{name: name, runLog: runLog}
 	s.faults.Store(&Faults{})
 	return s
 }
 
-// Fault replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Server) Fault(f Faults) { s.faults.Store(&f) }
 
 // Runs returns how often the call with the tag ran.
-func (s *Server) Runs(tag string) int { return s.record.Runs(tag) }
+func (s *Server) Runs(tag string) int { return s.runLog.Runs(tag) }
 
-// Serve answers on ln until ctx ends.
+// Serve accepts connections on ln until ctx is done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	return httpd.Serve(ctx, ln, s.name, s.handle)
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == "/stand-in/faults" {
-		s.setFaults(ctx)
+		s.handleFaults(ctx)
 		return
 	}
 	f := s.faults.Load()
 	tag := string(ctx.QueryArgs().Peek("tag"))
-	if err := s.record.Add(tag); err != nil {
+	if err := s.runLog.Add(tag); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
-	if f.Late > 0 {
-		time.Sleep(f.Late)
+	if f.Delay > 0 {
+		time.Sleep(f.Delay)
 	}
 	if f.Cut {
 		_ = ctx.Conn().Close()
@@ -75,14 +76,14 @@
 	fmt.Fprintf(ctx, `{"tag":%q,"method":%q,"path":%q,"bytes":%d}`, tag, ctx.Method(), ctx.Path(), len(ctx.PostBody()))
 }
 
-func (s *Server) setFaults(ctx *fasthttp.RequestCtx) {
+func (s *Server) handleFaults(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	s.Fault(Faults{
-		Late:  time.Duration(v.GetInt("late_ms")) * time.Millisecond,
+		Delay: time.Duration(v.GetInt("late_ms")) * time.Millisecond,
 		Cut:   v.GetBool("cut"),
 		Error: v.GetBool("error"),
 	})
--- a/internal/fake/prompt/order.go
+++ b/internal/fake/prompt/order.go
@@ -1,5 +1,5 @@
-// Package prompt writes and reads the prompts that tell a stand-in engine what
-// to produce, and checks answers against them.
+// Package prompt formats and parses the prompts that specify what a fake engine
+// produces, and checks generated text against them.
 package prompt
 
 import (
@@ -10,20 +10,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// defaultTokens is what a prompt without an order gets.
+// defaultTokens is the number of tokens for a prompt that does not set one.
 const defaultTokens = 16
 
-// Order is what a stand-in prompt asks for.
+// Spec is what a prompt specifies: the number of tokens, the seed of their
+// text, and the tag under which the generation is recorded.
 type Order struct {
 	Tokens int
 	Seed   uint64
 	Tag    string
 }
 
-// Parse reads an order out of a prompt. Words that are no order are
-// prompt text.
+// Parse reads the spec from a prompt. Words that are not part of a spec are
+// ignored.
 func Parse(prompt string) Order {
-	o := Order{Tokens: defaultTokens}
+	spec := Order{Tokens: defaultTokens}
 	for _, word := range strings.Fields(prompt) {
 		name, value, ok := strings.Cut(word, "=")
 		if !ok {
@@ -32,57 +33,58 @@
 		switch name {
 		case "produce":
 			if n, err := strconv.Atoi(value); err == nil && n > 0 {
-				o.Tokens = n
+				spec.Tokens = n
 			}
 		case "seed":
 			if n, err := strconv.ParseUint(value, 10, 64); err == nil {
-				o.Seed = n
+				spec.Seed = n
 			}
 		case "tag":
-			o.Tag = value
+			spec.Tag = value
 		}
 	}
-	return o
+	return spec
 }
 
-// Prompt returns the prompt that orders o.
-func (o Order) Prompt() string {
-	return fmt.Sprintf("produce=%d seed=%d tag=%s", o.Tokens, o.Seed, o.Tag)
+// Prompt returns the prompt that specifies s.
+func (s Order) Prompt() string {
+	return fmt.Sprintf("produce=%d seed=%d tag=%s", s.Tokens, s.Seed, s.Tag)
 }
 
-// Text returns token i of a run: its index, a word that follows from the
-// seed, and the run's mark, which differs between any two runs.
-func (o Order) Text(i int, run string) string {
+// Token returns the text of token i of a run. It consists of the index, a word
+// derived from the seed, and the run ID, which differs between runs.
+func (s Order) Token(i int, runID string) string {
 	var b [24]byte
-	s := strconv.AppendUint(b[:0], o.Seed, 10)
-	s = append(s, '/')
-	s = strconv.AppendInt(s, int64(i), 10)
-	return strconv.Itoa(i) + "." + strconv.FormatUint(xxhash.Sum64(s)&0xffff, 16) + "." + run + " "
+	key := strconv.AppendUint(b[:0], s.Seed, 10)
+	key = append(key, '/')
+	key = strconv.AppendInt(key, int64(i), 10)
+	return strconv.Itoa(i) + "." + strconv.FormatUint(xxhash.Sum64(key)&0xffff, 16) + "." + runID + " "
 }
 
-// CheckText reports whether text is the whole answer to o from one run.
-func (o Order) CheckText(text string) error {
+// CheckComplete returns an error unless text is the complete output for s from a
+// single run.
+func (s Order) CheckText(text string) error {
 	words := strings.Fields(text)
-	if len(words) != o.Tokens {
-		return fmt.Errorf("%d tokens in place of %d", len(words), o.Tokens)
+	if len(words) != s.Tokens {
+		return fmt.Errorf("got %d tokens, want %d", len(words), s.Tokens)
 	}
-	return o.CheckPrefix(words)
+	return s.CheckPrefix(words)
 }
 
-// CheckPrefix reports whether words are the first tokens of an answer to o
-// from one run.
-func (o Order) CheckPrefix(words []string) error {
-	run := ""
+// CheckPrefix returns an error unless words are the first tokens of the output
+// for s from a single run.
+func (s Order) CheckPrefix(words []string) error {
+	runID := ""
 	for i, w := range words {
-		at := strings.LastIndexByte(w, '.')
-		if at < 0 {
-			return fmt.Errorf("token %d is %q", i, w)
+		dot := strings.LastIndexByte(w, '.')
+		if dot < 0 {
+			return fmt.Errorf("token %d is %q, which has no run ID", i, w)
 		}
-		if run == "" {
-			run = w[at+1:]
+		if runID == "" {
+			runID = w[dot+1:]
 		}
-		if want := strings.TrimSpace(o.Text(i, run)); w != want {
-			return fmt.Errorf("token %d is %q in place of %q", i, w, want)
+		if want := strings.TrimSpace(s.Token(i, runID)); w != want {
+			return fmt.Errorf("token %d is %q, want %q", i, w, want)
 		}
 	}
 	return nil
--- a/internal/fake/record/record.go
+++ b/internal/fake/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what a stand-in server ran, so that a test can hold the
-// system's words against it. With a file the record outlives the stand-in.
+// Package runlog records what a fake server ran, so that a test can check the
+// system's statements against it. A log in a file outlives the fake's process.
 package record
 
 import (
@@ -12,58 +12,59 @@
 	"github.com/gravitational/trace"
 )
 
-// Record counts the runs of each tag. It is safe for use by several
-// goroutines.
+// Log counts the runs of each tag. It is safe for concurrent use.
 type Record struct {
 	mu   sync.Mutex
 	runs map[string]int
 	file *os.File
 }
 
-// New returns an empty record in memory.
+// New returns an empty log that is kept in memory only.
 func New() *Record { return &Record{runs: map[string]int{}} }
 
-// Open returns a record that also appends each run to a file.
+// Open returns a log that also appends each run to the file at path. If path is
+// empty, the log is kept in memory only.
 func Open(path string) (*Record, error) {
-	r := New()
+	l := New()
 	if path == "" {
-		return r, nil
+		return l, nil
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
 	}
-	r.file = f
-	return r, nil
+	l.file = f
+	return l, nil
 }
 
-// Add notes one run of the tag, before it starts.
-func (r *Record) Add(tag string) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.runs[tag]++
-	if r.file == nil {
+// Add records one run of the tag. It is called before the run starts.
+func (l *Record) Add(tag string) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.runs[tag]++
+	if l.file == nil {
 		return nil
 	}
-	_, err := r.file.WriteString(tag + "\n")
+	_, err := l.file.WriteString(tag + "\n")
 	return trace.ConvertSystemError(err)
 }
 
 // Runs returns how often the tag ran.
-func (r *Record) Runs(tag string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.runs[tag]
+func (l *Record) Runs(tag string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.runs[tag]
 }
 
-// All returns the runs of every tag.
-func (r *Record) All() map[string]int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return maps.Clone(r.runs)
+// All returns the number of runs of each tag.
+func (l *Record) All() map[string]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return maps.Clone(l.runs)
 }
 
-// Read adds up the runs in record files.
+// Read returns the number of runs of each tag in the files at paths. Files that
+// do not exist are skipped.
 func Read(paths []string) (map[string]int, error) {
 	runs := map[string]int{}
 	for _, path := range paths {
--- a/internal/fake/roster/roster.go
+++ b/internal/fake/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is a stand-in for the platform's list of VMs, which shows
-// live and leaving VMs some time after the fact.
+// Package vmlist implements a fake of the platform's VM list, which shows live
+// and draining VMs with a delay.
 package roster
 
 import (
@@ -16,21 +16,21 @@
 	"umberladder/internal/fake/httpd"
 )
 
-// VM is one line of the list.
+// VM is an entry of the list.
 type VM struct {
-	Name    string
-	Address string // for the other VMs
-	Domain  string
-	Leaving bool
+	Name     string
+	Address  string // address for calls from other VMs
+	Domain   string
+	Draining bool
 }
 
 type change struct {
-	at   time.Time
-	vm   VM
-	gone bool
+	at      time.Time
+	vm      VM
+	removed bool
 }
 
-// Roster holds the changes and shows them after the lag.
+// List is a VM list that applies each change after a lag.
 type Roster struct {
 	lag time.Duration
 
@@ -39,55 +39,56 @@
 	vms     []VM
 }
 
-// New makes an empty list that does not lag.
+// New returns an empty list without lag.
 func New() *Roster { return &Roster{} }
 
-// Lagging applies what was set so far at once, and what comes later after lag.
-func (r *Roster) Lagging(lag time.Duration) *Roster {
-	r.List()
-	r.lag = lag
-	return r
+// WithLag sets the lag of later changes and returns the list. It first applies
+// the earlier changes that are due, which without a lag are all of them.
+func (l *Roster) Lagging(lag time.Duration) *Roster {
+	l.VMs()
+	l.lag = lag
+	return l
 }
 
 // Set adds or changes a VM.
-func (r *Roster) Set(vm VM) { r.add(change{at: time.Now(), vm: vm}) }
+func (l *Roster) Set(vm VM) { l.add(change{at: time.Now(), vm: vm}) }
 
-// Remove takes a VM off the list.
-func (r *Roster) Remove(name string) {
-	r.add(change{at: time.Now(), vm: VM{Name: name}, gone: true})
+// Remove deletes a VM from the list.
+func (l *Roster) Remove(name string) {
+	l.add(change{at: time.Now(), vm: VM{Name: name}, removed: true})
 }
 
-func (r *Roster) add(c change) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.changes = append(r.changes, c)
+func (l *Roster) add(c change) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.changes = append(l.changes, c)
 }
 
-// List returns the VMs as they were a lag ago.
-func (r *Roster) List() []VM {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for len(r.changes) > 0 && time.Since(r.changes[0].at) >= r.lag {
-		r.apply(r.changes[0])
-		r.changes = r.changes[1:]
+// VMs returns the VMs as they were one lag ago.
+func (l *Roster) VMs() []VM {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(l.changes) > 0 && time.Since(l.changes[0].at) >= l.lag {
+		l.apply(l.changes[0])
+		l.changes = l.changes[1:]
 	}
-	return slices.Clone(r.vms)
+	return slices.Clone(l.vms)
 }
 
-func (r *Roster) apply(c change) {
-	r.vms = slices.DeleteFunc(r.vms, func(v VM) bool { return v.Name == c.vm.Name })
-	if !c.gone {
-		r.vms = append(r.vms, c.vm)
+func (l *Roster) apply(c change) {
+	l.vms = slices.DeleteFunc(l.vms, func(v VM) bool { return v.Name == c.vm.Name })
+	if !c.removed {
+		l.vms = append(l.vms, c.vm)
 	}
 }
 
-// Serve answers on ln until ctx ends: GET /vms lists, PUT /vms/<name> with a
-// JSON body sets, DELETE /vms/<name> removes.
-func (r *Roster) Serve(ctx context.Context, ln net.Listener) error {
-	return httpd.Serve(ctx, ln, "vm-list", r.handle)
+// Serve accepts connections on ln until ctx is done. GET /vms lists the VMs, PUT
+// /vms/<name> with a JSON body adds or changes one, DELETE /vms/<name> removes it.
+func (l *Roster) Serve(ctx context.Context, ln net.Listener) error {
+	return httpd.Serve(ctx, ln, "vm-list", l.handle)
 }
 
-func (r *Roster) handle(ctx *fasthttp.RequestCtx) {
+func (l *Roster) handle(ctx *fasthttp.RequestCtx) {
 	name := strings.TrimPrefix(string(ctx.Path()), "/vms/")
 	switch {
 	case ctx.IsPut():
@@ -96,16 +97,16 @@
 			ctx.SetStatusCode(fasthttp.StatusBadRequest)
 			return
 		}
-		r.Set(VM{
-			Name:    name,
-			Address: string(v.GetStringBytes("address")),
-			Domain:  string(v.GetStringBytes("failure_domain")),
-			Leaving: v.GetBool("leaving"),
+		l.Set(VM{
+			Name:     name,
+			Address:  string(v.GetStringBytes("address")),
+			Domain:   string(v.GetStringBytes("failure_domain")),
+			Draining: v.GetBool("leaving"),
 		})
 	case ctx.IsDelete():
-		r.Remove(name)
+		l.Remove(name)
 	default:
-		ctx.SetBody(encode(r.List()))
+		ctx.SetBody(encode(l.VMs()))
 	}
 }
 
@@ -117,7 +118,7 @@
 		o.Set("name", a.NewString(vm.Name))
 		o.Set("address", a.NewString(vm.Address))
 		o.Set("failure_domain", a.NewString(vm.Domain))
-		if vm.Leaving {
+		if vm.Draining {
 			o.Set("leaving", a.NewTrue())
 		}
 		list.SetArrayItem(i, o)
