--- a/internal/test/check/check.go
+++ b/internal/test/check/check.go
@@ -1,4 +1,4 @@
-// Package check holds the assertions that tests share.
+// Package check provides assertions and settings that the tests share.
 package check
 
 import (
@@ -23,8 +23,7 @@
 	}
 }
 
-// Refusal fails the test unless r has the reason and the truth about its run,
-// and says when to come back if and only if it should.
+// Refusal fails the test unless r has the given reason and execution status.
 func Refusal(t testing.TB, r *refuse.Refusal, reason refuse.Reason, ran refuse.Ran) {
 	t.Helper()
 	assert.Assert(t, r != nil, "no refusal")
@@ -32,7 +31,8 @@
 	assert.Equal(t, r.Ran.String(), ran.String(), r.Detail)
 }
 
-// Field fails the test unless err names the path and says what is wanted.
+// FieldError fails the test unless err is a config.FieldError for the field at
+// path whose Want contains want.
 func Field(t testing.TB, err error, path, want string) {
 	t.Helper()
 	var f *config.FieldError
@@ -41,20 +41,21 @@
 	assert.Assert(t, strings.Contains(f.Want, want), "%q does not say %q", f.Want, want)
 }
 
-// Within fails the test unless ok becomes true in time.
-func Within(t testing.TB, d time.Duration, what string, ok func() bool) {
+// Eventually polls ok and fails the test unless it returns true within d.
+func Within(t testing.TB, d time.Duration, desc string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(d); ; time.Sleep(d / 200) {
 		if ok() {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not within %s: %s", d, what)
+			t.Fatalf("not within %s: %s", d, desc)
 		}
 	}
 }
 
-// Heap returns the bytes in use on the heap, after a collection.
+// HeapInUse returns the number of bytes allocated on the heap after a garbage
+// collection.
 func Heap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/test/check/seed.go
+++ b/internal/test/check/seed.go
@@ -5,11 +5,11 @@
 	"strconv"
 	"testing"
 
-	_ "pgregory.net/rapid" // declares the flags set below
+	_ "pgregory.net/rapid" // registers the flags that are set below
 )
 
-// The seed of rapid is fixed, so that every run gives the same verdict; other
-// seeds are tried with the flag -rapid.seed.
+// init fixes the seed of rapid, so that every run gives the same result. The
+// flag -rapid.seed selects another seed.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true", "rapid.steps": "60"} {
 		if err := flag.Set(name, value); err != nil {
@@ -18,18 +18,19 @@
 	}
 }
 
-// Checks makes rapid draw n cases in this test, in place of its usual 100.
+// RapidChecks makes rapid run n cases in this test instead of its default of
+// 100. A number set on the command line takes precedence.
 func Checks(t testing.TB, n int) {
 	t.Helper()
 	old := flag.Lookup("rapid.checks").Value.String()
 	if old != "100" {
-		return // asked for on the command line
+		return // set on the command line
 	}
-	set(t, strconv.Itoa(n))
-	t.Cleanup(func() { set(t, old) })
+	setChecks(t, strconv.Itoa(n))
+	t.Cleanup(func() { setChecks(t, old) })
 }
 
-func set(t testing.TB, n string) {
+func setChecks(t testing.TB, n string) {
 	t.Helper()
 	if err := flag.Set("rapid.checks", n); err != nil {
 		t.Fatal(err)
--- a/internal/test/stand/stand.go
+++ b/internal/test/stand/stand.go
@@ -1,6 +1,6 @@
-// Package stand runs a whole small fleet inside a test: the stand-ins of the
-// platform, engines and plain servers, and entry VMs, on loopback addresses
-// that no other package's tests use.
+// Package inproc runs a small fleet in the process of a test: entry VMs, and
+// fakes of the platform, the engines and the plain servers. It listens on
+// loopback addresses that the tests of other packages do not use.
 package stand
 
 import (
@@ -33,38 +33,40 @@
 	"umberladder/internal/test/check"
 )
 
-// Stand is a running fleet.
+// Fleet is a running fleet.
 type Stand struct {
 	Fleet   *plan.Fleet
 	Store   *store.Server
 	Engines []*engine.Engine
 	Plain   []*plain.Server
 
-	t      testing.TB
-	group  *errgroup.Group
-	ctx    context.Context
-	adjust func(*conf.Node)
-	errors zapcore.Core // what the VMs log as errors
-	stops  map[int]context.CancelFunc
-	ended  map[int]chan struct{}
+	t        testing.TB
+	group    *errgroup.Group
+	ctx      context.Context
+	adjust   func(*conf.Node)
+	errorLog zapcore.Core // receives the error log lines of the VMs
+	cancels  map[int]context.CancelFunc
+	done     map[int]chan struct{}
 }
 
-// New starts a fleet of n VMs in the loopback network 127.net.0.0 and waits
-// until all are ready. adjust may change a node's settings, and may be nil.
-func New(t testing.TB, net, n int, adjust func(*conf.Node)) *Stand {
+// New starts a fleet of n VMs in the loopback network 127.network.0.0 and waits
+// until all are ready. If adjust is not nil, it is called with the settings of
+// each VM before the VM starts. When the test ends, New's cleanup stops the
+// fleet and fails the test if a VM logged a violated invariant.
+func New(t testing.TB, network, n int, adjust func(*conf.Node)) *Stand {
 	t.Helper()
-	p := plan.Profile{Name: "test", Domains: 2, Engines: 2, Plain: 2, Memory: 4000, Batch: 16, Step: 2 * time.Millisecond}
-	f, err := plan.New(t.TempDir(), p, n, net)
+	profile := plan.Profile{Name: "test", Domains: 2, Engines: 2, Plain: 2, Memory: 4000, Batch: 16, Step: 2 * time.Millisecond}
+	layout, err := plan.New(t.TempDir(), profile, n, network)
 	assert.NilError(t, err)
-	assert.NilError(t, f.Write())
+	assert.NilError(t, layout.Write())
 	ctx, cancel := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	s := &Stand{Fleet: f, t: t, group: g, ctx: ctx, adjust: adjust, stops: map[int]context.CancelFunc{}, ended: map[int]chan struct{}{}}
+	f := &Stand{Fleet: layout, t: t, group: g, ctx: ctx, adjust: adjust, cancels: map[int]context.CancelFunc{}, done: map[int]chan struct{}{}}
 	core, logs := observer.New(zap.ErrorLevel)
-	s.errors = core
+	f.errorLog = core
 	t.Cleanup(func() {
-		for i := range s.stops {
-			s.Stop(i)
+		for i := range f.cancels {
+			f.Stop(i)
 		}
 		cancel()
 		assert.NilError(t, g.Wait())
@@ -72,133 +74,134 @@
 			t.Errorf("invariant violated: %v", entry.ContextMap())
 		}
 	})
-	s.platform()
-	s.servers()
+	f.startPlatform()
+	f.startServers()
 	for i := range n {
-		s.Start(i)
+		f.Start(i)
 	}
 	for i := range n {
-		s.Ready(i)
+		f.Ready(i)
 	}
-	return s
+	return f
 }
 
 type server interface {
 	Serve(ctx context.Context, ln net.Listener) error
 }
 
-func (s *Stand) serve(addr netip.AddrPort, sv server) {
-	s.t.Helper()
+func (f *Stand) startServer(addr netip.AddrPort, srv server) {
+	f.t.Helper()
 	ln, err := net.Listen("tcp", addr.String())
-	assert.NilError(s.t, err)
-	s.group.Go(func() error { return sv.Serve(s.ctx, ln) })
+	assert.NilError(f.t, err)
+	f.group.Go(func() error { return srv.Serve(f.ctx, ln) })
 }
 
-func (s *Stand) platform() {
+func (f *Stand) startPlatform() {
 	table := store.NewTable()
 	for path, file := range map[string]string{
 		"/system":                        "system.json",
 		"/workspaces/" + plan.Installers: plan.Installers + ".json",
 		"/workspaces/" + plan.Faultdesk:  plan.Faultdesk + ".json",
 	} {
-		body, err := os.ReadFile(s.Fleet.Dir + "/" + file)
-		assert.NilError(s.t, err)
+		body, err := os.ReadFile(f.Fleet.Dir + "/" + file)
+		assert.NilError(f.t, err)
 		v := spread.Value{Body: body}
 		data, err := v.Encode()
-		assert.NilError(s.t, err)
+		assert.NilError(f.t, err)
 		table.Put(spread.Prefix+path, data, 0, 0, time.Now())
 	}
 	list := roster.New()
-	for _, n := range s.Fleet.Peers {
+	for _, n := range f.Fleet.Peers {
 		list.Set(roster.VM{Name: n.Name, Address: n.Address.String(), Domain: n.Domain})
 	}
-	s.Store = store.New(table, 1)
-	s.serve(s.Fleet.Store, s.Store)
-	s.serve(s.Fleet.VMList, list)
+	f.Store = store.New(table, 1)
+	f.startServer(f.Fleet.Store, f.Store)
+	f.startServer(f.Fleet.VMList, list)
 }
 
-func (s *Stand) servers() {
-	for _, n := range s.Fleet.Engines {
+func (f *Stand) startServers() {
+	for _, n := range f.Fleet.Engines {
 		cfg := engine.DefaultConfig(n.Name)
-		cfg.Memory, cfg.StepBase = s.Fleet.Profile.Memory, s.Fleet.Profile.Step
+		cfg.Memory, cfg.StepBase = f.Fleet.Profile.Memory, f.Fleet.Profile.Step
 		cfg.ReportLag = 50 * time.Millisecond
 		e := engine.New(cfg, record.New())
-		s.Engines = append(s.Engines, e)
-		s.serve(n.Address, e)
-		s.group.Go(func() error { return e.Run(s.ctx) })
+		f.Engines = append(f.Engines, e)
+		f.startServer(n.Address, e)
+		f.group.Go(func() error { return e.Run(f.ctx) })
 	}
-	for _, n := range s.Fleet.Plain {
+	for _, n := range f.Fleet.Plain {
 		p := plain.New(n.Name, record.New())
-		s.Plain = append(s.Plain, p)
-		s.serve(n.Address, p)
+		f.Plain = append(f.Plain, p)
+		f.startServer(n.Address, p)
 	}
 }
 
 // Start starts VM i.
-func (s *Stand) Start(i int) {
-	s.t.Helper()
-	cfg, err := conf.Read(fmt.Sprintf("%s/%s.json", s.Fleet.Dir, s.Fleet.VMs[i].Name))
-	assert.NilError(s.t, err)
+func (f *Stand) Start(i int) {
+	f.t.Helper()
+	cfg, err := conf.Read(fmt.Sprintf("%s/%s.json", f.Fleet.Dir, f.Fleet.VMs[i].Name))
+	assert.NilError(f.t, err)
 	cfg.Limits.DrainDelay = 100 * time.Millisecond
 	cfg.Limits.LoadInterval = 50 * time.Millisecond
-	if s.adjust != nil {
-		s.adjust(cfg)
+	if f.adjust != nil {
+		f.adjust(cfg)
 	}
-	vm, err := serve.New(cfg, zap.New(s.errors))
-	assert.NilError(s.t, err)
-	stop, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	s.stops[i], s.ended[i] = cancel, ended
-	s.group.Go(func() error {
-		defer close(ended)
-		return vm.Run(stop)
+	vm, err := serve.New(cfg, zap.New(f.errorLog))
+	assert.NilError(f.t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	f.cancels[i], f.done[i] = cancel, done
+	f.group.Go(func() error {
+		defer close(done)
+		return vm.Run(ctx)
 	})
 }
 
-// Ready waits until VM i is ready for callers.
-func (s *Stand) Ready(i int) {
-	s.t.Helper()
-	check.Within(s.t, 20*time.Second, "VM ready", func() bool {
-		code, _ := s.Get(i, "/readyz", "")
+// WaitReady waits until VM i is ready for callers.
+func (f *Stand) Ready(i int) {
+	f.t.Helper()
+	check.Within(f.t, 20*time.Second, "VM ready", func() bool {
+		code, _ := f.Get(i, "/readyz", "")
 		return code == http.StatusOK
 	})
 }
 
-// Leave tells VM i to leave gracefully, and returns at once.
-func (s *Stand) Leave(i int) { s.stops[i]() }
+// BeginShutdown starts a graceful shutdown of VM i and returns immediately.
+func (f *Stand) Leave(i int) { f.cancels[i]() }
 
-// Ended is closed when VM i has ended.
-func (s *Stand) Ended(i int) <-chan struct{} { return s.ended[i] }
+// Done returns a channel that is closed when VM i has stopped.
+func (f *Stand) Ended(i int) <-chan struct{} { return f.done[i] }
 
-// Stop makes VM i leave and waits until it has ended.
-func (s *Stand) Stop(i int) {
-	s.stops[i]()
-	<-s.ended[i]
+// Stop shuts VM i down gracefully and waits until it has stopped.
+func (f *Stand) Stop(i int) {
+	f.cancels[i]()
+	<-f.done[i]
 }
 
-// URL returns the address of a path of VM i's interface for callers.
-func (s *Stand) URL(i int, path string) string {
-	return "http://" + s.Fleet.VMs[i].Address.String() + path
+// URL returns the URL of a path of VM i's caller API.
+func (f *Stand) URL(i int, path string) string {
+	return "http://" + f.Fleet.VMs[i].Address.String() + path
 }
 
-// Get fetches a path of VM i as a caller of the workspace.
-func (s *Stand) Get(i int, path, workspace string) (int, string) {
-	code, body, _ := s.Call(i, http.MethodGet, path, workspace, "")
+// Get requests a path of VM i's caller API as a caller of the workspace.
+func (f *Stand) Get(i int, path, workspace string) (int, string) {
+	code, body, _ := f.Call(i, http.MethodGet, path, workspace, "")
 	return code, body
 }
 
-// Call sends a request to VM i as a caller of the workspace. A code of 0 means
-// that the connection failed.
-func (s *Stand) Call(i int, method, path, workspace, body string, headers ...string) (int, string, http.Header) {
-	return s.Do(method, s.URL(i, path), plan.CallerKey(workspace), body, headers...)
+// Call sends a request to VM i's caller API as a caller of the workspace. The
+// status code is 0 if the exchange failed. headers holds names and values in turn.
+func (f *Stand) Call(i int, method, path, workspace, body string, headers ...string) (int, string, http.Header) {
+	return f.Do(method, f.URL(i, path), plan.CallerKey(workspace), body, headers...)
 }
 
-// Do sends a request with a bearer key.
-func (s *Stand) Do(method, url, key, body string, headers ...string) (int, string, http.Header) {
+// Do sends a request with key as the bearer token. The status code is 0 if the
+// exchange failed; the body is then the text of the error.
+func (f *Stand) Do(method, url, key, body string, headers ...string) (int, string, http.Header) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
-	assert.NilError(s.t, err)
+	assert.NilError(f.t, err)
 	req.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
@@ -215,7 +218,8 @@
 	return resp.StatusCode, string(data), resp.Header
 }
 
-// Operate sends a request to VM i's interface for operators.
-func (s *Stand) Operate(i int, method, path, subtree, body string, headers ...string) (int, string, http.Header) {
-	return s.Do(method, "http://"+s.Fleet.Operators[i].Address.String()+path, plan.OperatorKey(subtree), body, headers...)
+// CallOperator sends a request to VM i's operator API with the operator key of
+// the subtree.
+func (f *Stand) Operate(i int, method, path, subtree, body string, headers ...string) (int, string, http.Header) {
+	return f.Do(method, "http://"+f.Fleet.Operators[i].Address.String()+path, plan.OperatorKey(subtree), body, headers...)
 }
--- a/internal/test/style/style_test.go
+++ b/internal/test/style/style_test.go
@@ -1,4 +1,4 @@
-// Package style holds rules on the source that the linter can't state.
+// Package style checks rules on the source code that the linter cannot express.
 package style
 
 import (
@@ -14,59 +14,61 @@
 	"gotest.tools/v3/assert"
 )
 
-const root = "../../.."
+const moduleRoot = "../../.."
 
-// sources calls f with every source file that is not generated.
-func sources(t *testing.T, f func(path string, file *ast.File, set *token.FileSet)) {
+// walkSources calls f for each Go source file that is not generated.
+func walkSources(t *testing.T, f func(path string, file *ast.File, fset *token.FileSet)) {
 	t.Helper()
-	set := token.NewFileSet()
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	fset := token.NewFileSet()
+	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") ||
 			strings.HasSuffix(path, ".pb.go") || strings.HasSuffix(path, ".twirp.go") {
 			return err
 		}
-		file, err := parser.ParseFile(set, path, nil, parser.ParseComments)
+		file, err := parser.ParseFile(fset, path, nil, parser.ParseComments)
 		if err != nil {
 			return err
 		}
-		f(path, file, set)
+		f(path, file, fset)
 		return nil
 	})
 	assert.NilError(t, err)
 }
 
-// TestNoBareGo fails on a go statement: goroutines start through a group.
-func TestNoBareGo(t *testing.T) {
+// TestNoGoStatements fails if there is a go statement. Goroutines have to be
+// started through a group.
+func TestNoGoStatements(t *testing.T) {
 	files := 0
-	sources(t, func(_ string, file *ast.File, set *token.FileSet) {
+	walkSources(t, func(_ string, file *ast.File, fset *token.FileSet) {
 		files++
 		ast.Inspect(file, func(n ast.Node) bool {
 			if g, ok := n.(*ast.GoStmt); ok {
-				t.Errorf("%s: a go statement; start it through a group", set.Position(g.Pos()))
+				t.Errorf("%s: go statement; start the goroutine through a group", fset.Position(g.Pos()))
 			}
 			return true
 		})
 	})
-	assert.Assert(t, files > 50, "only %d files were read", files)
+	assert.Assert(t, files > 50, "only %d files were parsed", files)
 }
 
-// TestPackageNames holds packages to internal/<area>/<four to six letters>.
+// TestPackageNames fails if the path of an internal package does not have the
+// form internal/<area>/<four to six lower-case letters>.
 func TestPackageNames(t *testing.T) {
-	right := regexp.MustCompile(`^internal/[a-z]+/[a-z]{4,6}$`)
-	sources(t, func(path string, _ *ast.File, _ *token.FileSet) {
-		rel, err := filepath.Rel(root, filepath.Dir(path))
+	validPath := regexp.MustCompile(`^internal/[a-z]+/[a-z]{4,6}$`)
+	walkSources(t, func(path string, _ *ast.File, _ *token.FileSet) {
+		rel, err := filepath.Rel(moduleRoot, filepath.Dir(path))
 		assert.NilError(t, err)
-		if strings.HasPrefix(rel, "internal/") && !right.MatchString(filepath.ToSlash(rel)) {
-			t.Errorf("%s is no package path of the house style", rel)
+		if strings.HasPrefix(rel, "internal/") && !validPath.MatchString(filepath.ToSlash(rel)) {
+			t.Errorf("%s: package path does not match internal/<area>/<four to six lower-case letters>", rel)
 		}
 	})
 }
 
-// TestNoTagsOnDomainTypes holds domain types to having no tags: only types of the
-// codecs, whose names end in Wire, and those of tests and of the load driver's
-// output have them.
+// TestNoTagsOnDomainTypes fails if a domain type has struct tags. Tags are allowed
+// only on codec types, whose names end in Wire, on types in tests, and on the output
+// types of the load driver.
 func TestNoTagsOnDomainTypes(t *testing.T) {
-	sources(t, func(path string, file *ast.File, set *token.FileSet) {
+	walkSources(t, func(path string, file *ast.File, fset *token.FileSet) {
 		if strings.HasSuffix(path, "_test.go") || strings.Contains(path, "internal/load/") {
 			return
 		}
@@ -77,7 +79,7 @@
 			}
 			ast.Inspect(spec, func(n ast.Node) bool {
 				if f, ok := n.(*ast.Field); ok && f.Tag != nil {
-					t.Errorf("%s: a tag on the domain type %s", set.Position(f.Pos()), spec.Name.Name)
+					t.Errorf("%s: struct tag on domain type %s", fset.Position(f.Pos()), spec.Name.Name)
 				}
 				return true
 			})
