--- a/internal/proc/serve/doc.go
+++ b/internal/proc/serve/doc.go
@@ -1,3 +1,3 @@
-// Package serve puts the parts of an entry VM together and runs them until
-// the process is told to stop, and then until every request has ended.
+// Package serve assembles the components of an entry VM, runs them until the
+// process is asked to stop, and then waits until every request has ended.
 package serve
--- a/internal/proc/serve/run.go
+++ b/internal/proc/serve/run.go
@@ -14,15 +14,18 @@
 )
 
 const (
-	// leaveTime bounds the handing on of what this VM keeps for others.
-	leaveTime = 5 * time.Second
-	// A new VM is not ready until the others know it and it keeps what is its
-	// to keep; but a store that is down must not keep it out for ever.
-	joinLeast = 2 * time.Second
-	joinMost  = 8 * time.Second
+	// handoverTimeout bounds the handover of this VM's shards of idempotency
+	// keys to other VMs at shutdown.
+	handoverTimeout = 5 * time.Second
+	// A new VM becomes ready once the other VMs know it and it holds the shards
+	// assigned to it, after minJoinTime at the earliest. After maxJoinTime it
+	// becomes ready regardless, because an unavailable store must not keep it
+	// out of service indefinitely.
+	minJoinTime = 2 * time.Second
+	maxJoinTime = 8 * time.Second
 )
 
-// listeners are the ports of a VM.
+// listeners holds the TCP listeners of a VM.
 type listeners struct {
 	callers, operators, peers net.Listener
 }
@@ -47,8 +50,8 @@
 	return l, nil
 }
 
-// Run serves until stop is done or operators drain the VM, and then until
-// every request has ended.
+// Run serves until stop is done or an operator drains the VM, and then waits
+// until every request has ended.
 func (v *VM) Run(stop context.Context) error {
 	defer v.cancel()
 	l, err := v.listen()
@@ -59,10 +62,10 @@
 	v.log.Info("serving", zap.String("vm", string(v.cfg.Name)), zap.Stringer("callers", v.cfg.Callers))
 	select {
 	case <-stop.Done():
-	case <-v.drain:
+	case <-v.drainRequested:
 	case <-v.ctx.Done():
 	}
-	err = v.leave()
+	err = v.shutDown()
 	v.cancel()
 	if werr := v.group.Wait(); err == nil && !errors.Is(werr, context.Canceled) {
 		err = werr
@@ -70,22 +73,22 @@
 	return trace.Wrap(err)
 }
 
-// start starts every loop of the VM in its group.
+// start starts the VM's background loops and servers in its goroutine group.
 func (v *VM) start(l *listeners) {
 	loops := []func() error{
 		func() error { return v.fleet.Run(v.ctx) },
 		func() error { return v.fleet.Receive(v.ctx) },
 		func() error { return v.fleet.Follow(v.ctx) },
 		func() error { return v.follower.Run(v.ctx) },
-		func() error { return v.keeper.Run(v.ctx) },
+		func() error { return v.shards.Run(v.ctx) },
 		v.join,
-		func() error { return v.loads.Run(v.ctx, v.group) },
-		func() error { return v.home.Run(v.ctx) },
-		func() error { return v.desk.Run(v.ctx) },
-		func() error { return v.callers.Serve(l.callers) },
-		func() error { return v.oper.Serve(v.ctx, l.operators) },
+		func() error { return v.poller.Run(v.ctx, v.group) },
+		func() error { return v.coordinator.Run(v.ctx) },
+		func() error { return v.placementClient.Run(v.ctx) },
+		func() error { return v.callerServer.Serve(l.callers) },
+		func() error { return v.operatorServer.Serve(v.ctx, l.operators) },
 		func() error {
-			return nodes.Serve(v.ctx, l.peers, v.ring, &v.traffic, nodes.NewServer(v.follower, v.keeper, v.home, v))
+			return nodes.Serve(v.ctx, l.peers, v.keyRing, &v.traffic, nodes.NewServer(v.follower, v.shards, v.coordinator, v))
 		},
 	}
 	for _, f := range loops {
@@ -93,10 +96,11 @@
 	}
 }
 
-// join makes the VM ready once it has its place among the others.
+// join marks the VM ready once it holds the shards assigned to it, or after
+// maxJoinTime.
 func (v *VM) join() error {
 	start := time.Now()
-	t := time.NewTicker(joinLeast / 10)
+	t := time.NewTicker(minJoinTime / 10)
 	defer t.Stop()
 	for {
 		select {
@@ -105,25 +109,25 @@
 		case <-t.C:
 		}
 		up := time.Since(start)
-		if up >= joinMost || up >= joinLeast && v.keeper.Settled() {
-			v.entry.Join()
+		if up >= maxJoinTime || up >= minJoinTime && v.shards.Settled() {
+			v.handler.Join()
 			return nil
 		}
 	}
 }
 
-// leave takes the VM out of the balancer and of the others' view, hands on
-// what it keeps for them, and waits until every request has ended, however
-// long that takes.
-func (v *VM) leave() error {
+// shutDown makes the readiness check fail, announces the departure to the other
+// VMs, hands over this VM's shards, and waits without a time limit until every
+// request has ended.
+func (v *VM) shutDown() error {
 	v.log.Info("leaving")
-	v.entry.Drain()
+	v.handler.Drain()
 	v.fleet.Leave()
-	ctx, cancel := context.WithTimeout(v.ctx, leaveTime)
-	v.keeper.Leave(ctx)
+	ctx, cancel := context.WithTimeout(v.ctx, handoverTimeout)
+	v.shards.Leave(ctx)
 	cancel()
-	err := v.callers.Shutdown(v.ctx)
-	v.entry.Ended()
-	v.log.Info("left")
+	err := v.callerServer.Shutdown(v.ctx)
+	v.handler.Ended()
+	v.log.Info("shutdown complete")
 	return trace.Wrap(err)
 }
--- a/internal/proc/serve/serve_test.go
+++ b/internal/proc/serve/serve_test.go
@@ -27,11 +27,11 @@
 )
 
 const (
-	completions = "/v1/completions"
-	book        = "/v1/services/" + plan.Bookings + "/do?tag="
+	completionsPath = "/v1/completions"
+	bookPath        = "/v1/services/" + plan.Bookings + "/do?tag="
 )
 
-// problem is the part of a problem document that these tests read.
+// problem holds the members of a problem document that these tests check.
 type problem struct {
 	Reason string
 	Ran    string
@@ -47,7 +47,7 @@
 	return p
 }
 
-func order(tokens int, tag string) prompt.Order {
+func promptOrder(tokens int, tag string) prompt.Order {
 	return prompt.Order{Tokens: tokens, Seed: 7, Tag: tag}
 }
 
@@ -55,9 +55,9 @@
 	return fmt.Sprintf(`{"model":%q,"prompt":%q%s}`, plan.Proposals, o.Prompt(), more)
 }
 
-func key() string { return uuid.Must(uuid.NewV7()).String() }
+func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-func small(c *conf.Node) {
+func smallLimits(c *conf.Node) {
 	c.Limits.Body = 4 << 10
 	c.Limits.Header = 2 << 10
 	c.Limits.Read = 400 * time.Millisecond
@@ -65,13 +65,13 @@
 }
 
 func TestCallers(t *testing.T) {
-	s := stand.New(t, 101, 2, small)
+	s := stand.New(t, 101, 2, smallLimits)
 	t.Run("bad input", func(t *testing.T) { badInput(t, s) })
-	t.Run("who may ask", func(t *testing.T) { whoMayAsk(t, s) })
-	t.Run("whole, chat and models", func(t *testing.T) { answers(t, s) })
+	t.Run("who may ask", func(t *testing.T) { authorization(t, s) })
+	t.Run("whole, chat and models", func(t *testing.T) { completeResponses(t, s) })
 	t.Run("a slow sender is cut off", func(t *testing.T) { slowSender(t, s) })
-	t.Run("a caller that stops reading", func(t *testing.T) { stalledReader(t, s) })
-	t.Run("a refusal explains itself", func(t *testing.T) { explained(t, s) })
+	t.Run("a caller that stops reading", func(t *testing.T) { stalledClient(t, s) })
+	t.Run("a refusal explains itself", func(t *testing.T) { refusalExplained(t, s) })
 	t.Run("resumed through another VM", func(t *testing.T) { resumed(t, s) })
 	t.Run("metrics", func(t *testing.T) {
 		code, body := s.Get(0, "/metrics", "")
@@ -87,18 +87,18 @@
 		path, body, reason, says string
 		code                     int
 	}{
-		"broken JSON":       {completions, `{"model":`, "bad-input", "not valid JSON", 400},
-		"not an object":     {completions, `[]`, "bad-input", "JSON object", 400},
-		"no model":          {completions, `{"prompt":"x"}`, "bad-input", "model:", 400},
-		"no prompt":         {completions, `{"model":"proposals"}`, "bad-input", "prompt:", 400},
-		"unknown model":     {completions, `{"model":"nothing","prompt":"x"}`, "not-found", "no such service", 404},
-		"negative tokens":   {completions, `{"model":"proposals","prompt":"x","max_tokens":-1}`, "bad-input", "max_tokens:", 400},
-		"absurd tokens":     {completions, `{"model":"proposals","prompt":"x","max_tokens":1e12}`, "bad-input", "max_tokens:", 400},
-		"several answers":   {completions, `{"model":"proposals","prompt":"x","n":3}`, "bad-input", "n:", 400},
-		"stream is no bool": {completions, `{"model":"proposals","prompt":"x","stream":"yes"}`, "bad-input", "stream:", 400},
+		"broken JSON":       {completionsPath, `{"model":`, "bad-input", "not valid JSON", 400},
+		"not an object":     {completionsPath, `[]`, "bad-input", "JSON object", 400},
+		"no model":          {completionsPath, `{"prompt":"x"}`, "bad-input", "model:", 400},
+		"no prompt":         {completionsPath, `{"model":"proposals"}`, "bad-input", "prompt:", 400},
+		"unknown model":     {completionsPath, `{"model":"nothing","prompt":"x"}`, "not-found", "no such service", 404},
+		"negative tokens":   {completionsPath, `{"model":"proposals","prompt":"x","max_tokens":-1}`, "bad-input", "max_tokens:", 400},
+		"absurd tokens":     {completionsPath, `{"model":"proposals","prompt":"x","max_tokens":1e12}`, "bad-input", "max_tokens:", 400},
+		"several answers":   {completionsPath, `{"model":"proposals","prompt":"x","n":3}`, "bad-input", "n:", 400},
+		"stream is no bool": {completionsPath, `{"model":"proposals","prompt":"x","stream":"yes"}`, "bad-input", "stream:", 400},
 		"no messages":       {"/v1/chat/completions", `{"model":"proposals"}`, "bad-input", "messages:", 400},
 		"an image":          {"/v1/chat/completions", `{"model":"proposals","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, "bad-input", "messages/0/content", 400},
-		"a large body":      {completions, `{"model":"` + long + `"}`, "too-large", "4096 bytes", 413},
+		"a large body":      {completionsPath, `{"model":"` + long + `"}`, "too-large", "4096 bytes", 413},
 		"nothing there":     {"/v2", ``, "not-found", "/v2", 404},
 		"a bad handle":      {"/v1/resume/AAAA", ``, "not-found", "seal", 404},
 		"a bad service":     {"/v1/services/../x", ``, "not-found", "", 404},
@@ -118,25 +118,25 @@
 		assert.Equal(t, parse(t, body).Reason, "header-too-large")
 	})
 	t.Run("a class that is not there", func(t *testing.T) {
-		code, body, _ := s.Call(0, http.MethodPost, completions, plan.Installers, generation(order(1, "c"), ""), "Umberladder-Class", "first")
+		code, body, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(1, "c"), ""), "Umberladder-Class", "first")
 		assert.Equal(t, code, 400, body)
 	})
 }
 
-func whoMayAsk(t *testing.T, s *stand.Stand) {
-	code, body, _ := s.Call(0, http.MethodPost, completions, "nobody", generation(order(1, "w"), ""))
+func authorization(t *testing.T, s *stand.Stand) {
+	code, body, _ := s.Call(0, http.MethodPost, completionsPath, "nobody", generation(promptOrder(1, "w"), ""))
 	assert.Equal(t, code, 401)
 	assert.Equal(t, parse(t, body).Reason, "wrong-key")
 	triage := fmt.Sprintf(`{"model":%q,"prompt":"x"}`, plan.Triage)
-	code, _, _ = s.Call(0, http.MethodPost, completions, plan.Installers, triage)
+	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.Installers, triage)
 	assert.Equal(t, code, 404, "another team's service")
-	code, _, _ = s.Call(0, http.MethodPost, completions, plan.Faultdesk, triage)
+	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.Faultdesk, triage)
 	assert.Equal(t, code, 200)
 }
 
-func answers(t *testing.T, s *stand.Stand) {
-	o := order(5, "whole")
-	code, body, _ := s.Call(1, http.MethodPost, completions, plan.Installers, generation(o, ""))
+func completeResponses(t *testing.T, s *stand.Stand) {
+	o := promptOrder(5, "whole")
+	code, body, _ := s.Call(1, http.MethodPost, completionsPath, plan.Installers, generation(o, ""))
 	assert.Equal(t, code, 200, body)
 	var c struct {
 		Choices []struct {
@@ -162,7 +162,8 @@
 	assert.Assert(t, strings.Contains(body, plan.Proposals) && !strings.Contains(body, plan.Triage) && !strings.Contains(body, plan.Bookings))
 }
 
-// slowSender sends a byte now and then, as a slow-loris does.
+// slowSender sends one byte every 50 ms, as a Slowloris attack does, and expects
+// the connection to be closed.
 func slowSender(t *testing.T, s *stand.Stand) {
 	c, err := net.Dial("tcp", s.Fleet.VMs[0].Address.String())
 	assert.NilError(t, err)
@@ -177,25 +178,28 @@
 	assert.Assert(t, time.Since(start) < 3*time.Second, "still connected after %s", time.Since(start))
 }
 
-// stalledReader asks for a long stream and does not read it: it costs one
-// connection for a bounded time, and the VM goes on serving.
-func stalledReader(t *testing.T, s *stand.Stand) {
-	before := openOf(t, s)
+// stalledClient requests a long stream and does not read it. The connection
+// must be closed within a bounded time, and other requests must be served
+// meanwhile.
+func stalledClient(t *testing.T, s *stand.Stand) {
+	before := negatedAbandonedCount(t, s)
 	c, err := net.Dial("tcp", s.Fleet.VMs[0].Address.String())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	assert.NilError(t, c.(*net.TCPConn).SetReadBuffer(1<<10))
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"prompt":%q}`, plan.Proposals, order(1500, "stalled").Prompt())
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"prompt":%q}`, plan.Proposals, promptOrder(1500, "stalled").Prompt())
 	_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
-		completions, plan.CallerKey(plan.Installers), len(body), body)
+		completionsPath, plan.CallerKey(plan.Installers), len(body), body)
 	assert.NilError(t, err)
-	code, _, _ := s.Call(0, http.MethodPost, completions, plan.Installers, generation(order(3, "beside"), ""))
+	code, _, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(3, "beside"), ""))
 	assert.Equal(t, code, 200)
-	check.Within(t, 15*time.Second, "the stalled stream ends", func() bool { return openOf(t, s) <= before })
+	check.Within(t, 15*time.Second, "the stalled stream ends", func() bool { return negatedAbandonedCount(t, s) <= before })
 }
 
-// openOf returns how many requests VM 0 has ended as left or complete.
-func openOf(t *testing.T, s *stand.Stand) int {
+// negatedAbandonedCount returns the negated number of metric lines of VM 0 for
+// requests that ended with the outcome "left". It falls when the first such
+// request of a service, workspace and class is counted.
+func negatedAbandonedCount(t *testing.T, s *stand.Stand) int {
 	t.Helper()
 	_, body := s.Get(0, "/metrics", "")
 	ended := 0
@@ -207,8 +211,8 @@
 	return -ended
 }
 
-func explained(t *testing.T, s *stand.Stand) {
-	_, body, _ := s.Call(0, http.MethodPost, completions, plan.Installers, `{"model":"nothing","prompt":"x"}`)
+func refusalExplained(t *testing.T, s *stand.Stand) {
+	_, body, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, `{"model":"nothing","prompt":"x"}`)
 	p := parse(t, body)
 	assert.Assert(t, p.Code != "")
 	code, body := s.Get(1, "/v1/refusals/"+p.Code, "")
@@ -218,22 +222,21 @@
 	assert.Equal(t, code, 404, "a forged code")
 }
 
-// resumed breaks a stream off after some tokens and goes on through another
-// VM.
+// resumed drops a stream after 20 tokens and resumes it through another VM.
 func resumed(t *testing.T, s *stand.Stand) {
-	o := order(60, "resumed")
+	o := promptOrder(60, "resumed")
 	var words []string
-	handle, last := readSome(t, s.URL(0, completions), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 20, &words)
+	handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 20, &words)
 	assert.Equal(t, last, "19")
 	code, body, _ := s.Call(1, http.MethodGet, "/v1/resume/"+handle, plan.Installers, "", "Last-Event-ID", last)
 	assert.Equal(t, code, 200, body)
-	words = append(words, texts(t, body)...)
+	words = append(words, tokenTexts(t, body)...)
 	assert.NilError(t, o.CheckText(strings.Join(words, "")))
 	assert.Equal(t, s.Engines[0].Runs("resumed")+s.Engines[1].Runs("resumed"), 1)
 	t.Run("through two VMs at once", func(t *testing.T) {
-		o := order(60, "resumed-twice")
+		o := promptOrder(60, "resumed-twice")
 		var head []string
-		handle, last := readSome(t, s.URL(0, completions), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 10, &head)
+		handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 10, &head)
 		bodies := make([]string, 2)
 		var g errgroup.Group
 		for i := range bodies {
@@ -244,7 +247,7 @@
 		}
 		assert.NilError(t, g.Wait())
 		for _, body := range bodies {
-			assert.NilError(t, o.CheckText(strings.Join(append(slices.Clone(head), texts(t, body)...), "")))
+			assert.NilError(t, o.CheckText(strings.Join(append(slices.Clone(head), tokenTexts(t, body)...), "")))
 		}
 		assert.Equal(t, s.Engines[0].Runs("resumed-twice")+s.Engines[1].Runs("resumed-twice"), 1)
 	})
@@ -254,8 +257,9 @@
 	})
 }
 
-// readSome starts a stream, reads n tokens, and drops the connection.
-func readSome(t *testing.T, url, key, body string, n int, words *[]string) (string, string) {
+// readTokens starts a stream, reads n tokens and drops the connection. It returns
+// the resume handle and the last event ID.
+func readTokens(t *testing.T, url, key, body string, n int, words *[]string) (string, string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -274,13 +278,13 @@
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
 			last = strings.TrimSpace(id)
 		}
-		*words = append(*words, texts(t, line)...)
+		*words = append(*words, tokenTexts(t, line)...)
 	}
 	return resp.Header.Get("Umberladder-Resume"), last
 }
 
-// texts returns the tokens in the events of a stream.
-func texts(t *testing.T, body string) []string {
+// tokenTexts returns the texts of the tokens in a stream's events.
+func tokenTexts(t *testing.T, body string) []string {
 	t.Helper()
 	var out []string
 	for _, line := range strings.Split(body, "\n") {
@@ -306,7 +310,7 @@
 	s := stand.New(t, 102, 3, nil)
 	runs := func(tag string) int { return s.Plain[0].Runs(tag) + s.Plain[1].Runs(tag) }
 	for name, k := range map[string]func() string{
-		"UUIDv7":      key,
+		"UUIDv7":      newKey,
 		"another key": func() string { return "booking-" + uuid.NewString() },
 	} {
 		t.Run(name+" sent again through every VM", func(t *testing.T) {
@@ -315,7 +319,7 @@
 			for i := range 3 {
 				g := i
 				t.Run("at once", func(t *testing.T) {
-					code, body, _ := s.Call(g, http.MethodPost, book+tag, plan.Installers, "", "Idempotency-Key", k)
+					code, body, _ := s.Call(g, http.MethodPost, bookPath+tag, plan.Installers, "", "Idempotency-Key", k)
 					if code == 200 {
 						done <- body
 						return
@@ -329,50 +333,50 @@
 		})
 	}
 	t.Run("another body with the key", func(t *testing.T) {
-		k := key()
-		s.Call(0, http.MethodPost, book+"first", plan.Installers, "a", "Idempotency-Key", k)
-		code, body, _ := s.Call(1, http.MethodPost, book+"first", plan.Installers, "b", "Idempotency-Key", k)
+		k := newKey()
+		s.Call(0, http.MethodPost, bookPath+"first", plan.Installers, "a", "Idempotency-Key", k)
+		code, body, _ := s.Call(1, http.MethodPost, bookPath+"first", plan.Installers, "b", "Idempotency-Key", k)
 		assert.Equal(t, code, 422, body)
 	})
 	t.Run("the answer is lost: it may have run, and is not run again", func(t *testing.T) {
 		for _, p := range s.Plain {
 			p.Fault(plain.Faults{Cut: true})
 		}
-		k := key()
-		code, body, _ := s.Call(0, http.MethodPost, book+"cut", plan.Installers, "", "Idempotency-Key", k)
+		k := newKey()
+		code, body, _ := s.Call(0, http.MethodPost, bookPath+"cut", plan.Installers, "", "Idempotency-Key", k)
 		assert.Equal(t, code, 502, body)
 		assert.Equal(t, parse(t, body).Ran, "maybe")
 		for _, p := range s.Plain {
 			p.Fault(plain.Faults{})
 		}
-		code, body, _ = s.Call(1, http.MethodPost, book+"cut", plan.Installers, "", "Idempotency-Key", k)
+		code, body, _ = s.Call(1, http.MethodPost, bookPath+"cut", plan.Installers, "", "Idempotency-Key", k)
 		assert.Equal(t, code, 409, body)
 		assert.Equal(t, runs("cut"), 1)
 	})
 	t.Run("a keyed generation is answered again", func(t *testing.T) {
-		o, k := order(8, "keyed"), key()
-		_, first, _ := s.Call(0, http.MethodPost, completions, plan.Installers, generation(o, ""), "Idempotency-Key", k)
-		code, again, _ := s.Call(2, http.MethodPost, completions, plan.Installers, generation(o, ""), "Idempotency-Key", k)
+		o, k := promptOrder(8, "keyed"), newKey()
+		_, first, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(o, ""), "Idempotency-Key", k)
+		code, again, _ := s.Call(2, http.MethodPost, completionsPath, plan.Installers, generation(o, ""), "Idempotency-Key", k)
 		assert.Equal(t, code, 200, again)
 		assert.Equal(t, s.Engines[0].Runs("keyed")+s.Engines[1].Runs("keyed"), 1)
-		assert.Equal(t, textOf(t, first), textOf(t, again))
+		assert.Equal(t, completionText(t, first), completionText(t, again))
 	})
 	t.Run("handed on by a VM that leaves", func(t *testing.T) {
-		k := key()
-		s.Call(0, http.MethodPost, book+"handed", plan.Installers, "", "Idempotency-Key", k)
+		k := newKey()
+		s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 		s.Stop(1)
 		s.Stop(2)
-		code, body, _ := s.Call(0, http.MethodPost, book+"handed", plan.Installers, "", "Idempotency-Key", k)
+		code, body, _ := s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 		assert.Assert(t, code == 200 || code == 503, body)
 		check.Within(t, 5*time.Second, "answered again", func() bool {
-			code, _, _ := s.Call(0, http.MethodPost, book+"handed", plan.Installers, "", "Idempotency-Key", k)
+			code, _, _ := s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 			return code == 200
 		})
 		assert.Equal(t, runs("handed"), 1)
 	})
 }
 
-func textOf(t *testing.T, body string) string {
+func completionText(t *testing.T, body string) string {
 	t.Helper()
 	var c struct{ Choices []struct{ Text string } }
 	assert.NilError(t, json.Unmarshal([]byte(body), &c), body)
@@ -381,10 +385,10 @@
 
 func TestShutdownCutsNothing(t *testing.T) {
 	s := stand.New(t, 103, 2, nil)
-	o := order(400, "long")
+	o := promptOrder(400, "long")
 	body := make(chan string, 1)
-	go1(t, func() {
-		_, b, _ := s.Call(0, http.MethodPost, completions, plan.Installers, generation(o, `,"stream":true`))
+	runInBackground(t, func() {
+		_, b, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(o, `,"stream":true`))
 		body <- b
 	})
 	check.Within(t, 5*time.Second, "the stream runs", func() bool {
@@ -396,7 +400,7 @@
 		return code != 200
 	})
 	got := <-body
-	assert.NilError(t, o.CheckText(strings.Join(texts(t, got), "")))
+	assert.NilError(t, o.CheckText(strings.Join(tokenTexts(t, got), "")))
 	assert.Assert(t, strings.Contains(got, "[DONE]"))
 	select {
 	case <-s.Ended(0):
@@ -405,8 +409,9 @@
 	}
 }
 
-// go1 runs f beside the test, which waits for it at its end.
-func go1(t *testing.T, f func()) {
+// runInBackground runs f in another goroutine. The test waits for it in its
+// cleanup.
+func runInBackground(t *testing.T, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	timer := time.AfterFunc(0, func() {
@@ -500,7 +505,7 @@
 		e.Fault(engine.Faults{Stall: 700 * time.Millisecond})
 	}
 	for i := range 2 {
-		code, body, _ := s.Call(i, http.MethodPost, completions, plan.Installers, generation(order(6, "slow"), ""))
+		code, body, _ := s.Call(i, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(6, "slow"), ""))
 		assert.Equal(t, code, 200, body)
 	}
 	_, body, _ := s.Operate(0, http.MethodGet, "/v1/burn?merged=true", "system", "")
--- a/internal/proc/serve/status.go
+++ b/internal/proc/serve/status.go
@@ -18,8 +18,8 @@
 	"umberladder/internal/state/member"
 )
 
-// gauges exports what the VM counts anyway.
-func (v *VM) gauges() {
+// registerGauges exports counts that the VM's components keep as gauges.
+func (v *VM) registerGauges() {
 	for name, f := range map[string]func() float64{
 		"umberladder_store_calls_total":              func() float64 { return float64(v.store.Calls()) },
 		"umberladder_peer_sent_bytes_total":          func() float64 { return float64(v.traffic.Sent.Load()) },
@@ -31,34 +31,34 @@
 		"umberladder_live_vms":                       func() float64 { return float64(len(v.fleet.View().Live)) },
 		"umberladder_vm_removals_total":              func() float64 { return float64(v.fleet.Removals()) },
 		"umberladder_settings_revision":              func() float64 { return float64(v.settings.Load().Revision) },
-		"umberladder_claim_shards":                   func() float64 { shards, _ := v.keeper.Held(); return float64(shards) },
-		"umberladder_home_tickets":                   func() float64 { return float64(v.home.Tickets()) },
-		"umberladder_claims":                         func() float64 { _, claims := v.keeper.Held(); return float64(claims) },
-		"umberladder_invariant_violations_sum_total": func() float64 { return float64(v.book.Total()) },
+		"umberladder_claim_shards":                   func() float64 { shards, _ := v.shards.Held(); return float64(shards) },
+		"umberladder_home_tickets":                   func() float64 { return float64(v.coordinator.Tickets()) },
+		"umberladder_claims":                         func() float64 { _, claims := v.shards.Held(); return float64(claims) },
+		"umberladder_invariant_violations_sum_total": func() float64 { return float64(v.invariants.Total()) },
 	} {
-		v.set.NewGauge(name, f)
+		v.metricSet.NewGauge(name, f)
 	}
 }
 
 func (v *VM) writeMetrics(ctx *fasthttp.RequestCtx) {
-	v.set.WritePrometheus(ctx)
+	v.metricSet.WritePrometheus(ctx)
 	metrics.WriteProcessMetrics(ctx)
 }
 
-// Status implements oper.Node.
+// Status implements oper.VM.
 func (v *VM) Status(a *fastjson.Arena) *fastjson.Value {
 	o := a.NewObject()
 	o.Set("vm", a.NewString(string(v.cfg.Name)))
 	o.Set("failure-domain", a.NewString(string(v.cfg.Domain)))
-	o.Set("ready", oper.Bool(a, v.entry.Ready()))
+	o.Set("ready", oper.Bool(a, v.handler.Ready()))
 	o.Set("settings-revision", oper.Number(a, v.settings.Load().Revision))
-	shards, claims := v.keeper.Held()
+	shards, claims := v.shards.Held()
 	o.Set("claim-shards", a.NewNumberInt(shards))
 	o.Set("claims", a.NewNumberInt(claims))
-	o.Set("invariant-violations", violations(a, v.book))
-	o.Set("members", members(a, v.fleet.All()))
+	o.Set("invariant-violations", violationCounts(a, v.invariants))
+	o.Set("members", memberList(a, v.fleet.All()))
 	pools := a.NewObject()
-	for _, p := range v.loads.Pools() {
+	for _, p := range v.poller.Pools() {
 		m := a.NewObject()
 		m.Set("engines", a.NewNumberInt(len(p.Servers())))
 		m.Set("waiting", a.NewNumberInt(p.Depth()))
@@ -68,7 +68,7 @@
 	return o
 }
 
-func violations(a *fastjson.Arena, b *invar.Book) *fastjson.Value {
+func violationCounts(a *fastjson.Arena, b *invar.Book) *fastjson.Value {
 	o := a.NewObject()
 	for _, n := range invar.All() {
 		o.Set(n.String(), a.NewNumberInt(int(b.Count(n))))
@@ -76,7 +76,7 @@
 	return o
 }
 
-func members(a *fastjson.Arena, list []member.Member) *fastjson.Value {
+func memberList(a *fastjson.Arena, list []member.Member) *fastjson.Value {
 	out := a.NewArray()
 	for i, m := range list {
 		o := a.NewObject()
@@ -89,10 +89,11 @@
 	return out
 }
 
-// Drain implements oper.Node.
-func (v *VM) Drain() { v.drainOnce.Do(func() { close(v.drain) }) }
+// Drain implements oper.VM.
+func (v *VM) Drain() { v.drainOnce.Do(func() { close(v.drainRequested) }) }
 
-// Report implements nodes.Reporter.
+// Report implements nodes.Reporter. It returns this VM's burn report as JSON,
+// or nil if it cannot be encoded.
 func (v *VM) Report() []byte {
 	data, err := v.meter.Snapshot(time.Now()).Encode()
 	if err != nil {
@@ -101,11 +102,11 @@
 	return data
 }
 
-// Burn implements oper.Node.
+// BurnReport implements oper.VM.
 func (v *VM) Burn(ctx context.Context, merged bool, only ident.Workspace) ([]byte, error) {
 	rep := v.meter.Snapshot(time.Now())
 	if merged {
-		v.mergeBurn(ctx, rep)
+		v.mergePeerBurn(ctx, rep)
 	}
 	if only != "" {
 		rep.Only(only)
@@ -114,11 +115,11 @@
 	return data, trace.Wrap(err)
 }
 
-// mergeBurn adds the other VMs' counts, and names those that do not answer,
-// suspects among them.
-func (v *VM) mergeBurn(ctx context.Context, rep *burn.Report) {
+// mergePeerBurn adds the other VMs' counts to rep and lists the VMs that do not
+// respond, including those suspected of having failed.
+func (v *VM) mergePeerBurn(ctx context.Context, rep *burn.Report) {
 	var mu sync.Mutex
-	v.askOthers(func(m member.Member) {
+	v.callPeers(func(m member.Member) {
 		data, err := v.peers.Burn(ctx, m)
 		var one *burn.Report
 		if err == nil {
@@ -134,16 +135,16 @@
 	})
 }
 
-// askOthers calls ask for every other VM known that has not left, all at once,
-// and waits for them.
-func (v *VM) askOthers(ask func(m member.Member)) {
+// callPeers calls fn concurrently for every other known VM that has not left
+// the fleet, and waits for all calls to return.
+func (v *VM) callPeers(fn func(m member.Member)) {
 	var g errgroup.Group
 	for _, m := range v.fleet.All() {
 		if m.Name == v.cfg.Name || m.State == member.Left {
 			continue
 		}
 		g.Go(func() error {
-			ask(m)
+			fn(m)
 			return nil
 		})
 	}
--- a/internal/proc/serve/usage.go
+++ b/internal/proc/serve/usage.go
@@ -22,23 +22,24 @@
 	if w == nil {
 		return gate.Usage{}, false
 	}
-	return v.gate.Usage(w, time.Now()), true
+	return v.limiter.Usage(w, time.Now()), true
 }
 
-// used is what one VM answered.
-type used struct {
+// vmUsage is one VM's usage of a workspace's limits.
+type vmUsage struct {
 	vm    ident.VM
 	usage gate.Usage
-	known bool // false: the VM did not answer
+	known bool // false if the VM did not respond
 }
 
-// Workspace implements oper.Node: what the workspace uses on every VM.
+// WorkspaceUsage implements oper.VM. It returns the workspace's usage of its
+// limits on every VM, or nil if the workspace does not exist.
 func (v *VM) Workspace(ctx context.Context, a *fastjson.Arena, name ident.Workspace) *fastjson.Value {
 	w := v.settings.Load().Workspace(name)
 	if w == nil {
 		return nil
 	}
-	all := v.usages(ctx, name)
+	all := v.collectUsage(ctx, name)
 	o, vms, silent := a.NewObject(), a.NewArray(), a.NewArray()
 	open := 0
 	for _, u := range all {
@@ -57,18 +58,19 @@
 	return o
 }
 
-// usages asks every VM known, and names those that do not answer.
-func (v *VM) usages(ctx context.Context, name ident.Workspace) []used {
+// collectUsage returns the usage at every known VM, sorted by VM name. VMs that
+// do not respond are included with known set to false.
+func (v *VM) collectUsage(ctx context.Context, name ident.Workspace) []vmUsage {
 	own, known := v.Usage(name)
-	out := []used{{vm: v.cfg.Name, usage: own, known: known}}
+	out := []vmUsage{{vm: v.cfg.Name, usage: own, known: known}}
 	var mu sync.Mutex
-	v.askOthers(func(m member.Member) {
+	v.callPeers(func(m member.Member) {
 		u, err := v.peers.Usage(ctx, m, name)
 		mu.Lock()
 		defer mu.Unlock()
-		out = append(out, used{vm: m.Name, usage: u, known: err == nil})
+		out = append(out, vmUsage{vm: m.Name, usage: u, known: err == nil})
 	})
-	slices.SortFunc(out, func(a, b used) int { return strings.Compare(string(a.vm), string(b.vm)) })
+	slices.SortFunc(out, func(a, b vmUsage) int { return strings.Compare(string(a.vm), string(b.vm)) })
 	return out
 }
 
@@ -79,7 +81,7 @@
 	return o
 }
 
-func usageValue(a *fastjson.Arena, u used) *fastjson.Value {
+func usageValue(a *fastjson.Arena, u vmUsage) *fastjson.Value {
 	o := a.NewObject()
 	o.Set("vm", a.NewString(string(u.vm)))
 	o.Set("settings-version", oper.Number(a, u.usage.Version))
--- a/internal/proc/serve/vm.go
+++ b/internal/proc/serve/vm.go
@@ -45,68 +45,69 @@
 )
 
 const (
-	// keptConns is how many spare connections a VM keeps to each server.
-	keptConns = 16
-	// awayFactor is how much less often a VM reads the load of engines whose
-	// home is another.
-	awayFactor = 3
-	// peerTime bounds a call to another VM.
-	peerTime = 3 * time.Second
+	// maxIdleConns is the number of idle connections kept to each server.
+	maxIdleConns = 16
+	// remoteLoadFactor multiplies the load interval of engines whose coordinator
+	// is another VM, so that their load is read less often.
+	remoteLoadFactor = 3
+	// peerTimeout bounds each call to another VM.
+	peerTimeout = 3 * time.Second
 )
 
-// VM is one entry VM.
+// VM is an entry VM: the components that serve callers, operators and other VMs.
 type VM struct {
-	cfg    *conf.Node
-	log    *zap.Logger
-	set    *metrics.Set
-	book   *invar.Book
-	ring   *seal.Ring
-	rng    *rand.Rand
-	group  *errgroup.Group
-	ctx    context.Context // of everything that runs until the last request ended
-	cancel context.CancelFunc
-	drain  chan struct{}
+	cfg            *conf.Node
+	log            *zap.Logger
+	metricSet      *metrics.Set
+	invariants     *invar.Book
+	keyRing        *seal.Ring
+	rng            *rand.Rand
+	group          *errgroup.Group
+	ctx            context.Context // ends after the last request has ended
+	cancel         context.CancelFunc
+	drainRequested chan struct{}
 
 	drainOnce sync.Once
 
-	settings *spread.Book
-	store    *store.Client
-	peers    *nodes.Peers
-	clients  *nodes.Clients
-	socket   *nodes.Socket
-	traffic  nodes.Traffic
-	fleet    *fleet.Fleet
-	follower *spread.Follower
-	keeper   *keeper.Keeper
-	gate     *gate.Gate
-	meter    *burn.Meter
-	loads    *loads.Loads
-	home     *cell.Home
-	desk     *cell.Desk
-	entry    *entry.Entry
-	callers  *caller.Server
-	oper     *oper.Server
+	settings        *spread.Book
+	store           *store.Client
+	peers           *nodes.Peers
+	clients         *nodes.Clients
+	socket          *nodes.Socket
+	traffic         nodes.Traffic
+	fleet           *fleet.Fleet
+	follower        *spread.Follower
+	shards          *keeper.Keeper
+	limiter         *gate.Gate
+	meter           *burn.Meter
+	poller          *loads.Loads
+	coordinator     *cell.Home
+	placementClient *cell.Desk
+	handler         *entry.Entry
+	callerServer    *caller.Server
+	operatorServer  *oper.Server
 }
 
-// New makes a VM from its settings.
+// New returns a VM built from its node settings. The peers address is bound at
+// once, the other listeners in Run.
 func New(cfg *conf.Node, log *zap.Logger) (*VM, error) {
 	ring, err := seal.New(cfg.Secrets)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	v := &VM{
-		cfg:   cfg,
-		log:   log,
-		set:   metrics.NewSet(),
-		ring:  ring,
-		rng:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		drain: make(chan struct{}),
-		meter: burn.New(cfg.Name),
+		cfg:            cfg,
+		log:            log,
+		metricSet:      metrics.NewSet(),
+		keyRing:        ring,
+		rng:            rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		drainRequested: make(chan struct{}),
+		meter:          burn.New(cfg.Name),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	v.group, v.ctx = errgroup.WithContext(ctx)
 	v.cancel = cancel
-	v.book = &invar.Book{Report: func(n invar.Name, detail string) {
+	v.invariants = &invar.Book{Report: func(n invar.Name, detail string) {
 		log.Error("invariant violated", zap.Stringer("invariant", n), zap.String("detail", detail))
 	}}
 	if v.socket, err = nodes.Listen(cfg.Peers, ring, &v.traffic); err != nil {
@@ -115,59 +116,60 @@
 	}
 	v.buildState()
 	v.buildRoute()
-	v.gauges()
+	v.registerGauges()
 	return v, nil
 }
 
-// fork returns a source of random numbers of its own.
-func (v *VM) fork() *rand.Rand { return rand.New(rand.NewPCG(v.rng.Uint64(), v.rng.Uint64())) }
+// newRand returns an independent random source seeded from v.rng.
+func (v *VM) newRand() *rand.Rand { return rand.New(rand.NewPCG(v.rng.Uint64(), v.rng.Uint64())) }
 
-// buildState makes what the VMs share.
+// buildState creates the components for state shared between VMs: settings,
+// membership and idempotency keys.
 func (v *VM) buildState() {
 	cfg := v.cfg
-	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.Connect, peerTime, keptConns)
-	v.settings = spread.NewBook(v.book)
+	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.Connect, peerTimeout, maxIdleConns)
+	v.settings = spread.NewBook(v.invariants)
 	v.store = store.New(dialer, cfg.Store, string(cfg.Name), cfg.Budget.PerSecond, cfg.Budget.Burst)
-	v.clients = nodes.NewClients(v.ring, peerTime)
+	v.clients = nodes.NewClients(v.keyRing, peerTimeout)
 	v.peers = nodes.NewPeers(v.clients)
-	v.follower = spread.NewFollower(v.settings, v.store, v.peers, v.group, v.log, v.fork())
+	v.follower = spread.NewFollower(v.settings, v.store, v.peers, v.group, v.log, v.newRand())
 	self := member.Member{
 		Name:        cfg.Name,
 		Address:     cfg.Peers,
 		Domain:      cfg.Domain,
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
-	table := member.New(member.DefaultConfig(), self, v.fork())
+	table := member.New(member.DefaultConfig(), self, v.newRand())
 	v.fleet = fleet.New(table, v.socket, vmlist.New(dialer, cfg.VMList), v.follower.Mark, v.follower.Heard)
 	v.follower.Start(v.fleet)
-	v.keeper = keeper.New(cfg.Name, cfg.ClaimTTL, v.store, v.fleet, v.peers, v.log)
+	v.shards = keeper.New(cfg.Name, cfg.ClaimTTL, v.store, v.fleet, v.peers, v.log)
 }
 
-// buildRoute makes the path of requests.
+// buildRoute creates the components of the request path.
 func (v *VM) buildRoute() {
 	cfg := v.cfg
-	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.Connect, cfg.Limits.EngineIdle, keptConns)
-	v.gate = gate.New(v.fleet)
-	rec := tally.New(v.log, v.set, v.book, v.meter)
+	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.Connect, cfg.Limits.EngineIdle, maxIdleConns)
+	v.limiter = gate.New(v.fleet)
+	rec := tally.New(v.log, v.metricSet, v.invariants, v.meter)
 	engines := engine.New(dialer)
 	budget := retry.NewBudget()
-	v.loads = loads.New(engines, v.loadInterval, v.chooser, v.deciders, v.book, v.rng.Uint64())
-	v.settings.Watch(v.loads.Update)
-	v.home = cell.NewHome(cfg.Name, v.fleet, v.settings, v.loads.Pool, pool.NewAsk, v.group)
-	v.desk = cell.NewDesk(cfg.Name, v.fleet, v.settings, v.loads.Pool, v.peers)
-	v.entry = entry.New(entry.Parts{
+	v.poller = loads.New(engines, v.loadInterval, v.chooser, v.placingVMs, v.invariants, v.rng.Uint64())
+	v.settings.Watch(v.poller.Update)
+	v.coordinator = cell.NewHome(cfg.Name, v.fleet, v.settings, v.poller.Pool, pool.NewAsk, v.group)
+	v.placementClient = cell.NewDesk(cfg.Name, v.fleet, v.settings, v.poller.Pool, v.peers)
+	v.handler = entry.New(entry.Parts{
 		VM:       cfg.Name,
 		Settings: v.settings,
-		Gate:     v.gate,
-		Claims:   claim.New(cfg.Name, v.fleet, v.keeper, direct.New(v.store), v.peers),
-		Placers:  v.desk.Placer,
-		Runner:   gener.New(cfg.Generate, engines, budget, v.book, rec, v.group, v.fork()),
-		Plain:    plain.New(peerplain.New(dialer, cfg.Limits.Answer), budget, v.book, v.fork()),
-		Ring:     v.ring,
-		Book:     v.book,
+		Gate:     v.limiter,
+		Claims:   claim.New(cfg.Name, v.fleet, v.shards, direct.New(v.store), v.peers),
+		Placers:  v.placementClient.Placer,
+		Runner:   gener.New(cfg.Generate, engines, budget, v.invariants, rec, v.group, v.newRand()),
+		Plain:    plain.New(peerplain.New(dialer, cfg.Limits.Answer), budget, v.invariants, v.newRand()),
+		Ring:     v.keyRing,
+		Book:     v.invariants,
 		Recorder: rec,
 	})
-	v.callers = caller.New(v.ctx, caller.Config{
+	v.callerServer = caller.New(v.ctx, caller.Config{
 		Body:       cfg.Limits.Body,
 		Header:     cfg.Limits.Header,
 		Read:       cfg.Limits.Read,
@@ -176,22 +178,23 @@
 		MaxConns:   cfg.Limits.Connections,
 		DrainDelay: cfg.Limits.DrainDelay,
 		Log:        httpLog{v.log},
-	}, v.entry, v.writeMetrics)
-	v.oper = oper.New(v.settings, amend.New(v.store, v.follower, v.settings.Load), v, cfg.OperKeys, httpLog{v.log})
+	}, v.handler, v.writeMetrics)
+	v.operatorServer = oper.New(v.settings, amend.New(v.store, v.follower, v.settings.Load), v, cfg.OperKeys, httpLog{v.log})
 }
 
-// httpLog takes the HTTP library's lines, which tell of callers' broken
-// connections: of use only when looking for a fault.
+// httpLog adapts the log to fasthttp. The library's messages are mostly about
+// callers' broken connections, so they are logged at debug level.
 type httpLog struct{ log *zap.Logger }
 
 func (l httpLog) Printf(format string, args ...any) {
 	l.log.Debug("http", zap.String("line", fmt.Sprintf(format, args...)))
 }
 
-// deciders returns how many VMs place generations of a model, as this VM
-// should reckon: its home is alone; any other VM decides when the home does
-// not answer, and then so do all.
-func (v *VM) deciders(m ident.Model) int {
+// placingVMs returns how many VMs this VM should assume to place generations of
+// a model. The coordinator assumes that only it does. Any other VM places
+// generations itself only when the coordinator does not respond, and then all
+// live VMs do.
+func (v *VM) placingVMs(m ident.Model) int {
 	home, ok := cell.HomeOf(m, v.fleet.View().Live)
 	if ok && home.Name == v.cfg.Name {
 		return 1
@@ -200,12 +203,13 @@
 	return n
 }
 
-// loadInterval is how often the engines of a model are asked for their load:
-// its home decides for all, so the others need little.
+// loadInterval returns how often the load of a model's engines is read. VMs other
+// than the model's coordinator read it less often, because the coordinator
+// places for all VMs.
 func (v *VM) loadInterval(m ident.Model) time.Duration {
 	home, ok := cell.HomeOf(m, v.fleet.View().Live)
 	if ok && home.Name != v.cfg.Name {
-		return awayFactor * v.cfg.Limits.LoadInterval
+		return remoteLoadFactor * v.cfg.Limits.LoadInterval
 	}
 	return v.cfg.Limits.LoadInterval
 }
