--- a/internal/proc/cmds/edge.go
+++ b/internal/proc/cmds/edge.go
@@ -96,7 +96,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	group.Go(func() error {
-		vm.Reload(stop, file, hup)
+		vm.ReloadOnChange(stop, file, hup)
 		return nil
 	})
 	return exit(ExitFailure, vm.Run(stop, group))
--- a/internal/proc/edge/counter.go
+++ b/internal/proc/edge/counter.go
@@ -10,14 +10,14 @@
 	"umberladder/internal/route/task"
 )
 
-// counter turns the end of each call into a log line and metrics.
-type counter struct {
-	log *zap.Logger
-	set *metrics.Set
+// recorder writes a log line and updates the metrics for each call that ended.
+type recorder struct {
+	log       *zap.Logger
+	metricSet *metrics.Set
 }
 
 // Ended implements task.Counter.
-func (c *counter) Ended(e *task.End) {
+func (c *recorder) Ended(e *task.End) {
 	kind, reason, ran := "", "", ""
 	if e.Route != nil {
 		kind = e.Route.Kind.String()
@@ -26,18 +26,19 @@
 		reason, ran = e.Refusal.Reason.String(), e.Refusal.Ran.String()
 	}
 	labels := fmt.Sprintf(`{service=%q,kind=%q}`, e.Service, kind)
-	c.set.GetOrCreateCounter(fmt.Sprintf(`%s{service=%q,kind=%q,status="%d",reason=%q,ran=%q}`,
+	c.metricSet.GetOrCreateCounter(fmt.Sprintf(`%s{service=%q,kind=%q,status="%d",reason=%q,ran=%q}`,
 		metricCalls, e.Service, kind, e.Status, reason, ran)).Inc()
-	c.set.GetOrCreateHistogram(metricFirst + labels).Update(e.First.Seconds())
-	c.set.GetOrCreateHistogram(metricWhole + labels).Update(e.Total.Seconds())
-	c.set.GetOrCreateHistogram(metricGap + labels).Update(e.Gap.Seconds())
-	c.set.GetOrCreateCounter(metricMoves + labels).Add(e.Moves)
-	c.set.GetOrCreateCounter(metricSent + labels).Add(e.Sent)
-	c.write(e, kind, reason, ran)
+	c.metricSet.GetOrCreateHistogram(metricTimeToFirst + labels).Update(e.First.Seconds())
+	c.metricSet.GetOrCreateHistogram(metricDuration + labels).Update(e.Total.Seconds())
+	c.metricSet.GetOrCreateHistogram(metricMaxEventGap + labels).Update(e.Gap.Seconds())
+	c.metricSet.GetOrCreateCounter(metricMigrations + labels).Add(e.Moves)
+	c.metricSet.GetOrCreateCounter(metricAttempts + labels).Add(e.Sent)
+	c.logEnd(e, kind, reason, ran)
 }
 
-// write logs the end; that of a call that failed is not routine.
-func (c *counter) write(e *task.End, kind, reason, ran string) {
+// logEnd logs the end of a call: at warn level if the call was refused or failed
+// with a 5xx status, at info level otherwise.
+func (c *recorder) logEnd(e *task.End, kind, reason, ran string) {
 	level := zap.InfoLevel
 	if e.Refusal != nil || e.Status >= fasthttp.StatusInternalServerError {
 		level = zap.WarnLevel
@@ -75,7 +76,8 @@
 	ce.Write(fields...)
 }
 
-// httpLog takes the HTTP library's lines, which tell of broken connections.
+// httpLog adapts the log to fasthttp. The library's messages are mostly about
+// broken connections, so they are logged at debug level.
 type httpLog struct{ log *zap.Logger }
 
 // Printf implements fasthttp.Logger.
--- a/internal/proc/edge/doc.go
+++ b/internal/proc/edge/doc.go
@@ -1,4 +1,4 @@
-// Package edge is the process that serves a platform's clients: it wires the
-// followers of the store, the relay and the servers of its ports, and leads it
-// from start to stop.
+// Package edge implements the process that serves a platform's clients. It
+// connects the node that follows the store and the other VMs, the relay and the
+// HTTP servers, and controls their lifecycle.
 package edge
--- a/internal/proc/edge/reload.go
+++ b/internal/proc/edge/reload.go
@@ -10,17 +10,18 @@
 	"umberladder/internal/proc/conf"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
-// a signal.
-const lookEvery = 2 * time.Second
+// fileCheckInterval is how often the settings file is checked for changes that
+// come without a signal.
+const fileCheckInterval = 2 * time.Second
 
-// Reload reads the settings anew, each time that signals has an element or the
-// file has changed, until ctx ends. What does not need a new start takes
-// effect; a file that can't be read leaves what is in force.
-func (v *VM) Reload(ctx context.Context, path string, signals <-chan os.Signal) {
-	t := time.NewTicker(lookEvery)
+// ReloadOnChange reloads the settings file on each signal and each time the file
+// has changed, until ctx ends. The revoke bound, the stop grace and the ratio and
+// extra attempts of the retry budget take effect at once; all other settings need
+// a restart. A file that cannot be read or is not valid changes nothing.
+func (v *VM) ReloadOnChange(ctx context.Context, path string, signals <-chan os.Signal) {
+	t := time.NewTicker(fileCheckInterval)
 	defer t.Stop()
-	last := stamp(path)
+	last := statFile(path)
 	for {
 		why := "signal"
 		select {
@@ -28,29 +29,30 @@
 			return
 		case <-signals:
 		case <-t.C:
-			if stamp(path) == last {
+			if statFile(path) == last {
 				continue
 			}
 			why = "file changed"
 		}
-		last = stamp(path)
+		last = statFile(path)
 		v.reload(path, why)
 	}
 }
 
-// fileStamp tells two versions of a file apart.
-type fileStamp struct {
-	at   time.Time
-	size int64
+// fileVersion identifies a version of a file by modification time and size.
+type fileVersion struct {
+	modTime time.Time
+	size    int64
 }
 
-func stamp(path string) fileStamp {
+func statFile(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
-		// A file that is being replaced is looked at again.
-		return fileStamp{}
+		// The file may be missing for a moment while it is replaced. It is
+		// checked again at the next interval.
+		return fileVersion{}
 	}
-	return fileStamp{at: info.ModTime(), size: info.Size()}
+	return fileVersion{modTime: info.ModTime(), size: info.Size()}
 }
 
 func (v *VM) reload(path, why string) {
@@ -62,9 +64,9 @@
 	old := v.cfg.Load()
 	restart := old.Name != cfg.Name || old.Callers != cfg.Callers || old.Ready != cfg.Ready || old.Peers != cfg.Peers ||
 		old.Store != cfg.Store || old.Metrics != cfg.Metrics || old.Domain != cfg.Domain
-	kept := *old
-	kept.Revoke, kept.Grace, kept.Retry = cfg.Revoke, cfg.Grace, cfg.Retry
-	v.cfg.Store(&kept)
+	updated := *old
+	updated.Revoke, updated.Grace, updated.Retry = cfg.Revoke, cfg.Grace, cfg.Retry
+	v.cfg.Store(&updated)
 	v.node.Budget.Set(cfg.Retry.Ratio, cfg.Retry.Extra)
 	v.log.Info("settings reloaded", zap.String("why", why), zap.Bool("needs-restart", restart))
 }
--- a/internal/proc/edge/reload_test.go
+++ b/internal/proc/edge/reload_test.go
@@ -15,7 +15,7 @@
 	"umberladder/internal/proc/peers"
 )
 
-const file = `{"name":"edge-1","failure-domain":"a","callers-address":"10.0.0.1:80","ready-address":"10.0.0.1:81",
+const settingsFile = `{"name":"edge-1","failure-domain":"a","callers-address":"10.0.0.1:80","ready-address":"10.0.0.1:81",
 "metrics-address":"10.0.0.1:82","peers-address":"10.0.0.1:83","store-address":"10.0.0.2:80","revoke-bound":"5s"}`
 
 type nobody struct{}
@@ -24,7 +24,7 @@
 
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "edge.json")
-	cfg, err := conf.ParseEdge([]byte(file))
+	cfg, err := conf.ParseEdge([]byte(settingsFile))
 	assert.NilError(t, err)
 	v := &VM{log: zap.NewNop(), node: &peers.Node{Budget: retry.NewWindow(0, 0, time.Second, nobody{})}}
 	v.cfg.Store(cfg)
@@ -36,7 +36,7 @@
 		{`"5s"`, `"soon"`, 7 * time.Second},
 		{`10.0.0.1:80"`, `10.9.9.9:80"`, 5 * time.Second},
 	} {
-		assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(file, tc.old, tc.new, 1)), 0o600))
+		assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(settingsFile, tc.old, tc.new, 1)), 0o600))
 		v.reload(path, "test")
 		assert.Equal(t, v.cfg.Load().Revoke, tc.revoke)
 		assert.Equal(t, v.cfg.Load().Callers, cfg.Callers, "an address needs a new start")
--- a/internal/proc/edge/vm.go
+++ b/internal/proc/edge/vm.go
@@ -32,72 +32,75 @@
 )
 
 const (
-	// takeTime is how long after the signal to stop new connections are taken:
-	// the balancer asks once a second and needs two misses.
-	takeTime = 3500 * time.Millisecond
-	// stopReserve is kept of the grace time for the end of the process.
-	stopReserve = 400 * time.Millisecond
-	// drainPoll is how often the open connections are looked at while stopping.
-	drainPoll = 50 * time.Millisecond
-	// readyMargin is how much earlier than it must refuse a VM stops asking for
-	// clients, so that they need not be refused.
+	// acceptTime is how long new connections are accepted after the stop signal.
+	// The balancer checks readiness once a second and stops sending connections
+	// after two failed checks.
+	acceptTime = 3500 * time.Millisecond
+	// exitReserve is the part of the grace time reserved for the process to exit.
+	exitReserve = 400 * time.Millisecond
+	// drainPollInterval is how often open connections are checked while stopping.
+	drainPollInterval = 50 * time.Millisecond
+	// readyMargin is how long before it must refuse calls a VM stops being ready,
+	// so that the balancer moves clients away first. Calls must be refused once the
+	// settings are too old, or once a newer version has been known for too long.
 	readyMargin = time.Second
-	// defaultHeader and the like hold until the first settings are there.
-	defaultHeader     = 16 << 10
-	defaultBody       = 4 << 20
-	defaultHeaderTime = 3 * time.Second
-	defaultIdle       = 15 * time.Second
+	// Limits that apply until the first settings have been loaded.
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 4 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
 )
 
-// Codec maps the platform's requests to calls of a relay.
+// Ingress translates the platform's HTTP requests into calls of a relay and
+// responds to requests that cannot be read.
 type Codec interface {
 	Handle(ctx context.Context, r *front.Request, w *front.Reply)
 	Reject(w *front.Reply, f front.Fault, detail string)
 }
 
-// Backend speaks to backend servers.
+// Backend sends requests to backend servers.
 type Backend interface {
 	port.Backend
 	probe.Engines
 }
 
-// Ports are the platform's side of the VM.
+// Deps are the platform-specific components that a VM is built from.
 type Ports struct {
 	Settings follow.SettingsSource
 	Servers  follow.ServerSource
 	Backend  Backend
 	Codec    func(r *relay.Relay) Codec
 	Names    names.Registry
-	Share    *share.Client            // fetches what other VMs share
-	Calls    func() map[string]uint64 // made to the store, by kind
-	Lines    *sink.Sink               // the log's
+	Share    *share.Client            // fetches settings and server entries from other VMs
+	Calls    func() map[string]uint64 // returns the number of calls to the store, by kind
+	Lines    *sink.Sink               // receives the log lines
 }
 
-// VM is one edge VM.
+// VM is an edge VM.
 type VM struct {
-	cfg      atomic.Pointer[conf.Edge]
-	log      *zap.Logger
-	set      *metrics.Set
-	lines    *sink.Sink
-	node     *peers.Node
-	home     *homes.Home
-	desk     *desk.Desk
-	probe    *probe.Prober
-	relay    *relay.Relay
-	front    *front.Server
-	stopping atomic.Bool
+	cfg         atomic.Pointer[conf.Edge]
+	log         *zap.Logger
+	metricSet   *metrics.Set
+	logSink     *sink.Sink
+	node        *peers.Node
+	coordinator *homes.Home
+	placer      *desk.Desk
+	prober      *probe.Prober
+	relay       *relay.Relay
+	front       *front.Server
+	stopping    atomic.Bool
 }
 
-// New makes a VM from its settings and the platform's side.
-func New(cfg *conf.Edge, ports Ports, group *errgroup.Group, log *zap.Logger) *VM {
-	node := peers.New(cfg, peers.Ports{Settings: ports.Settings, Servers: ports.Servers, Names: ports.Names, Share: ports.Share}, group, log)
-	v := &VM{log: log, set: metrics.NewSet(), lines: ports.Lines, node: node}
+// New returns a VM built from its settings file and the platform's components.
+func New(cfg *conf.Edge, deps Ports, group *errgroup.Group, log *zap.Logger) *VM {
+	node := peers.New(cfg, peers.Ports{Settings: deps.Settings, Servers: deps.Servers, Names: deps.Names, Share: deps.Share}, group, log)
+	v := &VM{log: log, metricSet: metrics.NewSet(), logSink: deps.Lines, node: node}
 	v.cfg.Store(cfg)
-	sound := health.New()
-	chooser := pick.NewChooser(node.Servers, node.Seats, sound, node.Rates)
-	v.home = homes.NewHome(chooser)
-	v.probe = probe.New(node.Servers, ports.Backend, node.Probed, chooser.Failed, group, log)
-	v.desk = desk.New(cfg.Name, uint64(time.Now().UnixNano()), chooser, v.home, node.Order, node, v.countPlacement, log)
+	healthTracker := health.New()
+	chooser := pick.NewChooser(node.Servers, node.Seats, healthTracker, node.Rates)
+	v.coordinator = homes.NewHome(chooser)
+	v.prober = probe.New(node.Servers, deps.Backend, node.Probed, chooser.Failed, group, log)
+	v.placer = desk.New(cfg.Name, uint64(time.Now().UnixNano()), chooser, v.coordinator, node.Order, node, v.countPlacement, log)
 	v.relay = relay.New(task.Parts{
 		Config: task.Config{
 			Domain: cfg.Domain,
@@ -109,33 +112,34 @@
 		Servers:  node.Servers,
 		Seats:    node.Seats,
 		Budget:   node.Budget,
-		Health:   sound,
+		Health:   healthTracker,
 		Rates:    node.Rates,
 		Poison:   node.Poison,
-		Places:   v.desk,
-		Backend:  ports.Backend,
+		Places:   v.placer,
+		Backend:  deps.Backend,
 		Clock:    awake.Now,
 		Log:      log.Named(sink.Calls),
 		Group:    group,
-		Count:    &counter{log: log.Named(sink.Calls), set: v.set},
+		Count:    &recorder{log: log.Named(sink.Calls), metricSet: v.metricSet},
 	})
-	codec := ports.Codec(v.relay)
-	v.front = front.New(codec.Handle, codec.Reject, v.limits, log)
-	v.gauges(ports)
+	ingress := deps.Codec(v.relay)
+	v.front = front.New(ingress.Handle, ingress.Reject, v.limits, log)
+	v.registerGauges(deps)
 	return v
 }
 
 func (v *VM) limits() front.Limits {
 	s := v.node.Settings.Load()
 	if s == nil {
-		return front.Limits{Header: defaultHeader, Body: defaultBody, HeaderTime: defaultHeaderTime, Idle: defaultIdle}
+		return front.Limits{Header: defaultMaxHeaderBytes, Body: defaultMaxBodyBytes, HeaderTime: defaultHeaderTimeout, Idle: defaultIdleTimeout}
 	}
 	return front.Limits{Header: s.Limits.Header, Body: s.Limits.Body, HeaderTime: s.Limits.HeaderTime, Idle: s.Limits.Idle}
 }
 
-// Ready reports whether the balancer should send clients here. A VM that the
-// store does not answer while it answers others serves those that it has, with
-// what the others tell it; new ones are better off where the store is in reach.
+// Ready reports whether the balancer should send clients here. A VM that cannot
+// reach the store while other VMs can is not ready. It still serves its existing
+// connections with the updates it receives from its peers, but new connections
+// are better served by VMs that reach the store.
 func (v *VM) Ready() bool {
 	if v.stopping.Load() || v.node.Settings.Load() == nil || v.node.Servers.View().Len() == 0 {
 		return false
@@ -149,7 +153,7 @@
 }
 
 // Run serves until stop is done, and then until every request has ended or the
-// grace time is over.
+// grace time has passed.
 func (v *VM) Run(stop context.Context, group *errgroup.Group) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -157,20 +161,20 @@
 	if err != nil {
 		return trace.Wrap(err, "/callers-address")
 	}
-	if err := v.serveSide(ctx, group); err != nil {
+	if err := v.serveReadyAndMetrics(ctx, group); err != nil {
 		return trace.Wrap(err)
 	}
-	if err := v.node.Run(ctx, v.home, v.desk); err != nil {
+	if err := v.node.Run(ctx, v.coordinator, v.placer); err != nil {
 		return trace.Wrap(err)
 	}
-	for _, loop := range []func(context.Context){v.home.Run, v.probe.Run} {
+	for _, loop := range []func(context.Context){v.coordinator.Run, v.prober.Run} {
 		group.Go(func() error {
 			loop(ctx)
 			return nil
 		})
 	}
 	group.Go(func() error {
-		v.lines.Tell(v.log, ctx.Done())
+		v.logSink.Tell(v.log, ctx.Done())
 		return nil
 	})
 	failed := make(chan error, 1)
@@ -184,41 +188,43 @@
 	case err := <-failed:
 		return trace.Wrap(err)
 	}
-	v.leave(ln)
+	v.shutDown(ln)
 	return nil
 }
 
-// leave ends the VM's service without cutting a request off.
-func (v *VM) leave(ln net.Listener) {
+// shutDown drains the VM: it stops being ready, accepts new connections for
+// acceptTime, and waits until all connections have closed or the grace time less
+// exitReserve has passed.
+func (v *VM) shutDown(ln net.Listener) {
 	start := time.Now()
 	v.log.Info("stopping", zap.Int64("connections", v.front.Open()))
 	v.stopping.Store(true)
 	v.node.Hubs.Leave()
 	v.front.Drain()
-	end := start.Add(v.cfg.Load().Grace - stopReserve)
+	end := start.Add(v.cfg.Load().Grace - exitReserve)
 	v.relay.Stop(end)
 	for time.Now().Before(end) {
-		if time.Since(start) > takeTime {
+		if time.Since(start) > acceptTime {
 			_ = ln.Close()
-			v.front.CloseIdle(takeTime)
+			v.front.CloseIdle(acceptTime)
 			if v.front.Open() == 0 {
 				break
 			}
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	_ = ln.Close()
 	v.log.Info("stopped", zap.Int64("connections-cut", v.front.Open()), zap.Duration("after", time.Since(start)))
 }
 
-// serveSide serves readiness checks and metrics.
-func (v *VM) serveSide(ctx context.Context, group *errgroup.Group) error {
+// serveReadyAndMetrics starts the HTTP servers for readiness checks and metrics.
+func (v *VM) serveReadyAndMetrics(ctx context.Context, group *errgroup.Group) error {
 	for _, s := range []struct {
 		path    string
 		addr    string
 		handler fasthttp.RequestHandler
 	}{
-		{"/ready-address", v.cfg.Load().Ready.String(), v.ready},
+		{"/ready-address", v.cfg.Load().Ready.String(), v.handleReady},
 		{"/metrics-address", v.cfg.Load().Metrics.String(), v.writeMetrics},
 	} {
 		ln, err := net.Listen("tcp", s.addr)
@@ -229,7 +235,7 @@
 		context.AfterFunc(ctx, func() { _ = ln.Close() })
 		group.Go(func() error {
 			if err := srv.Serve(ln); err != nil && ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
-				v.log.Error("side server ended", zap.String("address", s.addr), zap.Error(err))
+				v.log.Error("readiness or metrics server failed", zap.String("address", s.addr), zap.Error(err))
 			}
 			return nil
 		})
@@ -237,7 +243,7 @@
 	return nil
 }
 
-func (v *VM) ready(ctx *fasthttp.RequestCtx) {
+func (v *VM) handleReady(ctx *fasthttp.RequestCtx) {
 	if v.Ready() {
 		ctx.SetBodyString("ready\n")
 		return
@@ -247,6 +253,6 @@
 }
 
 func (v *VM) writeMetrics(ctx *fasthttp.RequestCtx) {
-	v.set.WritePrometheus(ctx)
+	v.metricSet.WritePrometheus(ctx)
 	metrics.WriteProcessMetrics(ctx)
 }
