--- a/internal/proc/edge/metrics.go
+++ b/internal/proc/edge/metrics.go
@@ -94,14 +94,14 @@
 		metricKnownVersion:    func() float64 { return float64(v.node.Settings.Known()) },
 		metricSettingsBehind:  func() float64 { return v.node.Settings.Behind().Seconds() },
 		metricServers:         func() float64 { return float64(v.node.Servers.View().Len()) },
-		metricServerDataAge:   func() float64 { return v.node.Discover.Age().Seconds() },
+		metricServerDataAge:   func() float64 { return v.node.ServerFollower.Age().Seconds() },
 		metricLivePeers:       func() float64 { return float64(v.node.Hubs.Heard(time.Now())) },
 		metricIsHub:           func() float64 { return boolValue(v.node.Hubs.Hub(time.Now())) },
 		metricReporters: func() float64 {
 			_, n := v.node.Hubs.Count(time.Now())
 			return float64(n)
 		},
-		metricWatchesStore:   func() float64 { return boolValue(v.node.Watches()) },
+		metricWatchesStore:   func() float64 { return boolValue(v.node.WatchesStore()) },
 		metricQueued:         func() float64 { return float64(v.coordinator.Waiting()) },
 		metricReady:          func() float64 { return boolValue(v.Ready()) },
 		metricServersLimited: func() float64 { return float64(v.node.Rates.LimitedCount(time.Now())) },
--- a/internal/proc/edge/vm.go
+++ b/internal/proc/edge/vm.go
@@ -93,14 +93,14 @@
 
 // New returns a VM built from its settings file and the platform's components.
 func New(cfg *conf.Edge, deps Ports, group *errgroup.Group, log *zap.Logger) *VM {
-	node := peers.New(cfg, peers.Ports{Settings: deps.Settings, Servers: deps.Servers, Names: deps.Names, Share: deps.Share}, group, log)
+	node := peers.New(cfg, peers.Deps{Settings: deps.Settings, Servers: deps.Servers, Registry: deps.Names, Share: deps.Share}, group, log)
 	v := &VM{log: log, metricSet: metrics.NewSet(), logSink: deps.Lines, node: node}
 	v.cfg.Store(cfg)
 	healthTracker := health.New()
-	chooser := pick.NewChooser(node.Servers, node.Seats, healthTracker, node.Rates)
+	chooser := pick.NewChooser(node.Servers, node.Alloc, healthTracker, node.Rates)
 	v.coordinator = homes.NewHome(chooser)
-	v.prober = probe.New(node.Servers, deps.Backend, node.Probed, chooser.Failed, group, log)
-	v.placer = desk.New(cfg.Name, uint64(time.Now().UnixNano()), chooser, v.coordinator, node.Order, node, v.countPlacement, log)
+	v.prober = probe.New(node.Servers, deps.Backend, node.ServicesToProbe, chooser.Failed, group, log)
+	v.placer = desk.New(cfg.Name, uint64(time.Now().UnixNano()), chooser, v.coordinator, node.CoordinatorOrder, node, v.countPlacement, log)
 	v.relay = relay.New(task.Parts{
 		Config: task.Config{
 			Domain: cfg.Domain,
@@ -110,7 +110,7 @@
 		Settings: node.Settings,
 		Refresh:  node,
 		Servers:  node.Servers,
-		Seats:    node.Seats,
+		Seats:    node.Alloc,
 		Budget:   node.Budget,
 		Health:   healthTracker,
 		Rates:    node.Rates,
--- a/internal/proc/peers/crashes.go
+++ b/internal/proc/peers/crashes.go
@@ -10,31 +10,32 @@
 	"umberladder/internal/policy/poison"
 )
 
-// verdictsChanged has other VMs learn what this one has found of requests that crash
-// servers. A hub announces verdicts to all at once, other VMs report to the hubs.
-func (n *Node) verdictsChanged(c poison.Change) {
+// quarantinesChanged propagates changes of the evidence about requests that crash
+// servers. Every VM reports changed findings to the hubs at once. Requests that were
+// quarantined or released are also announced: a hub sends them to all VMs at once.
+func (n *Node) quarantinesChanged(c poison.Change) {
 	for _, f := range c.Quarantined {
 		n.log.Warn("request quarantined", zap.Stringer("fingerprint", f))
 	}
 	for _, f := range c.Released {
 		n.log.Info("request released", zap.Stringer("fingerprint", f))
 	}
-	n.beat()
+	n.reportNow()
 	if c.Empty() {
 		return
 	}
-	n.tell()
+	n.announce()
 	if len(c.Quarantined) > 0 {
-		n.names.Wake()
+		n.registrar.Wake()
 	}
 }
 
-// mergeFindings merges what another VM knows of requests that crash servers.
+// mergeFindings merges another VM's findings about requests that crash servers.
 func (n *Node) mergeFindings(s *wire.State, now time.Time) {
 	c := n.Poison.Merge(s.Findings, now)
 	for _, list := range [][]call.Fingerprint{c.Quarantined, c.Released} {
 		for _, f := range list {
-			n.log.Info("verdict by another VM's findings", zap.Stringer("fingerprint", f), zap.String("reported-by", string(s.VM)))
+			n.log.Info("quarantine decision changed by another VM's findings", zap.Stringer("fingerprint", f), zap.String("reported-by", string(s.VM)))
 		}
 	}
 }
--- a/internal/proc/peers/doc.go
+++ b/internal/proc/peers/doc.go
@@ -1,3 +1,3 @@
-// Package peers keeps what one VM knows of settings, servers, loads and other VMs in
-// step with the store and with those VMs, and tells them what it knows itself.
+// Package peers keeps one VM's settings, servers, loads and view of the other VMs in
+// sync with the store and with those VMs, and reports its own state to them.
 package peers
--- a/internal/proc/peers/limits.go
+++ b/internal/proc/peers/limits.go
@@ -14,6 +14,6 @@
 	} else {
 		n.log.Info("server rate limit ended", zap.String("server", string(id)))
 	}
-	n.beat()
-	n.tell()
+	n.reportNow()
+	n.announce()
 }
--- a/internal/proc/peers/node.go
+++ b/internal/proc/peers/node.go
@@ -27,78 +27,79 @@
 	"umberladder/internal/state/routes"
 )
 
-// Ports are the platform's side of the node.
-type Ports struct {
+// Deps are the platform-specific components that a node is built from.
+type Deps struct {
 	Settings follow.SettingsSource
 	Servers  follow.ServerSource
-	Names    names.Registry
-	Share    *share.Client // fetches what other VMs share
+	Registry names.Registry
+	Share    *share.Client // fetches settings and server entries from other VMs
 }
 
-// Node is one VM among others.
+// Node holds one VM's shared state and exchanges it with the other VMs.
 type Node struct {
-	Settings *routes.Book
-	Servers  *backs.Table
-	Seats    *seats.Book
-	Hubs     *hubs.Hubs
-	Budget   *retry.Window
-	Poison   *poison.Book
-	Rates    *rates.Book
-	Discover *follow.Servers
+	Settings       *routes.Book
+	Servers        *backs.Table
+	Alloc          *seats.Book
+	Hubs           *hubs.Hubs
+	Budget         *retry.Window
+	Poison         *poison.Book
+	Rates          *rates.Book
+	ServerFollower *follow.Servers
 
-	cfg     *conf.Edge
-	follow  *follow.Settings
-	names   *names.Keeper
-	share   *share.Client
-	group   *errgroup.Group
-	log     *zap.Logger
-	reading atomic.Bool // newer settings are being read
-	gossip  atomic.Pointer[gossip.Gossip]
-	news    chan struct{} // has an element once there is something to tell all others
-	home    *homes.Home
-	desk    *desk.Desk
+	cfg              *conf.Edge
+	settingsFollower *follow.Settings
+	registrar        *names.Keeper
+	share            *share.Client
+	group            *errgroup.Group
+	log              *zap.Logger
+	fetchingSettings atomic.Bool // newer settings are being fetched
+	agent            atomic.Pointer[gossip.Gossip]
+	announceNow      chan struct{} // holds an element while changes are to be announced to all VMs
+	coordinator      *homes.Home
+	placer           *desk.Desk
 }
 
-// New makes a node that knows nothing yet.
-func New(cfg *conf.Edge, ports Ports, group *errgroup.Group, log *zap.Logger) *Node {
+// New returns a node without settings, servers or known VMs.
+func New(cfg *conf.Edge, deps Deps, group *errgroup.Group, log *zap.Logger) *Node {
 	start := time.Now()
-	own := hubs.Candidate{VM: cfg.Name, Addr: cfg.Peers, Capacity: hubs.CapacityOf(cfg.Cores, cfg.Link), Domain: cfg.Domain}
+	self := hubs.Candidate{VM: cfg.Name, Addr: cfg.Peers, Capacity: hubs.CapacityOf(cfg.Cores, cfg.Link), Domain: cfg.Domain}
 	n := &Node{
-		Settings: routes.NewBook(awake.Now),
-		Seats:    seats.New(),
-		Hubs:     hubs.New(own, cfg.Seeds, start),
-		cfg:      cfg,
-		share:    ports.Share,
-		group:    group,
-		log:      log,
-		news:     make(chan struct{}, 1),
+		Settings:    routes.NewBook(awake.Now),
+		Alloc:       seats.New(),
+		Hubs:        hubs.New(self, cfg.Seeds, start),
+		cfg:         cfg,
+		share:       deps.Share,
+		group:       group,
+		log:         log,
+		announceNow: make(chan struct{}, 1),
 	}
-	n.Servers = backs.NewTable(n.tell)
+	n.Servers = backs.NewTable(n.announce)
 	n.Budget = retry.NewWindow(cfg.Retry.Ratio, cfg.Retry.Extra, cfg.Retry.Window, n.Hubs)
-	n.Poison = poison.New(cfg.Quarantine, n.verdictsChanged)
+	n.Poison = poison.New(cfg.Quarantine, n.quarantinesChanged)
 	n.Rates = rates.New(n.Budget, n.limitChanged)
-	n.names = names.New(own, start, n.Hubs, ports.Names, n.Poison, n.beat, log)
-	n.follow = follow.NewSettings(ports.Settings, n.Settings, awake.Now, n.settingsTold, n.first, n.tell, log)
-	n.Discover = follow.NewServers(ports.Servers, n.Servers, awake.Now, n.serversTold, n.first, n.lead, n.tell, n.takeServers, log)
+	n.registrar = names.New(self, start, n.Hubs, deps.Registry, n.Poison, n.reportNow, log)
+	n.settingsFollower = follow.NewSettings(deps.Settings, n.Settings, awake.Now, n.settingsFromPeers, n.probesStore, n.announce, log)
+	n.ServerFollower = follow.NewServers(deps.Servers, n.Servers, awake.Now, n.serversFromPeers, n.probesStore, n.leadsWatch, n.announce, n.fetchServers, log)
 	return n
 }
 
-// Run speaks with the store and other VMs until ctx ends. Their asks for room go to
-// the home, and their answers to the desk.
-func (n *Node) Run(ctx context.Context, home *homes.Home, d *desk.Desk) error {
-	n.home, n.desk = home, d
-	shared, err := net.Listen("tcp", n.cfg.Peers.String())
+// Run starts the exchange with the store and other VMs, which lasts until ctx ends.
+// Placement requests from other VMs go to the coordinator c, and responses to this
+// VM's own requests to the placer p.
+func (n *Node) Run(ctx context.Context, c *homes.Home, p *desk.Desk) error {
+	n.coordinator, n.placer = c, p
+	ln, err := net.Listen("tcp", n.cfg.Peers.String())
 	if err != nil {
 		return trace.Wrap(err, "/peers-address")
 	}
-	share.NewServer(source{n}, n.cfg.Link, n.log).Serve(ctx, shared, n.group)
-	g, err := gossip.New(n.cfg.Name, uint64(time.Now().UnixNano()), n.cfg.Peers, &local{node: n, ctx: ctx}, n.Hubs, n.log)
+	share.NewServer(shareSource{n}, n.cfg.Link, n.log).Serve(ctx, ln, n.group)
+	agent, err := gossip.New(n.cfg.Name, uint64(time.Now().UnixNano()), n.cfg.Peers, &local{node: n, ctx: ctx}, n.Hubs, n.log)
 	if err != nil {
 		return trace.Wrap(err, "/peers-address")
 	}
-	n.gossip.Store(g)
+	n.agent.Store(agent)
 	for _, loop := range []func(context.Context){
-		n.follow.Run, n.Discover.Run, n.Discover.Expire, n.names.Run, g.Send, g.Receive,
+		n.settingsFollower.Run, n.ServerFollower.Run, n.ServerFollower.Expire, n.registrar.Run, agent.Send, agent.Receive,
 	} {
 		n.group.Go(func() error {
 			loop(ctx)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// Version returns the version of the settings in force; zero: there are none.
+// Version returns the version of the settings in force, or zero if there are none.
 func (n *Node) Version() uint64 {
 	if s := n.Settings.Load(); s != nil {
 		return s.Version
@@ -116,12 +117,12 @@
 	return 0
 }
 
-// Watches reports whether this VM asks the store for changes.
-func (n *Node) Watches() bool { return !n.serversTold() }
+// WatchesStore reports whether this VM watches the store for changes of servers.
+func (n *Node) WatchesStore() bool { return !n.serversFromPeers() }
 
-// Sent returns the messages of a kind that were sent to other VMs.
+// Sent returns how many messages of a kind were sent to other VMs, and their bytes.
 func (n *Node) Sent(k gossip.Kind) gossip.Traffic {
-	if g := n.gossip.Load(); g != nil {
+	if g := n.agent.Load(); g != nil {
 		return g.Sent(k)
 	}
 	return gossip.Traffic{}
--- a/internal/proc/peers/told.go
+++ b/internal/proc/peers/told.go
@@ -20,85 +20,93 @@
 )
 
 const (
-	// settingsAge is the age of the settings up to which a VM waits to be told. It
-	// leaves time to read them before keys can't be served.
-	settingsAge = 2500 * time.Millisecond
-	// deciders is how many VMs are told at once what changes in the loads: the one
-	// that decides, and the one that takes its place.
-	deciders = 2
-	// storeQuiet is how long the store must have answered no VM for engines to be
-	// asked themselves whether they leave. Servers' heartbeats end each wait within
-	// 0.2 s, and hubs hear of it twice in each beat.
-	storeQuiet = 700 * time.Millisecond
-	// newerPause is the least pause after newer settings could not be read.
-	newerPause = 500 * time.Millisecond
-	// askTime is how long hubs may take to answer how old the settings are, and
-	// askLook how often it is looked whether they have.
-	askTime = 60 * time.Millisecond
-	askLook = 4 * time.Millisecond
-	// confirmAge is the age of settings that an answer of the hubs brings at most.
-	confirmAge = time.Second
+	// maxSettingsAge is the age of the settings up to which a VM relies on updates
+	// from peers. Beyond it, the VM reads the store itself, with time left before the
+	// settings are too old to accept API keys.
+	maxSettingsAge = 2500 * time.Millisecond
+	// loadRecipients is how many VMs of each service receive load changes at once:
+	// the coordinator and its first substitute.
+	loadRecipients = 2
+	// storeSilence is how long the store must not have responded to any VM before
+	// engines are probed directly for whether they drain. Normally, the servers'
+	// heartbeats end each watch call within 0.2 s, and the hubs receive the result
+	// twice in each report interval.
+	storeSilence = 700 * time.Millisecond
+	// fetchRetryPause is the minimum pause after newer settings could not be fetched.
+	fetchRetryPause = 500 * time.Millisecond
+	// confirmTimeout is how long to wait for the hubs to confirm that the settings are
+	// the newest, and confirmPollInterval how often the age of the settings is checked
+	// meanwhile.
+	confirmTimeout      = 60 * time.Millisecond
+	confirmPollInterval = 4 * time.Millisecond
+	// maxConfirmedAge is the age below which the settings count as confirmed by the
+	// hubs.
+	maxConfirmedAge = time.Second
 )
 
-// local is what the VM tells the others. It implements gossip.Local.
+// delegate provides this VM's state to gossip and applies the state of other VMs. It
+// implements gossip.Delegate.
 type local struct {
 	node *Node
-	// ctx ends with the VM.
+	// ctx ends when the VM stops.
 	ctx context.Context
 }
 
-// settingsTold reports whether other VMs tell what changes in the settings. A VM
-// whose settings grow old though the store answers it reads them itself.
-func (n *Node) settingsTold() bool {
+// settingsFromPeers reports whether this VM receives settings from other VMs instead
+// of watching the store. A VM whose settings grow old although it can reach the store
+// reads them itself.
+func (n *Node) settingsFromPeers() bool {
 	now := time.Now()
 	if n.Hubs.Asks(now) {
 		return false
 	}
-	return n.Settings.Load() == nil || n.Settings.Age() < settingsAge || !n.Hubs.Answers(now)
+	return n.Settings.Load() == nil || n.Settings.Age() < maxSettingsAge || !n.Hubs.Answers(now)
 }
 
-// first reports whether this VM is to find out soon that the store is back.
-func (n *Node) first() bool { return n.Hubs.First(time.Now()) }
+// probesStore reports whether this VM probes an unreachable store frequently, to
+// detect its recovery early.
+func (n *Node) probesStore() bool { return n.Hubs.First(time.Now()) }
 
-// lead reports whether no other VM asks the store before this one.
-func (n *Node) lead() bool { return n.Hubs.Lead(time.Now()) }
+// leadsWatch reports whether no VM ranked before this one watches the store.
+func (n *Node) leadsWatch() bool { return n.Hubs.Lead(time.Now()) }
 
-// serversTold reports whether other VMs tell what changes among the servers.
-func (n *Node) serversTold() bool { return !n.Hubs.Asks(time.Now()) }
+// serversFromPeers reports whether this VM receives changes of servers from other VMs
+// instead of watching the store.
+func (n *Node) serversFromPeers() bool { return !n.Hubs.Asks(time.Now()) }
 
-// storeStatus returns what this VM says of its way to the store.
+// storeStatus returns what this VM reports about its access to the store.
 func (n *Node) storeStatus(now time.Time) hubs.StoreStatus {
-	return hubs.StoreStatus{Asks: n.Hubs.Asks(now), Age: n.Discover.Age()}
+	return hubs.StoreStatus{Asks: n.Hubs.Asks(now), Age: n.ServerFollower.Age()}
 }
 
-// Report implements gossip.Local.
+// FillReport implements gossip.Delegate.
 func (l *local) Report(s *wire.State, now time.Time) {
 	n := l.node
-	s.Loads = n.Seats.Own()
+	s.Loads = n.Alloc.Own()
 	s.Sent = n.Budget.Sent(now)
 	s.Findings = n.Poison.Report(now)
 	s.Limits = n.Rates.Report(now)
-	l.tell(s, now)
+	l.fillCommon(s, now)
 	if s.Store.Asks {
-		l.news(s, now)
+		l.fillServerUpdate(s, now)
 	}
 }
 
-// Answer implements gossip.Local.
+// FillResponse implements gossip.Delegate.
 func (l *local) Answer(s *wire.State, to ident.VM, now time.Time) {
 	t := l.node.Budget.Rest(to, now)
 	s.Hub.Known, s.Hub.Heard, s.Hub.Rest = t.Known, t.Heard, t.Sent
 	s.Findings = l.node.Poison.Answer(to, now)
 	s.Limits = l.node.Rates.Answer(to, now)
-	l.tell(s, now)
-	l.news(s, now)
+	l.fillCommon(s, now)
+	l.fillServerUpdate(s, now)
 }
 
-// tell fills in what this VM tells of itself to hubs and as a hub.
-func (l *local) tell(s *wire.State, now time.Time) {
+// fillCommon fills in the fields that reports and hub responses have in common.
+func (l *local) fillCommon(s *wire.State, now time.Time) {
 	n := l.node
-	own := n.Hubs.Own()
-	s.Capacity, s.Domain = own.Capacity, own.Domain
+	self := n.Hubs.Own()
+	s.Capacity, s.Domain = self.Capacity, self.Domain
 	s.Leaving = n.Servers.Leaving(now)
 	s.Draining = n.Servers.Draining(now)
 	s.Verdicts = n.Poison.Digest(now)
@@ -106,18 +114,18 @@
 	s.Store = n.storeStatus(now)
 }
 
-func (l *local) news(s *wire.State, now time.Time) {
-	if n, ok := l.node.Discover.News(now); ok {
+func (l *local) fillServerUpdate(s *wire.State, now time.Time) {
+	if n, ok := l.node.ServerFollower.News(now); ok {
 		s.News = &n
 	}
 }
 
-// reportOf returns what a message says of its VM.
+// reportOf returns the sender's report about itself in a message.
 func reportOf(s *wire.State, from netip.AddrPort) hubs.Report {
 	return hubs.Report{Candidate: hubs.Candidate{VM: s.VM, Addr: from, Capacity: s.Capacity, Domain: s.Domain}, StoreStatus: s.Store}
 }
 
-// Hear implements gossip.Local.
+// HandleReport implements gossip.Delegate.
 func (l *local) Hear(s *wire.State, from netip.AddrPort, now time.Time) {
 	n := l.node
 	n.Hubs.Reported(reportOf(s, from), now)
@@ -125,84 +133,87 @@
 	n.Poison.Reported(s.VM, s.Verdicts)
 	n.Rates.Reported(s.VM, s.Limits, now)
 	if s.HasLoads() {
-		n.Seats.Hear(s.VM, s.Boot, s.Seq, s.Part, s.Loads, now)
+		n.Alloc.Hear(s.VM, s.Boot, s.Seq, s.Part, s.Loads, now)
 	}
-	l.take(s, from, true, now)
+	l.applyCommon(s, from, true, now)
 }
 
-// Learn implements gossip.Local.
+// HandleResponse implements gossip.Delegate.
 func (l *local) Learn(s *wire.State, from netip.AddrPort, now time.Time) {
 	n := l.node
 	if n.Hubs.Answered(reportOf(s, from), s.Hub.Names, s.Hub.Digest, now) {
-		n.beat()
+		n.reportNow()
 	}
 	n.Budget.Learn(s.VM, retry.Total{At: now, Known: s.Hub.Known, Heard: s.Hub.Heard, Sent: s.Hub.Rest})
 	n.Poison.HubAnswered(s.VM, s.Boot, s.Verdicts, now)
 	n.Rates.HubAnswered(s.VM, s.Hub.Heard, s.Limits, now)
-	l.take(s, from, false, now)
+	l.applyCommon(s, from, false, now)
 	if s.Reply != nil {
-		l.confirm(*s.Reply, from)
+		l.handleVersionReply(*s.Reply, from)
 	}
 }
 
-// take takes what another VM knows of servers and settings. What a VM reports is
-// passed on to those that report to this one.
-func (l *local) take(s *wire.State, from netip.AddrPort, pass bool, now time.Time) {
+// applyCommon applies another VM's state of servers and settings. If forward is set,
+// as for reports, retired and draining servers are also announced to the VMs that
+// report to this one.
+func (l *local) applyCommon(s *wire.State, from netip.AddrPort, forward bool, now time.Time) {
 	n := l.node
 	n.mergeFindings(s, now)
 	if s.News != nil {
-		n.Discover.Learn(*s.News, now)
+		n.ServerFollower.Learn(*s.News, now)
 	}
-	for _, id := range n.Servers.Drains(s.Draining, pass, now) {
+	for _, id := range n.Servers.Drains(s.Draining, forward, now) {
 		n.log.Info("server drains", zap.String("server", string(id)), zap.String("reported-by", string(s.VM)))
 	}
-	for _, id := range n.Servers.Receive(s.Leaving, pass) {
+	for _, id := range n.Servers.Receive(s.Leaving, forward) {
 		n.log.Info("server leaves", zap.String("server", string(id)), zap.String("reported-by", string(s.VM)))
 	}
 	if s.Version > n.Version() {
-		l.newer(s.Version, from)
+		l.fetchNewer(s.Version, from)
 	}
 }
 
-// newer takes settings that another VM has already, from it or else from the
-// store.
-func (l *local) newer(version uint64, from netip.AddrPort) {
+// fetchNewer fetches newer settings from the VM that announced them, or from the
+// store if that fails.
+func (l *local) fetchNewer(version uint64, from netip.AddrPort) {
 	l.node.Settings.Hear(version, awake.Now())
-	if !l.node.reading.CompareAndSwap(false, true) {
+	if !l.node.fetchingSettings.CompareAndSwap(false, true) {
 		return
 	}
 	l.node.group.Go(func() error {
-		defer l.node.reading.Store(false)
-		if err := l.node.takeSettings(l.ctx, version, from); err != nil {
+		defer l.node.fetchingSettings.Store(false)
+		if err := l.node.fetchSettings(l.ctx, version, from); err != nil {
 			l.node.log.Info("settings not taken from another VM", zap.Uint64("version", version), zap.Stringer("from", from),
 				zap.Duration("behind", l.node.Settings.Behind()), zap.Error(err))
-			l.node.follow.Learn(l.ctx, version, 0)
+			l.node.settingsFollower.Learn(l.ctx, version, 0)
 		}
 		if l.node.Version() < version {
-			// Each message of each VM would ask a store that does not answer.
-			retry.Pause(l.ctx, newerPause+rand.N(newerPause))
+			// Without the pause, each message from each VM would start another
+			// read of a store that does not respond.
+			retry.Pause(l.ctx, fetchRetryPause+rand.N(fetchRetryPause))
 		}
 		return nil
 	})
 }
 
-// takeSettings takes a version of the settings, or a later one, from another VM, or
-// from one that it names. They were the newest their age before it answered, and it
-// answered after it was asked.
-func (n *Node) takeSettings(ctx context.Context, version uint64, from netip.AddrPort) error {
+// fetchSettings fetches the given version of the settings, or a later one, from
+// another VM or from one that it refers to. The responding VM states how long before
+// its response the settings were known to be the newest. That age is counted back from
+// the time of the request, which is earlier than the response.
+func (n *Node) fetchSettings(ctx context.Context, version uint64, from netip.AddrPort) error {
 	_, err := share.Take(ctx, []netip.AddrPort{from}, func(ctx context.Context, from netip.AddrPort) (uint64, error) {
-		asked := awake.Now()
+		requestedAt := awake.Now()
 		s, err := n.share.Settings(ctx, from, version)
 		if err != nil {
 			return 0, err
 		}
-		return s.Version, n.follow.Adopt(s.Packed, asked.Add(-s.Age))
+		return s.Version, n.settingsFollower.Adopt(s.Packed, requestedAt.Add(-s.Age))
 	})
 	return err
 }
 
-// takeServers takes all servers from a hub.
-func (n *Node) takeServers(ctx context.Context) (follow.News, error) {
+// fetchServers fetches the complete list of servers from a hub.
+func (n *Node) fetchServers(ctx context.Context) (follow.News, error) {
 	list := n.Hubs.Addresses(time.Now())
 	if len(list) == 0 {
 		return follow.News{}, follow.ErrNobody
@@ -210,67 +221,69 @@
 	return share.Take(ctx, list, n.share.Servers)
 }
 
-// Refresh implements port.Refresher: it has the hubs confirm that the settings are
-// the newest, and reads them in the store if they don't at once.
+// Refresh implements port.Refresher. It asks the hubs to confirm that the settings are
+// the newest, and reads the store if they do not confirm within confirmTimeout.
 func (n *Node) Refresh(ctx context.Context, limit time.Duration) error {
-	if n.Settings.Load() != nil && !n.Hubs.Asks(time.Now()) && n.confirmed(ctx) {
+	if n.Settings.Load() != nil && !n.Hubs.Asks(time.Now()) && n.awaitConfirmation(ctx) {
 		return nil
 	}
-	return n.follow.Refresh(ctx, limit)
+	return n.settingsFollower.Refresh(ctx, limit)
 }
 
-// beat has the VM report to the hubs at once.
-func (n *Node) beat() {
-	if g := n.gossip.Load(); g != nil {
+// reportNow sends a report to the hubs without waiting for the report interval.
+func (n *Node) reportNow() {
+	if g := n.agent.Load(); g != nil {
 		g.Beat()
 	}
 }
 
-// confirmed reports whether the hubs confirm the settings.
-func (n *Node) confirmed(ctx context.Context) bool {
-	n.beat()
-	for end := time.Now().Add(askTime); ctx.Err() == nil && time.Now().Before(end); {
-		if n.Settings.Age() < confirmAge {
+// awaitConfirmation reports whether the hubs confirm the settings within
+// confirmTimeout.
+func (n *Node) awaitConfirmation(ctx context.Context) bool {
+	n.reportNow()
+	for deadline := time.Now().Add(confirmTimeout); ctx.Err() == nil && time.Now().Before(deadline); {
+		if n.Settings.Age() < maxConfirmedAge {
 			return true
 		}
-		retry.Pause(ctx, askLook)
+		retry.Pause(ctx, confirmPollInterval)
 	}
 	return false
 }
 
-// Clock implements gossip.Local.
+// Clock implements gossip.Delegate.
 func (l *local) Clock() uint64 { return uint64(awake.Now()) }
 
-// Reply implements gossip.Local.
-func (l *local) Reply(ask uint64) *wire.Reply {
+// VersionReply implements gossip.Delegate.
+func (l *local) Reply(requestTime uint64) *wire.Reply {
 	fresh := l.node.Settings.Fresh()
-	r := &wire.Reply{Ask: ask}
+	r := &wire.Reply{Ask: requestTime}
 	if snap := l.node.Settings.Load(); snap != nil {
 		r.Version, r.Age = snap.Version, awake.Now().Sub(fresh)
 	}
 	return r
 }
 
-// confirm takes the answer to what this VM asked. The other VM's settings were the
-// newest Age before it answered, and it answered after it was asked.
-func (l *local) confirm(r wire.Reply, from netip.AddrPort) {
+// handleVersionReply applies a hub's reply about the age of the settings. The hub's
+// settings were the newest r.Age before it replied. That age is counted back from the
+// time of this VM's request, which is earlier than the reply.
+func (l *local) handleVersionReply(r wire.Reply, from netip.AddrPort) {
 	if r.Version == 0 || awake.Instant(r.Ask) > awake.Now() {
 		return
 	}
 	if r.Version > l.node.Version() {
-		l.newer(r.Version, from)
+		l.fetchNewer(r.Version, from)
 		return
 	}
-	l.node.follow.Learn(l.ctx, r.Version, awake.Instant(r.Ask).Add(-r.Age))
+	l.node.settingsFollower.Learn(l.ctx, r.Version, awake.Instant(r.Ask).Add(-r.Age))
 }
 
-// Dirty implements gossip.Local.
-func (l *local) Dirty() <-chan struct{} { return l.node.news }
+// StateChanged implements gossip.Delegate.
+func (l *local) Dirty() <-chan struct{} { return l.node.announceNow }
 
-// Moved implements gossip.Local.
-func (l *local) Moved() <-chan struct{} { return l.node.Seats.Dirty() }
+// LoadsChanged implements gossip.Delegate.
+func (l *local) Moved() <-chan struct{} { return l.node.Alloc.Dirty() }
 
-// Homes implements gossip.Local.
+// Coordinators implements gossip.Delegate.
 func (l *local) Homes() []netip.AddrPort {
 	out := []netip.AddrPort{}
 	snap := l.node.Settings.Load()
@@ -279,7 +292,7 @@
 	}
 	now := time.Now()
 	for _, s := range snap.Engines() {
-		for _, p := range l.node.Hubs.Order(s, deciders, now) {
+		for _, p := range l.node.Hubs.Order(s, loadRecipients, now) {
 			if p.Addr.IsValid() && !slices.Contains(out, p.Addr) {
 				out = append(out, p.Addr)
 			}
@@ -288,48 +301,52 @@
 	return out
 }
 
-// Seat implements gossip.Local.
-func (l *local) Seat(a homes.Ask, reply func(homes.Answer)) { l.node.home.Take(a, reply, time.Now()) }
+// HandlePlacementRequest implements gossip.Delegate.
+func (l *local) Seat(a homes.Ask, reply func(homes.Answer)) {
+	l.node.coordinator.Take(a, reply, time.Now())
+}
 
-// Seated implements gossip.Local.
-func (l *local) Seated(a homes.Answer) { l.node.desk.Answered(a) }
+// HandlePlacementResponse implements gossip.Delegate.
+func (l *local) Seated(a homes.Answer) { l.node.placer.Answered(a) }
 
-// Ask implements desk.Post. What is asked before the VM speaks to others is lost.
+// SendRequest implements placer.Transport. Requests made before the gossip agent has
+// started are lost.
 func (n *Node) Ask(to netip.AddrPort, a homes.Ask) {
-	if g := n.gossip.Load(); g != nil {
+	if g := n.agent.Load(); g != nil {
 		g.Ask(to, a)
 	}
 }
 
-// Order returns the VMs that decide for a service.
-func (n *Node) Order(s ident.Service, now time.Time) []hubs.Rank {
+// CoordinatorOrder returns the VMs that may coordinate a service, in order of
+// preference.
+func (n *Node) CoordinatorOrder(s ident.Service, now time.Time) []hubs.Rank {
 	return n.Hubs.Order(s, hubs.Count, now)
 }
 
-// Probed returns the services whose engines this VM has to ask whether they
-// leave: those for which it decides, while no VM hears the store.
-func (n *Node) Probed(now time.Time) []ident.Service {
+// ServicesToProbe returns the services whose engines this VM has to probe for whether
+// they drain: those that it coordinates, while the store responds to no VM.
+func (n *Node) ServicesToProbe(now time.Time) []ident.Service {
 	snap := n.Settings.Load()
-	if snap == nil || min(n.Discover.Age(), n.Hubs.Quiet(now)) < storeQuiet {
+	if snap == nil || min(n.ServerFollower.Age(), n.Hubs.Quiet(now)) < storeSilence {
 		return nil
 	}
 	var out []ident.Service
 	for _, s := range snap.Engines() {
-		if order := n.Order(s, now); len(order) > 0 && !order[0].Addr.IsValid() {
+		if order := n.CoordinatorOrder(s, now); len(order) > 0 && !order[0].Addr.IsValid() {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// tell notes that there is something new to tell all others. VMs that are no hubs,
-// and are told themselves, tell it with their next report.
-func (n *Node) tell() {
+// announce requests an announcement to all other VMs. VMs that are not hubs and do not
+// watch the store include the change in their next report instead.
+func (n *Node) announce() {
 	if now := time.Now(); !n.Hubs.Asks(now) && !n.Hubs.Hub(now) {
 		return
 	}
 	select {
-	case n.news <- struct{}{}:
+	case n.announceNow <- struct{}{}:
 	default:
 	}
 }
