--- a/internal/proc/cmds/edge.go
+++ b/internal/proc/cmds/edge.go
@@ -76,7 +76,7 @@
 		return exit(ExitInvalid, err)
 	}
 	group := &errgroup.Group{}
-	lines := sink.New(os.Stdout, cfg.LogRate, group)
+	lines := sink.New(os.Stdout, cfg.LogLinesPerSecond, group)
 	defer lines.Close()
 	log := lines.Logger(level).With(zap.String("vm", string(cfg.Name)))
 	dialer := link.New(cfg.Callers.Addr(), edgeConnect, time.Minute, 0)
--- a/internal/proc/conf/conf_test.go
+++ b/internal/proc/conf/conf_test.go
@@ -13,14 +13,14 @@
 	"umberladder/internal/test/check"
 )
 
-const least = `{
+const minimalNode = `{
   "name": "vm-1", "failure-domain": "fd-a",
   "callers-address": "127.0.0.1:8080", "operators-address": "127.0.0.1:8081", "peers-address": "127.0.0.1:8082",
   "store-address": "127.0.0.1:7000", "vm-list-address": "127.0.0.1:7001",
   "key-ring": [{"id": 1, "secret": "00112233445566778899aabbccddeeff"}]
 }`
 
-func TestFaults(t *testing.T) {
+func TestInvalidMembers(t *testing.T) {
 	for name, c := range map[string]struct{ old, new, path, want string }{
 		"unknown member":   {`"name"`, `"title"`, "/title", "unknown member"},
 		"missing name":     {`"name": "vm-1", `, ``, "/name", "missing"},
@@ -35,7 +35,7 @@
 		"not JSON":         {`{`, `{{`, "", "not valid JSON"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(least, c.old, c.new, 1)))
+			_, err := Parse([]byte(strings.Replace(minimalNode, c.old, c.new, 1)))
 			check.Field(t, err, c.path, c.want)
 		})
 	}
@@ -43,37 +43,37 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestDocumentedDefaults holds the page of settings against the code, both
-// ways.
+// TestDocumentedDefaults checks that docs/SETTINGS.md and the code have the same
+// members with the same defaults.
 func TestDocumentedDefaults(t *testing.T) {
-	n, err := Parse([]byte(least))
+	n, err := Parse([]byte(minimalNode))
 	assert.NilError(t, err)
 	want := map[string]any{
 		"/operator-keys":                 "none",
 		"/log-level":                     n.LogLevel,
 		"/placement":                     n.Placement,
 		"/claim-lease":                   n.ClaimTTL,
-		"/store-budget/calls-per-second": n.Budget.PerSecond,
-		"/store-budget/burst":            n.Budget.Burst,
-		"/limits/body-bytes":             n.Limits.Body,
-		"/limits/header-bytes":           n.Limits.Header,
-		"/limits/answer-bytes":           n.Limits.Answer,
-		"/limits/connections":            n.Limits.Connections,
-		"/limits/request-read":           n.Limits.Read,
-		"/limits/connection-idle":        n.Limits.Idle,
-		"/limits/caller-stall":           n.Limits.CallerStall,
-		"/limits/server-connect":         n.Limits.Connect,
-		"/limits/engine-idle":            n.Limits.EngineIdle,
+		"/store-budget/calls-per-second": n.StoreBudget.CallsPerSecond,
+		"/store-budget/burst":            n.StoreBudget.Burst,
+		"/limits/body-bytes":             n.Limits.MaxBodyBytes,
+		"/limits/header-bytes":           n.Limits.MaxHeaderBytes,
+		"/limits/answer-bytes":           n.Limits.MaxResponseBytes,
+		"/limits/connections":            n.Limits.MaxConns,
+		"/limits/request-read":           n.Limits.ReadTimeout,
+		"/limits/connection-idle":        n.Limits.IdleTimeout,
+		"/limits/caller-stall":           n.Limits.WriteTimeout,
+		"/limits/server-connect":         n.Limits.ConnectTimeout,
+		"/limits/engine-idle":            n.Limits.EngineIdleTimeout,
 		"/limits/load-interval":          n.Limits.LoadInterval,
 		"/limits/drain-delay":            n.Limits.DrainDelay,
-		"/generation/patience":           n.Generate.Patience,
-		"/generation/detach":             n.Generate.Detach,
-		"/generation/resume-delay":       n.Generate.ResumeBase,
-		"/generation/resume-delay-limit": n.Generate.ResumeMax,
-		"/generation/resume-tries":       n.Generate.ResumeTry,
-		"/generation/start-tries":        n.Generate.StartTry,
-		"/generation/first-token-pace":   n.Generate.FirstPace,
-		"/generation/token-pace":         n.Generate.TokenPace,
+		"/generation/patience":           n.Generation.Patience,
+		"/generation/detach":             n.Generation.Detach,
+		"/generation/resume-delay":       n.Generation.ResumeBase,
+		"/generation/resume-delay-limit": n.Generation.ResumeMax,
+		"/generation/resume-tries":       n.Generation.ResumeTry,
+		"/generation/start-tries":        n.Generation.StartTry,
+		"/generation/first-token-pace":   n.Generation.FirstPace,
+		"/generation/token-pace":         n.Generation.TokenPace,
 	}
 	page, err := os.ReadFile("../../../docs/SETTINGS.md")
 	assert.NilError(t, err)
@@ -84,12 +84,12 @@
 		}
 	}
 	for member, v := range want {
-		assert.Equal(t, documented[member], text(v), member)
+		assert.Equal(t, documented[member], formatDefault(v), member)
 	}
 	assert.Equal(t, len(documented), len(want))
 }
 
-func text(v any) string {
+func formatDefault(v any) string {
 	if d, ok := v.(time.Duration); ok {
 		return d.String()
 	}
@@ -97,6 +97,6 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(least)
+	f.Add(minimalNode)
 	f.Fuzz(func(_ *testing.T, s string) { _, _ = Parse([]byte(s)) })
 }
--- a/internal/proc/conf/edge_test.go
+++ b/internal/proc/conf/edge_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestEdgeTemplate fills the deployed template as the platform does.
+// TestEdgeTemplate substitutes values into deploy/settings.json as the platform does,
+// and checks that the result is valid.
 func TestEdgeTemplate(t *testing.T) {
 	data, err := os.ReadFile("../../../deploy/settings.json")
 	assert.NilError(t, err)
@@ -53,6 +54,6 @@
 	assert.NilError(t, err)
 	assert.Equal(t, e.Grace, 8*time.Second)
 	assert.Equal(t, e.Retry.Extra, 54.0)
-	assert.Equal(t, e.Link, 20e6)
+	assert.Equal(t, e.LinkBitsPerSecond, 20e6)
 	assert.Equal(t, len(e.Seeds), 1)
 }
--- a/internal/proc/conf/node.go
+++ b/internal/proc/conf/node.go
@@ -13,47 +13,47 @@
 	"umberladder/internal/state/config"
 )
 
-// Node is a node's own settings.
+// Node holds the settings of an entry VM (umberladder serve).
 type Node struct {
-	Name      ident.VM
-	Domain    ident.Domain
-	Callers   netip.AddrPort // HTTP for callers
-	Operators netip.AddrPort // HTTP for operators
-	Peers     netip.AddrPort // UDP and TCP for other VMs
-	Store     netip.AddrPort
-	VMList    netip.AddrPort
-	Secrets   []seal.Secret
-	OperKeys  []config.KeyHash // of operators who open everything
-	ClaimTTL  time.Duration    // of the lease on idempotency keys
-	LogLevel  string
-	Placement string
-	Limits    Limits
-	Generate  gener.Config
-	Budget    Budget
+	Name         ident.VM
+	Domain       ident.Domain
+	Callers      netip.AddrPort // HTTP for callers
+	Operators    netip.AddrPort // HTTP for operators
+	Peers        netip.AddrPort // UDP and TCP for other VMs
+	Store        netip.AddrPort
+	VMList       netip.AddrPort
+	Secrets      []seal.Secret
+	OperatorKeys []config.KeyHash // keys with access to all operator paths
+	ClaimTTL     time.Duration    // duration of the lease on shards of idempotency keys
+	LogLevel     string
+	Placement    string
+	Limits       Limits
+	Generation   gener.Config
+	StoreBudget  StoreBudget
 }
 
-// Limits bound sizes and waits.
+// Limits holds limits on sizes and times.
 type Limits struct {
-	Body         int           // caller's request body, bytes
-	Header       int           // caller's header section, bytes
-	Answer       int           // plain server's answer, bytes
-	Connections  int           // open caller connections
-	Read         time.Duration // time to send a request
-	Idle         time.Duration // time between two requests of a connection
-	CallerStall  time.Duration // time a caller may not read
-	Connect      time.Duration // time to connect to a backend server
-	EngineIdle   time.Duration // longest silence of an engine's link
-	LoadInterval time.Duration // between two load reports of an engine
-	DrainDelay   time.Duration // from not ready to closing the listener
+	MaxBodyBytes      int           // of a caller's request
+	MaxHeaderBytes    int           // of a caller's request
+	MaxResponseBytes  int           // of a plain server's response
+	MaxConns          int           // of callers
+	ReadTimeout       time.Duration // time for a caller to send a request
+	IdleTimeout       time.Duration // time between two requests on a connection
+	WriteTimeout      time.Duration // time a caller may go without reading
+	ConnectTimeout    time.Duration // for connections to backend servers
+	EngineIdleTimeout time.Duration // longest time without data on an engine connection
+	LoadInterval      time.Duration // time between two reads of an engine's load report
+	DrainDelay        time.Duration // time from not ready to closing the listener
 }
 
-// Budget bounds the calls to the platform's key-value service.
-type Budget struct {
-	PerSecond float64
-	Burst     int
+// StoreBudget limits the rate of calls to the platform's key-value store.
+type StoreBudget struct {
+	CallsPerSecond float64
+	Burst          int
 }
 
-// Read reads the node settings in a file.
+// Read reads the settings of an entry VM from a file.
 func Read(path string) (*Node, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return n, trace.Wrap(err, "%s", path)
 }
 
-// Parse reads node settings and names the first member at fault.
+// Parse parses the settings of an entry VM. The error names the first invalid
+// member.
 func Parse(data []byte) (*Node, error) {
 	var w nodeWire
 	if err := config.Decode(data, &w); err != nil {
--- a/internal/proc/conf/wire.go
+++ b/internal/proc/conf/wire.go
@@ -13,24 +13,24 @@
 	"umberladder/internal/state/config"
 )
 
-// Defaults of the members that may be left out.
+// Defaults of the optional members.
 const (
-	DefaultLogLevel     = "info"
-	DefaultPlacement    = "predicted"
-	DefaultBody         = 4 << 20
-	DefaultHeader       = 16 << 10
-	DefaultAnswer       = 16 << 20
-	DefaultConnections  = 20_000
-	DefaultRead         = 30 * time.Second
-	DefaultIdle         = 90 * time.Second
-	DefaultCallerStall  = 30 * time.Second
-	DefaultConnect      = time.Second
-	DefaultEngineIdle   = 2 * time.Second
-	DefaultLoadInterval = 250 * time.Millisecond
-	DefaultDrainDelay   = 5 * time.Second
-	DefaultClaimTTL     = 15 * time.Second
-	DefaultCalls        = 20.0
-	DefaultBurst        = 40
+	DefaultLogLevel            = "info"
+	DefaultPlacement           = "predicted"
+	DefaultMaxBodyBytes        = 4 << 20
+	DefaultMaxHeaderBytes      = 16 << 10
+	DefaultMaxResponseBytes    = 16 << 20
+	DefaultMaxConns            = 20_000
+	DefaultReadTimeout         = 30 * time.Second
+	DefaultIdleTimeout         = 90 * time.Second
+	DefaultWriteTimeout        = 30 * time.Second
+	DefaultConnectTimeout      = time.Second
+	DefaultEngineIdleTimeout   = 2 * time.Second
+	DefaultLoadInterval        = 250 * time.Millisecond
+	DefaultDrainDelay          = 5 * time.Second
+	DefaultClaimTTL            = 15 * time.Second
+	DefaultStoreCallsPerSecond = 20.0
+	DefaultStoreCallBurst      = 40
 )
 
 var (
@@ -44,20 +44,20 @@
 }
 
 type limitsWire struct {
-	Body         *int    `json:"body-bytes,omitzero"`
-	Header       *int    `json:"header-bytes,omitzero"`
-	Answer       *int    `json:"answer-bytes,omitzero"`
-	Connections  *int    `json:"connections,omitzero"`
-	Read         *string `json:"request-read,omitzero"`
-	Idle         *string `json:"connection-idle,omitzero"`
-	CallerStall  *string `json:"caller-stall,omitzero"`
-	Connect      *string `json:"server-connect,omitzero"`
-	EngineIdle   *string `json:"engine-idle,omitzero"`
-	LoadInterval *string `json:"load-interval,omitzero"`
-	DrainDelay   *string `json:"drain-delay,omitzero"`
+	MaxBodyBytes      *int    `json:"body-bytes,omitzero"`
+	MaxHeaderBytes    *int    `json:"header-bytes,omitzero"`
+	MaxResponseBytes  *int    `json:"answer-bytes,omitzero"`
+	MaxConns          *int    `json:"connections,omitzero"`
+	ReadTimeout       *string `json:"request-read,omitzero"`
+	IdleTimeout       *string `json:"connection-idle,omitzero"`
+	WriteTimeout      *string `json:"caller-stall,omitzero"`
+	ConnectTimeout    *string `json:"server-connect,omitzero"`
+	EngineIdleTimeout *string `json:"engine-idle,omitzero"`
+	LoadInterval      *string `json:"load-interval,omitzero"`
+	DrainDelay        *string `json:"drain-delay,omitzero"`
 }
 
-type generateWire struct {
+type generationWire struct {
 	Patience   *string `json:"patience,omitzero"`
 	Detach     *string `json:"detach,omitzero"`
 	ResumeBase *string `json:"resume-delay,omitzero"`
@@ -68,48 +68,48 @@
 	TokenPace  *string `json:"token-pace,omitzero"`
 }
 
-type budgetWire struct {
-	PerSecond *float64 `json:"calls-per-second,omitzero"`
-	Burst     *int     `json:"burst,omitzero"`
+type storeBudgetWire struct {
+	CallsPerSecond *float64 `json:"calls-per-second,omitzero"`
+	Burst          *int     `json:"burst,omitzero"`
 }
 
 type nodeWire struct {
-	Name      string       `json:"name"`
-	Domain    string       `json:"failure-domain"`
-	Callers   string       `json:"callers-address"`
-	Operators string       `json:"operators-address"`
-	Peers     string       `json:"peers-address"`
-	Store     string       `json:"store-address"`
-	VMList    string       `json:"vm-list-address"`
-	Secrets   []secretWire `json:"key-ring"`
-	Operator  []string     `json:"operator-keys,omitzero"`
-	ClaimTTL  *string      `json:"claim-lease,omitzero"`
-	LogLevel  *string      `json:"log-level,omitzero"`
-	Placement *string      `json:"placement,omitzero"`
-	Limits    limitsWire   `json:"limits,omitzero"`
-	Generate  generateWire `json:"generation,omitzero"`
-	Budget    budgetWire   `json:"store-budget,omitzero"`
+	Name         string          `json:"name"`
+	Domain       string          `json:"failure-domain"`
+	Callers      string          `json:"callers-address"`
+	Operators    string          `json:"operators-address"`
+	Peers        string          `json:"peers-address"`
+	Store        string          `json:"store-address"`
+	VMList       string          `json:"vm-list-address"`
+	Secrets      []secretWire    `json:"key-ring"`
+	OperatorKeys []string        `json:"operator-keys,omitzero"`
+	ClaimTTL     *string         `json:"claim-lease,omitzero"`
+	LogLevel     *string         `json:"log-level,omitzero"`
+	Placement    *string         `json:"placement,omitzero"`
+	Limits       limitsWire      `json:"limits,omitzero"`
+	Generation   generationWire  `json:"generation,omitzero"`
+	StoreBudget  storeBudgetWire `json:"store-budget,omitzero"`
 }
 
 func (w *nodeWire) node(f *config.Fields) *Node {
 	return &Node{
-		Name:      ident.VM(f.Name("/name", w.Name)),
-		Domain:    ident.Domain(f.Name("/failure-domain", w.Domain)),
-		Callers:   f.Address("/callers-address", w.Callers),
-		Operators: f.Address("/operators-address", w.Operators),
-		Peers:     f.Address("/peers-address", w.Peers),
-		Store:     f.Address("/store-address", w.Store),
-		VMList:    f.Address("/vm-list-address", w.VMList),
-		Secrets:   w.secrets(f),
-		OperKeys:  f.Hashes("/operator-keys", w.Operator),
-		ClaimTTL:  f.Duration("/claim-lease", w.ClaimTTL, DefaultClaimTTL, 2*time.Second, 10*time.Minute),
-		LogLevel:  oneOf(f, "/log-level", w.LogLevel, DefaultLogLevel, logLevels),
-		Placement: oneOf(f, "/placement", w.Placement, DefaultPlacement, placements),
-		Limits:    w.Limits.limits(f),
-		Generate:  w.Generate.config(f),
-		Budget: Budget{
-			PerSecond: f.Float("/store-budget/calls-per-second", w.Budget.PerSecond, DefaultCalls, 1, 10_000),
-			Burst:     f.Int("/store-budget/burst", w.Budget.Burst, DefaultBurst, 1, 100_000),
+		Name:         ident.VM(f.Name("/name", w.Name)),
+		Domain:       ident.Domain(f.Name("/failure-domain", w.Domain)),
+		Callers:      f.Address("/callers-address", w.Callers),
+		Operators:    f.Address("/operators-address", w.Operators),
+		Peers:        f.Address("/peers-address", w.Peers),
+		Store:        f.Address("/store-address", w.Store),
+		VMList:       f.Address("/vm-list-address", w.VMList),
+		Secrets:      w.secrets(f),
+		OperatorKeys: f.Hashes("/operator-keys", w.OperatorKeys),
+		ClaimTTL:     f.Duration("/claim-lease", w.ClaimTTL, DefaultClaimTTL, 2*time.Second, 10*time.Minute),
+		LogLevel:     oneOf(f, "/log-level", w.LogLevel, DefaultLogLevel, logLevels),
+		Placement:    oneOf(f, "/placement", w.Placement, DefaultPlacement, placements),
+		Limits:       w.Limits.limits(f),
+		Generation:   w.Generation.config(f),
+		StoreBudget: StoreBudget{
+			CallsPerSecond: f.Float("/store-budget/calls-per-second", w.StoreBudget.CallsPerSecond, DefaultStoreCallsPerSecond, 1, 10_000),
+			Burst:          f.Int("/store-budget/burst", w.StoreBudget.Burst, DefaultStoreCallBurst, 1, 100_000),
 		},
 	}
 }
@@ -148,21 +148,21 @@
 func (w *limitsWire) limits(f *config.Fields) Limits {
 	const p = "/limits/"
 	return Limits{
-		Body:         f.Int(p+"body-bytes", w.Body, DefaultBody, 1<<10, 1<<30),
-		Header:       f.Int(p+"header-bytes", w.Header, DefaultHeader, 1<<10, 1<<20),
-		Answer:       f.Int(p+"answer-bytes", w.Answer, DefaultAnswer, 1<<10, 1<<30),
-		Connections:  f.Int(p+"connections", w.Connections, DefaultConnections, 1, 1_000_000),
-		Read:         f.Duration(p+"request-read", w.Read, DefaultRead, 10*time.Millisecond, time.Hour),
-		Idle:         f.Duration(p+"connection-idle", w.Idle, DefaultIdle, 10*time.Millisecond, time.Hour),
-		CallerStall:  f.Duration(p+"caller-stall", w.CallerStall, DefaultCallerStall, 10*time.Millisecond, time.Hour),
-		Connect:      f.Duration(p+"server-connect", w.Connect, DefaultConnect, time.Millisecond, time.Minute),
-		EngineIdle:   f.Duration(p+"engine-idle", w.EngineIdle, DefaultEngineIdle, 10*time.Millisecond, 10*time.Minute),
-		LoadInterval: f.Duration(p+"load-interval", w.LoadInterval, DefaultLoadInterval, 10*time.Millisecond, time.Second),
-		DrainDelay:   f.Duration(p+"drain-delay", w.DrainDelay, DefaultDrainDelay, 0, 10*time.Minute),
+		MaxBodyBytes:      f.Int(p+"body-bytes", w.MaxBodyBytes, DefaultMaxBodyBytes, 1<<10, 1<<30),
+		MaxHeaderBytes:    f.Int(p+"header-bytes", w.MaxHeaderBytes, DefaultMaxHeaderBytes, 1<<10, 1<<20),
+		MaxResponseBytes:  f.Int(p+"answer-bytes", w.MaxResponseBytes, DefaultMaxResponseBytes, 1<<10, 1<<30),
+		MaxConns:          f.Int(p+"connections", w.MaxConns, DefaultMaxConns, 1, 1_000_000),
+		ReadTimeout:       f.Duration(p+"request-read", w.ReadTimeout, DefaultReadTimeout, 10*time.Millisecond, time.Hour),
+		IdleTimeout:       f.Duration(p+"connection-idle", w.IdleTimeout, DefaultIdleTimeout, 10*time.Millisecond, time.Hour),
+		WriteTimeout:      f.Duration(p+"caller-stall", w.WriteTimeout, DefaultWriteTimeout, 10*time.Millisecond, time.Hour),
+		ConnectTimeout:    f.Duration(p+"server-connect", w.ConnectTimeout, DefaultConnectTimeout, time.Millisecond, time.Minute),
+		EngineIdleTimeout: f.Duration(p+"engine-idle", w.EngineIdleTimeout, DefaultEngineIdleTimeout, 10*time.Millisecond, 10*time.Minute),
+		LoadInterval:      f.Duration(p+"load-interval", w.LoadInterval, DefaultLoadInterval, 10*time.Millisecond, time.Second),
+		DrainDelay:        f.Duration(p+"drain-delay", w.DrainDelay, DefaultDrainDelay, 0, 10*time.Minute),
 	}
 }
 
-func (w *generateWire) config(f *config.Fields) gener.Config {
+func (w *generationWire) config(f *config.Fields) gener.Config {
 	const p = "/generation/"
 	d := gener.DefaultConfig()
 	return gener.Config{
--- a/internal/proc/peers/crashes.go
+++ b/internal/proc/peers/crashes.go
@@ -12,7 +12,8 @@
 
 // quarantinesChanged propagates changes of the evidence about requests that crash
 // servers. Every VM reports changed findings to the hubs at once. Requests that were
-// quarantined or released are also announced: a hub sends them to all VMs at once.
+// quarantined or released are also announced: a hub sends them to all VMs at once, and
+// writes new quarantines to the store at once.
 func (n *Node) quarantinesChanged(c poison.Change) {
 	for _, f := range c.Quarantined {
 		n.log.Warn("request quarantined", zap.Stringer("fingerprint", f))
--- a/internal/proc/peers/node.go
+++ b/internal/proc/peers/node.go
@@ -62,7 +62,7 @@
 // New returns a node without settings, servers or known VMs.
 func New(cfg *conf.Edge, deps Deps, group *errgroup.Group, log *zap.Logger) *Node {
 	start := time.Now()
-	self := hubs.Candidate{VM: cfg.Name, Addr: cfg.Peers, Capacity: hubs.CapacityOf(cfg.Cores, cfg.Link), Domain: cfg.Domain}
+	self := hubs.Candidate{VM: cfg.Name, Addr: cfg.Peers, Capacity: hubs.CapacityOf(cfg.Cores, cfg.LinkBitsPerSecond), Domain: cfg.Domain}
 	n := &Node{
 		Settings:    routes.NewBook(awake.Now),
 		Alloc:       seats.New(),
@@ -92,7 +92,7 @@
 	if err != nil {
 		return trace.Wrap(err, "/peers-address")
 	}
-	share.NewServer(shareSource{n}, n.cfg.Link, n.log).Serve(ctx, ln, n.group)
+	share.NewServer(shareSource{n}, n.cfg.LinkBitsPerSecond, n.log).Serve(ctx, ln, n.group)
 	agent, err := gossip.New(n.cfg.Name, uint64(time.Now().UnixNano()), n.cfg.Peers, &local{node: n, ctx: ctx}, n.Hubs, n.log)
 	if err != nil {
 		return trace.Wrap(err, "/peers-address")
--- a/internal/proc/serve/serve_test.go
+++ b/internal/proc/serve/serve_test.go
@@ -58,10 +58,10 @@
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 func smallLimits(c *conf.Node) {
-	c.Limits.Body = 4 << 10
-	c.Limits.Header = 2 << 10
-	c.Limits.Read = 400 * time.Millisecond
-	c.Limits.CallerStall = 300 * time.Millisecond
+	c.Limits.MaxBodyBytes = 4 << 10
+	c.Limits.MaxHeaderBytes = 2 << 10
+	c.Limits.ReadTimeout = 400 * time.Millisecond
+	c.Limits.WriteTimeout = 300 * time.Millisecond
 }
 
 func TestCallers(t *testing.T) {
--- a/internal/proc/serve/vm.go
+++ b/internal/proc/serve/vm.go
@@ -127,9 +127,9 @@
 // membership and idempotency keys.
 func (v *VM) buildState() {
 	cfg := v.cfg
-	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.Connect, peerTimeout, maxIdleConns)
+	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, peerTimeout, maxIdleConns)
 	v.settings = spread.NewBook(v.invariants)
-	v.store = store.New(dialer, cfg.Store, string(cfg.Name), cfg.Budget.PerSecond, cfg.Budget.Burst)
+	v.store = store.New(dialer, cfg.Store, string(cfg.Name), cfg.StoreBudget.CallsPerSecond, cfg.StoreBudget.Burst)
 	v.clients = nodes.NewClients(v.keyRing, peerTimeout)
 	v.peers = nodes.NewPeers(v.clients)
 	v.follower = spread.NewFollower(v.settings, v.store, v.peers, v.group, v.log, v.newRand())
@@ -148,7 +148,7 @@
 // buildRoute creates the components of the request path.
 func (v *VM) buildRoute() {
 	cfg := v.cfg
-	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.Connect, cfg.Limits.EngineIdle, maxIdleConns)
+	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, cfg.Limits.EngineIdleTimeout, maxIdleConns)
 	v.limiter = gate.New(v.fleet)
 	rec := tally.New(v.log, v.metricSet, v.invariants, v.meter)
 	engines := engine.New(dialer)
@@ -163,23 +163,23 @@
 		Gate:     v.limiter,
 		Claims:   claim.New(cfg.Name, v.fleet, v.shards, direct.New(v.store), v.peers),
 		Placers:  v.placementClient.Placer,
-		Runner:   gener.New(cfg.Generate, engines, budget, v.invariants, rec, v.group, v.newRand()),
-		Plain:    plain.New(peerplain.New(dialer, cfg.Limits.Answer), budget, v.invariants, v.newRand()),
+		Runner:   gener.New(cfg.Generation, engines, budget, v.invariants, rec, v.group, v.newRand()),
+		Plain:    plain.New(peerplain.New(dialer, cfg.Limits.MaxResponseBytes), budget, v.invariants, v.newRand()),
 		Ring:     v.keyRing,
 		Book:     v.invariants,
 		Recorder: rec,
 	})
 	v.callerServer = caller.New(v.ctx, caller.Config{
-		Body:       cfg.Limits.Body,
-		Header:     cfg.Limits.Header,
-		Read:       cfg.Limits.Read,
-		Idle:       cfg.Limits.Idle,
-		Stall:      cfg.Limits.CallerStall,
-		MaxConns:   cfg.Limits.Connections,
+		Body:       cfg.Limits.MaxBodyBytes,
+		Header:     cfg.Limits.MaxHeaderBytes,
+		Read:       cfg.Limits.ReadTimeout,
+		Idle:       cfg.Limits.IdleTimeout,
+		Stall:      cfg.Limits.WriteTimeout,
+		MaxConns:   cfg.Limits.MaxConns,
 		DrainDelay: cfg.Limits.DrainDelay,
 		Log:        httpLog{v.log},
 	}, v.handler, v.writeMetrics)
-	v.operatorServer = oper.New(v.settings, amend.New(v.store, v.follower, v.settings.Load), v, cfg.OperKeys, httpLog{v.log})
+	v.operatorServer = oper.New(v.settings, amend.New(v.store, v.follower, v.settings.Load), v, cfg.OperatorKeys, httpLog{v.log})
 }
 
 // httpLog adapts the log to fasthttp. The library's messages are mostly about
