--- a/cmd/umberladder/main.go
+++ b/cmd/umberladder/main.go
@@ -1,5 +1,5 @@
-// Command umberladder serves model generations and plain calls on an entry VM,
-// and is the operators' command line.
+// Command umberladder runs the VMs that serve model generations and plain calls,
+// and provides the operators' command line.
 package main
 
 import (
--- a/internal/proc/burn/burn_test.go
+++ b/internal/proc/burn/burn_test.go
@@ -12,9 +12,9 @@
 	"umberladder/internal/core/ident"
 )
 
-var noon = time.Unix(1_800_000_000, 0)
+var testTime = time.Unix(1_800_000_000, 0)
 
-func meter(vm ident.VM, bad, total int) *Meter {
+func newMeter(vm ident.VM, bad, total int) *Meter {
 	m := New(vm)
 	for i := range total {
 		r := &final.Record{Workspace: "w", Service: "s", Class: "c", Tokens: 10, Slow: 1}
@@ -22,12 +22,12 @@
 			r.Stall = 2 * StallBound
 			r.Preemptions = 1
 		}
-		m.note(r, noon)
+		m.record(r, testTime)
 	}
 	return m
 }
 
-func row(t *testing.T, r *Report, o Objective) *Row {
+func findRow(t *testing.T, r *Report, o Objective) *Row {
 	t.Helper()
 	for i := range r.Rows {
 		if r.Rows[i].Objective == o {
@@ -39,35 +39,35 @@
 }
 
 func TestRates(t *testing.T) {
-	r := meter("a", 5, 100).Snapshot(noon)
-	assert.Equal(t, int(0.5+row(t, r, Stall).Rate(0)), 5, "5% bad where 1% may be")
-	assert.Assert(t, row(t, r, Preempt).Rate(0) > 2.49 && row(t, r, Preempt).Rate(0) < 2.51)
-	assert.Assert(t, row(t, r, Tail).Rate(2) > 9.9)
-	assert.Equal(t, row(t, r, Tail).Alert(), "ticket")
-	assert.Equal(t, row(t, meter("a", 20, 100).Snapshot(noon), Stall).Alert(), "page")
-	assert.Equal(t, row(t, meter("a", 0, 100).Snapshot(noon), Stall).Alert(), "")
-	assert.Equal(t, row(t, meter("a", 0, 100).Snapshot(noon), Stall).Left(), 1.0)
+	r := newMeter("a", 5, 100).Snapshot(testTime)
+	assert.Equal(t, int(0.5+findRow(t, r, Stall).Rate(0)), 5, "5% bad where 1% may be")
+	assert.Assert(t, findRow(t, r, Preempt).Rate(0) > 2.49 && findRow(t, r, Preempt).Rate(0) < 2.51)
+	assert.Assert(t, findRow(t, r, Tail).Rate(2) > 9.9)
+	assert.Equal(t, findRow(t, r, Tail).Alert(), "ticket")
+	assert.Equal(t, findRow(t, newMeter("a", 20, 100).Snapshot(testTime), Stall).Alert(), "page")
+	assert.Equal(t, findRow(t, newMeter("a", 0, 100).Snapshot(testTime), Stall).Alert(), "")
+	assert.Equal(t, findRow(t, newMeter("a", 0, 100).Snapshot(testTime), Stall).Left(), 1.0)
 }
 
 func TestWindowsSlide(t *testing.T) {
-	m := meter("a", 10, 10)
+	m := newMeter("a", 10, 10)
 	for i, w := range Windows {
-		later := noon.Add(w + w/10)
+		later := testTime.Add(w + w/10)
 		r := m.Snapshot(later)
 		if i == len(Windows)-1 {
 			assert.Equal(t, len(r.Rows), 0, "a row without events is left out")
 			continue
 		}
-		assert.Equal(t, row(t, r, Stall).Counts[i].Total, uint64(0), "window %s", w)
+		assert.Equal(t, findRow(t, r, Stall).Counts[i].Total, uint64(0), "window %s", w)
 	}
 }
 
 func TestMerge(t *testing.T) {
-	a, b := meter("a", 1, 10).Snapshot(noon), meter("b", 3, 30).Snapshot(noon)
+	a, b := newMeter("a", 1, 10).Snapshot(testTime), newMeter("b", 3, 30).Snapshot(testTime)
 	a.Merge(b)
 	a.Silent = append(a.Silent, "c")
 	assert.DeepEqual(t, a.VMs, []ident.VM{"a", "b"})
-	assert.Equal(t, row(t, a, Stall).Counts[0], Count{Bad: 4, Total: 40})
+	assert.Equal(t, findRow(t, a, Stall).Counts[0], Count{Bad: 4, Total: 40})
 	data, err := a.Encode()
 	assert.NilError(t, err)
 	again, err := Decode(data)
@@ -79,7 +79,7 @@
 	for _, out := range []string{table.String(), page.String()} {
 		assert.Assert(t, strings.Contains(out, "VM c did not answer"), out)
 	}
-	again.Only("other")
+	again.FilterWorkspace("other")
 	assert.Equal(t, len(again.Rows), 0)
 	_, err = Decode([]byte("{"))
 	assert.Assert(t, err != nil)
--- a/internal/proc/burn/codec.go
+++ b/internal/proc/burn/codec.go
@@ -36,7 +36,7 @@
 
 // Encode returns the report as JSON.
 func (r *Report) Encode() ([]byte, error) {
-	w := reportWire{At: r.At.UTC().Format(time.RFC3339Nano), VMs: texts(r.VMs), Silent: texts(r.Silent), Rows: []rowWire{}}
+	w := reportWire{At: r.At.UTC().Format(time.RFC3339Nano), VMs: vmStrings(r.VMs), Silent: vmStrings(r.Silent), Rows: []rowWire{}}
 	for i := range r.Rows {
 		w.Rows = append(w.Rows, encodeRow(&r.Rows[i]))
 	}
@@ -61,7 +61,7 @@
 	return w
 }
 
-// Decode reads a report.
+// Decode parses a report in JSON.
 func Decode(data []byte) (*Report, error) {
 	var w reportWire
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, trace.BadParameter("the report has the time %q", w.At)
 	}
-	r := &Report{At: at, VMs: names(w.VMs), Silent: names(w.Silent)}
+	r := &Report{At: at, VMs: vmNames(w.VMs), Silent: vmNames(w.Silent)}
 	for _, row := range w.Rows {
 		d, err := decodeRow(&row)
 		if err != nil {
@@ -84,10 +84,10 @@
 
 func decodeRow(w *rowWire) (Row, error) {
 	r := Row{Workspace: ident.Workspace(w.Workspace), Service: ident.Service(w.Service), Class: ident.Class(w.Class)}
-	for r.Objective < objectives && r.Objective.String() != w.Objective {
+	for r.Objective < numObjectives && r.Objective.String() != w.Objective {
 		r.Objective++
 	}
-	if r.Objective == objectives {
+	if r.Objective == numObjectives {
 		return r, trace.BadParameter("the report has the objective %q", w.Objective)
 	}
 	if len(w.Windows) != len(Windows) {
@@ -99,7 +99,7 @@
 	return r, nil
 }
 
-func texts(vms []ident.VM) []string {
+func vmStrings(vms []ident.VM) []string {
 	out := make([]string, 0, len(vms))
 	for _, v := range vms {
 		out = append(out, string(v))
@@ -107,7 +107,7 @@
 	return out
 }
 
-func names(list []string) []ident.VM {
+func vmNames(list []string) []ident.VM {
 	out := make([]ident.VM, 0, len(list))
 	for _, s := range list {
 		out = append(out, ident.VM(s))
--- a/internal/proc/burn/meter.go
+++ b/internal/proc/burn/meter.go
@@ -8,22 +8,22 @@
 	"umberladder/internal/core/ident"
 )
 
-// Objective is one of the measures of the brief.
+// Objective is a service-level objective from the system's requirements.
 type Objective uint8
 
-// The objectives.
+// Objectives.
 const (
-	Stall   Objective = iota // requests that made no progress for at most StallBound in all
+	Stall   Objective = iota // requests stalled for at most StallBound in total
 	Preempt                  // streams that were never preempted
-	Tail                     // tokens that came within the expected gap
-	objectives
+	Tail                     // tokens that arrived within the expected gap
+	numObjectives
 )
 
 func (o Objective) String() string {
 	return [...]string{"stall-time", "preemptions", "token-tail"}[o]
 }
 
-// StallBound is the stall that a good request may have.
+// StallBound is the longest total stall of a good request.
 const StallBound = time.Second
 
 // Target returns the share of events that must be good.
@@ -31,7 +31,7 @@
 	return [...]float64{0.99, 0.98, 0.99}[o]
 }
 
-// key names one row of counts.
+// key identifies the counts of one workspace, service and class.
 type key struct {
 	workspace ident.Workspace
 	service   ident.Service
@@ -44,55 +44,56 @@
 	vm ident.VM
 
 	mu   sync.Mutex
-	rows map[key]*[objectives]series
+	rows map[key]*[numObjectives]windowCounts
 }
 
-// New makes the meter of a VM.
+// New returns an empty meter for a VM.
 func New(vm ident.VM) *Meter {
-	return &Meter{vm: vm, rows: map[key]*[objectives]series{}}
+	return &Meter{vm: vm, rows: map[key]*[numObjectives]windowCounts{}}
 }
 
-// Gap implements final.Recorder; late tokens are counted with their request.
+// Gap implements result.Recorder. It does nothing, because Done counts late tokens
+// with their request.
 func (m *Meter) Gap(time.Duration) {}
 
-// Done implements final.Recorder.
+// Done implements result.Recorder.
 func (m *Meter) Done(r *final.Record) {
 	if r.Workspace == "" || r.Service == "" {
 		return
 	}
-	m.note(r, time.Now())
+	m.record(r, time.Now())
 }
 
-func (m *Meter) note(r *final.Record, now time.Time) {
+func (m *Meter) record(r *final.Record, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := key{r.Workspace, r.Service, r.Class}
 	row := m.rows[k]
 	if row == nil {
-		row = &[objectives]series{}
+		row = &[numObjectives]windowCounts{}
 		m.rows[k] = row
 	}
-	row[Stall].add(one(r.Stall > StallBound), now)
+	row[Stall].add(singleEvent(r.Stall > StallBound), now)
 	if r.Tokens > 0 {
-		row[Preempt].add(one(r.Preemptions > 0), now)
+		row[Preempt].add(singleEvent(r.Preemptions > 0), now)
 		row[Tail].add(Count{Bad: uint64(r.Slow), Total: uint64(r.Tokens)}, now)
 	}
 }
 
-func one(bad bool) Count {
+func singleEvent(bad bool) Count {
 	if bad {
 		return Count{Bad: 1, Total: 1}
 	}
 	return Count{Total: 1}
 }
 
-// Snapshot returns this VM's counts.
+// Snapshot returns a report of this VM's counts.
 func (m *Meter) Snapshot(now time.Time) *Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	rep := &Report{At: now, VMs: []ident.VM{m.vm}}
 	for k, row := range m.rows {
-		for o := range objectives {
+		for o := range numObjectives {
 			r := Row{Workspace: k.workspace, Service: k.service, Class: k.class, Objective: o}
 			for i, w := range Windows {
 				r.Counts[i] = row[o][i].sum(now, w)
--- a/internal/proc/burn/report.go
+++ b/internal/proc/burn/report.go
@@ -8,14 +8,15 @@
 	"umberladder/internal/core/ident"
 )
 
-// Burn rates that alert, for a budget over 30 days (the workbook's table
-// 5-8): the first pair uses 2% of the budget in an hour, the second 5% in six.
+// Minimum burn rates that alert, for an error budget over 30 days (The Site
+// Reliability Workbook, table 5-8). At pageRate, 2% of the budget is used up in one
+// hour; at ticketRate, 5% in six hours.
 const (
 	pageRate   = 14.4
 	ticketRate = 6.0
 )
 
-// Row is one objective of one service and class.
+// Row holds the counts for one objective of a workspace, service and class.
 type Row struct {
 	Workspace ident.Workspace
 	Service   ident.Service
@@ -24,7 +25,7 @@
 	Counts    [len(Windows)]Count
 }
 
-// Rate returns the burn rate over window i; zero if there were no events.
+// Rate returns the burn rate over window i, or zero if there were no events.
 func (r *Row) Rate(i int) float64 {
 	c := r.Counts[i]
 	if c.Total == 0 {
@@ -33,11 +34,11 @@
 	return float64(c.Bad) / float64(c.Total) / (1 - r.Objective.Target())
 }
 
-// Left returns the share of the longest window's error budget that is left;
-// below zero it is overspent.
+// Left returns the remaining share of the longest window's error budget. It is
+// negative if the budget is overspent.
 func (r *Row) Left() float64 { return 1 - r.Rate(len(Windows)-1) }
 
-// Alert says how urgent a row is: "page", "ticket" or "".
+// Alert returns the urgency of a row: "page", "ticket" or "" for none.
 func (r *Row) Alert() string {
 	switch {
 	case r.Rate(0) >= pageRate && r.Rate(1) >= pageRate:
@@ -49,11 +50,11 @@
 	}
 }
 
-// Report holds the counts of one VM or of several.
+// Report holds the counts of one or more VMs.
 type Report struct {
 	At     time.Time
-	VMs    []ident.VM // whose counts are in it
-	Silent []ident.VM // that did not answer: their counts are missing
+	VMs    []ident.VM // VMs whose counts are included
+	Silent []ident.VM // VMs that did not respond, whose counts are missing
 	Rows   []Row
 }
 
@@ -62,7 +63,7 @@
 	objective Objective
 }
 
-// Merge adds another report's counts.
+// Merge adds another report's counts to r.
 func (r *Report) Merge(o *Report) {
 	at := make(map[rowKey]int, len(r.Rows))
 	for i := range r.Rows {
@@ -88,8 +89,8 @@
 	return rowKey{key{r.Workspace, r.Service, r.Class}, r.Objective}
 }
 
-// Only keeps the rows of one workspace.
-func (r *Report) Only(w ident.Workspace) {
+// FilterWorkspace removes the rows of all other workspaces.
+func (r *Report) FilterWorkspace(w ident.Workspace) {
 	r.Rows = slices.DeleteFunc(r.Rows, func(row Row) bool { return row.Workspace != w })
 }
 
--- a/internal/proc/burn/ring.go
+++ b/internal/proc/burn/ring.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-const slots = 20
+const slotsPerWindow = 20
 
-// Windows lists the windows of a report, the shortest first.
+// Windows holds the windows of a report, shortest first.
 var Windows = [...]time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Count is how many events there were, and how many of them were bad.
+// Count holds the number of events and how many of them were bad.
 type Count struct {
 	Bad   uint64
 	Total uint64
@@ -18,32 +18,33 @@
 	c.Total += o.Total
 }
 
-// ring counts the events of one sliding window in slots.
+// ring counts the events of a sliding window in a ring buffer of time slots.
 type ring struct {
-	counts [slots]Count
+	counts [slotsPerWindow]Count
 	slot   int64 // number of the latest slot since the epoch
 }
 
 func (r *ring) add(c Count, now time.Time, window time.Duration) {
-	r.turn(now, window)
-	r.counts[r.slot%slots].add(c)
+	r.advance(now, window)
+	r.counts[r.slot%slotsPerWindow].add(c)
 }
 
-// turn empties the slots that went by since the latest.
-func (r *ring) turn(now time.Time, window time.Duration) {
-	n := now.UnixNano() / int64(window/slots)
-	if n-r.slot >= slots {
-		r.counts = [slots]Count{}
+// advance moves the ring to the slot of now and clears the slots that have begun
+// since the latest one.
+func (r *ring) advance(now time.Time, window time.Duration) {
+	n := now.UnixNano() / int64(window/slotsPerWindow)
+	if n-r.slot >= slotsPerWindow {
+		r.counts = [slotsPerWindow]Count{}
 		r.slot = n
 	}
 	for r.slot < n {
 		r.slot++
-		r.counts[r.slot%slots] = Count{}
+		r.counts[r.slot%slotsPerWindow] = Count{}
 	}
 }
 
 func (r *ring) sum(now time.Time, window time.Duration) Count {
-	r.turn(now, window)
+	r.advance(now, window)
 	var c Count
 	for _, s := range r.counts {
 		c.add(s)
@@ -51,10 +52,10 @@
 	return c
 }
 
-// series counts the events of one objective in every window.
-type series [len(Windows)]ring
+// windowCounts counts the events of one objective in each window.
+type windowCounts [len(Windows)]ring
 
-func (s *series) add(c Count, now time.Time) {
+func (s *windowCounts) add(c Count, now time.Time) {
 	if c.Total == 0 {
 		return
 	}
--- a/internal/proc/burn/table.go
+++ b/internal/proc/burn/table.go
@@ -9,7 +9,7 @@
 	"github.com/gravitational/trace"
 )
 
-// WriteTable writes the report for a terminal.
+// WriteTable writes the report as a plain-text table.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "WORKSPACE\tSERVICE\tCLASS\tOBJECTIVE\tTARGET\tBURN 5M\tBURN 1H\tBURN 6H\tBUDGET LEFT\tALERT")
@@ -27,11 +27,11 @@
 }
 
 const (
-	barWidth = 120.0 // pixels of a burn rate of barRate or more
+	barWidth = 120.0 // bar width in pixels for burn rates of barRate or more
 	barRate  = pageRate
 )
 
-var page = template.Must(template.New("burn").Funcs(template.FuncMap{
+var pageTemplate = template.Must(template.New("burn").Funcs(template.FuncMap{
 	"bar":     func(rate float64) float64 { return barWidth * min(rate, barRate) / barRate },
 	"percent": func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) },
 	"rate":    func(x float64) string { return fmt.Sprintf("%.2f", x) },
@@ -52,7 +52,7 @@
 {{end}}</table></html>
 `))
 
-// Rates returns the burn rates of all windows, the shortest first.
+// Rates returns the burn rates over all windows, shortest first.
 func (r *Row) Rates() []float64 {
 	out := make([]float64, 0, len(Windows))
 	for i := range Windows {
@@ -61,13 +61,13 @@
 	return out
 }
 
-// WritePage writes the report as a page that needs nothing else.
+// WritePage writes the report as a self-contained HTML page.
 func (r *Report) WritePage(w io.Writer) error {
 	rows := make([]*Row, 0, len(r.Rows))
 	for i := range r.Rows {
 		rows = append(rows, &r.Rows[i])
 	}
-	return trace.Wrap(page.Execute(w, struct {
+	return trace.Wrap(pageTemplate.Execute(w, struct {
 		*Report
 		Rows []*Row
 	}{r, rows}))
--- a/internal/proc/cmds/edge.go
+++ b/internal/proc/cmds/edge.go
@@ -26,11 +26,13 @@
 )
 
 const (
-	// edgeConfig is the variable that names the settings file.
-	edgeConfig = "UMBERLADDER_CONFIG"
-	// edgeConnect bounds a connection to a backend server or the store: one way
-	// takes a millisecond, and a lost opening packet is sent again after a second.
-	edgeConnect = 400 * time.Millisecond
+	// edgeConfigVariable is the environment variable with the default path of the
+	// settings file.
+	edgeConfigVariable = "UMBERLADDER_CONFIG"
+	// edgeConnectTimeout bounds connection attempts to backend servers and the store.
+	// The one-way latency is about 1 ms. A lost SYN is retransmitted only after 1 s,
+	// which is later than this bound.
+	edgeConnectTimeout = 400 * time.Millisecond
 )
 
 func newEdge() *cobra.Command {
@@ -45,16 +47,16 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := conf.ReadEdge(file)
 			if err != nil {
-				return exit(ExitInvalid, err)
+				return withExitCode(ExitInvalid, err)
 			}
 			return runEdge(c, cfg, file)
 		},
 	}
-	c.Flags().StringVar(&file, "config", os.Getenv(edgeConfig), "the settings, a JSON file; by default the one that "+edgeConfig+" names")
+	c.Flags().StringVar(&file, "config", os.Getenv(edgeConfigVariable), "the settings, a JSON file; by default the one that "+edgeConfigVariable+" names")
 	return c
 }
 
-// edgeHelp says what each member of the settings means.
+// edgeHelp returns the long help text, which lists the members of the settings file.
 func edgeHelp() string {
 	var b strings.Builder
 	b.WriteString("Serve a platform's clients on this VM until told to stop. SIGTERM makes it leave\n" +
@@ -64,7 +66,7 @@
 		fmt.Fprintf(t, "  %s\t%s\t%s\n", m.Path, cmp.Or(m.Default, "must be given"), m.Help)
 	}
 	if err := t.Flush(); err != nil {
-		// A builder takes all that is written.
+		// Writes to a strings.Builder never fail.
 		panic(err)
 	}
 	return b.String()
@@ -73,13 +75,13 @@
 func runEdge(c *cobra.Command, cfg *conf.Edge, file string) error {
 	level, err := zapcore.ParseLevel(cfg.LogLevel)
 	if err != nil {
-		return exit(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	}
 	group := &errgroup.Group{}
-	lines := sink.New(os.Stdout, cfg.LogLinesPerSecond, group)
-	defer lines.Close()
-	log := lines.Logger(level).With(zap.String("vm", string(cfg.Name)))
-	dialer := link.New(cfg.Callers.Addr(), edgeConnect, time.Minute, 0)
+	logSink := sink.New(os.Stdout, cfg.LogLinesPerSecond, group)
+	defer logSink.Close()
+	log := logSink.Logger(level).With(zap.String("vm", string(cfg.Name)))
+	dialer := link.New(cfg.Callers.Addr(), edgeConnectTimeout, time.Minute, 0)
 	store := platform.NewStore(dialer, cfg.Store, log)
 	vm := edge.New(cfg, edge.Ports{
 		Settings: store,
@@ -89,7 +91,7 @@
 		Names:    store,
 		Share:    share.NewClient(dialer, cfg.Peers),
 		Calls:    store.Calls,
-		Lines:    lines,
+		Lines:    logSink,
 	}, group, log)
 	stop, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
@@ -99,5 +101,5 @@
 		vm.ReloadOnChange(stop, file, hup)
 		return nil
 	})
-	return exit(ExitFailure, vm.Run(stop, group))
+	return withExitCode(ExitFailure, vm.Run(stop, group))
 }
--- a/internal/proc/cmds/flags.go
+++ b/internal/proc/cmds/flags.go
@@ -13,68 +13,69 @@
 	"umberladder/internal/proc/remote"
 )
 
-const keyVariable = "UMBERLADDER_KEY"
+const operatorKeyVariable = "UMBERLADDER_KEY"
 
-// Forms of output.
+// Output formats.
 const (
-	formTable = "table"
-	formJSON  = "json"
-	formPage  = "page"
+	formatTable = "table"
+	formatJSON  = "json"
+	formatPage  = "page"
 )
 
-func remoteFlags(c *cobra.Command, vm *remote.VM) {
-	c.Flags().StringVar(&vm.Address, "server", "127.0.0.1:8081", "operators' address of any VM")
-	c.Flags().StringVar(&vm.Key, "key", os.Getenv(keyVariable), "operators' key; by default "+keyVariable)
+func addRemoteFlags(c *cobra.Command, client *remote.Client) {
+	c.Flags().StringVar(&client.Address, "server", "127.0.0.1:8081", "operators' address of any VM")
+	c.Flags().StringVar(&client.Key, "key", os.Getenv(operatorKeyVariable), "operators' key; by default "+operatorKeyVariable)
 }
 
-// failed gives an error of a call the exit code it means.
-func failed(err error) error {
+// withCallExitCode wraps an error of a call to a VM with the exit code for it.
+func withCallExitCode(err error) error {
 	var s *remote.StatusError
 	if !errors.As(err, &s) {
-		return exit(ExitFailure, err)
+		return withExitCode(ExitFailure, err)
 	}
 	switch s.Status {
 	case fasthttp.StatusPreconditionFailed:
-		return exit(ExitConflict, err)
+		return withExitCode(ExitConflict, err)
 	case fasthttp.StatusGatewayTimeout:
-		return exit(ExitUnknown, err)
+		return withExitCode(ExitUnknown, err)
 	case fasthttp.StatusUnprocessableEntity, fasthttp.StatusBadRequest:
-		return exit(ExitInvalid, err)
+		return withExitCode(ExitInvalid, err)
 	default:
-		return exit(ExitFailure, err)
+		return withExitCode(ExitFailure, err)
 	}
 }
 
-// output is the form of what a command prints.
-type output struct {
-	form string
+// outputFormat is the --output flag of a command.
+type outputFormat struct {
+	format string
 }
 
-func (o *output) flags(c *cobra.Command, forms string) {
-	c.Flags().StringVar(&o.form, "output", formTable, "form of the output: "+forms)
+func (o *outputFormat) addFlag(c *cobra.Command, formats string) {
+	c.Flags().StringVar(&o.format, "output", formatTable, "form of the output: "+formats)
 }
 
-// show prints what is at a path of the VM: as it came, or as a table.
-func (o *output) show(c *cobra.Command, vm *remote.VM, path string, table func(io.Writer, *remote.Answer) error) error {
-	if err := o.check(formTable, formJSON); err != nil {
+// print fetches a path from the VM and prints the response as received or as a
+// table.
+func (o *outputFormat) print(c *cobra.Command, client *remote.Client, path string, table func(io.Writer, *remote.Response) error) error {
+	if err := o.validate(formatTable, formatJSON); err != nil {
 		return err
 	}
-	a, err := vm.Get(path)
+	resp, err := client.Get(path)
 	if err != nil {
-		return failed(err)
+		return withCallExitCode(err)
 	}
-	if o.form == formJSON {
-		fmt.Fprintf(c.OutOrStdout(), "%s\n", a.Body)
+	if o.format == formatJSON {
+		fmt.Fprintf(c.OutOrStdout(), "%s\n", resp.Body)
 		return nil
 	}
-	return table(c.OutOrStdout(), a)
+	return table(c.OutOrStdout(), resp)
 }
 
-func (o *output) check(forms ...string) error {
-	for _, f := range forms {
-		if o.form == f {
+func (o *outputFormat) validate(formats ...string) error {
+	for _, f := range formats {
+		if o.format == f {
 			return nil
 		}
 	}
-	return exit(ExitUsage, trace.BadParameter("--output: want one of %v, got %q", forms, o.form))
+	return withExitCode(ExitUsage, trace.BadParameter("--output: want one of %v, got %q", formats, o.format))
 }
--- a/internal/proc/cmds/node.go
+++ b/internal/proc/cmds/node.go
@@ -18,8 +18,8 @@
 )
 
 func newStatus() *cobra.Command {
-	var vm remote.VM
-	var o output
+	var client remote.Client
+	var o outputFormat
 	var workspace string
 	c := &cobra.Command{
 		Use:   "status",
@@ -29,19 +29,19 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if workspace != "" {
-				return o.show(c, &vm, "/v1/status/workspaces/"+url.PathEscape(workspace), printUsage)
+				return o.print(c, &client, "/v1/status/workspaces/"+url.PathEscape(workspace), printUsage)
 			}
-			return o.show(c, &vm, "/v1/status", printStatus)
+			return o.print(c, &client, "/v1/status", printStatus)
 		},
 	}
 	c.Flags().StringVar(&workspace, "workspace", "", "print what this workspace uses of its limits")
-	remoteFlags(c, &vm)
-	o.flags(c, "table or json")
+	addRemoteFlags(c, &client)
+	o.addFlag(c, "table or json")
 	return c
 }
 
-func printStatus(w io.Writer, a *remote.Answer) error {
-	v := a.Value()
+func printStatus(w io.Writer, resp *remote.Response) error {
+	v := resp.JSON()
 	fmt.Fprintf(w, "VM %s in %s, ready: %t, settings revision %d, %d claim shards with %d claims\n",
 		v.GetStringBytes("vm"), v.GetStringBytes("failure-domain"), v.GetBool("ready"),
 		v.GetUint64("settings-revision"), v.GetInt("claim-shards"), v.GetInt("claims"))
@@ -53,8 +53,8 @@
 	return trace.Wrap(t.Flush())
 }
 
-func printUsage(w io.Writer, a *remote.Answer) error {
-	v := a.Value()
+func printUsage(w io.Writer, resp *remote.Response) error {
+	v := resp.JSON()
 	fmt.Fprintf(w, "workspace %s: %d of %d requests open, limit of %d tokens a second (0: none)\n",
 		v.GetStringBytes("workspace"), v.GetInt("open"),
 		v.GetInt("limits", "concurrency"), v.GetInt("limits", "tokens-per-second"))
@@ -72,38 +72,38 @@
 }
 
 func newDrain() *cobra.Command {
-	var vm remote.VM
+	var client remote.Client
 	c := &cobra.Command{
 		Use:     "drain",
 		Short:   "Make a VM leave gracefully: it ends once every request has ended",
 		Example: "  umberladder drain --server 127.0.0.1:8081",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			a, err := vm.Call(fasthttp.MethodPost, "/v1/drain", nil)
+			resp, err := client.Call(fasthttp.MethodPost, "/v1/drain", nil)
 			if err != nil {
-				return failed(err)
+				return withCallExitCode(err)
 			}
-			if err := a.Err(fasthttp.StatusAccepted); err != nil {
-				return failed(err)
+			if err := resp.CheckStatus(fasthttp.StatusAccepted); err != nil {
+				return withCallExitCode(err)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "leaving")
 			return nil
 		},
 	}
-	remoteFlags(c, &vm)
+	addRemoteFlags(c, &client)
 	return c
 }
 
 func newReport() *cobra.Command {
 	c := &cobra.Command{Use: "report", Short: "Print reports"}
-	c.AddCommand(newBurn())
+	c.AddCommand(newBurnReport())
 	return c
 }
 
-func newBurn() *cobra.Command {
-	var vm remote.VM
-	var o output
-	var one bool
+func newBurnReport() *cobra.Command {
+	var client remote.Client
+	var o outputFormat
+	var localOnly bool
 	c := &cobra.Command{
 		Use:   "burn",
 		Short: "Print how fast services use up their error budgets",
@@ -111,39 +111,39 @@
 			"  umberladder report burn --output page >burn.html",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := o.check(formTable, formJSON, formPage); err != nil {
+			if err := o.validate(formatTable, formatJSON, formatPage); err != nil {
 				return err
 			}
 			path := "/v1/burn?merged=true"
-			if one {
+			if localOnly {
 				path = "/v1/burn"
 			}
-			a, err := vm.Get(path)
+			resp, err := client.Get(path)
 			if err != nil {
-				return failed(err)
+				return withCallExitCode(err)
 			}
-			return printBurn(c.OutOrStdout(), a, o.form)
+			return printBurn(c.OutOrStdout(), resp, o.format)
 		},
 	}
-	remoteFlags(c, &vm)
-	o.flags(c, "table, json or page")
-	c.Flags().BoolVar(&one, "one", false, "only this VM's counts, not all VMs'")
+	addRemoteFlags(c, &client)
+	o.addFlag(c, "table, json or page")
+	c.Flags().BoolVar(&localOnly, "one", false, "only this VM's counts, not all VMs'")
 	return c
 }
 
-func printBurn(w io.Writer, a *remote.Answer, form string) error {
-	if form == formJSON {
-		fmt.Fprintf(w, "%s\n", a.Body)
+func printBurn(w io.Writer, resp *remote.Response, format string) error {
+	if format == formatJSON {
+		fmt.Fprintf(w, "%s\n", resp.Body)
 		return nil
 	}
-	rep, err := burn.Decode(a.Body)
+	rep, err := burn.Decode(resp.Body)
 	if err != nil {
-		return exit(ExitFailure, err)
+		return withExitCode(ExitFailure, err)
 	}
-	if form == formPage {
-		return exit(ExitFailure, rep.WritePage(w))
+	if format == formatPage {
+		return withExitCode(ExitFailure, rep.WritePage(w))
 	}
-	return exit(ExitFailure, rep.WriteTable(w))
+	return withExitCode(ExitFailure, rep.WriteTable(w))
 }
 
 func newExplain() *cobra.Command {
@@ -159,15 +159,15 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			cfg, err := conf.Read(file)
 			if err != nil {
-				return exit(ExitInvalid, err)
+				return withExitCode(ExitInvalid, err)
 			}
 			ring, err := seal.New(cfg.Secrets)
 			if err != nil {
-				return exit(ExitInvalid, err)
+				return withExitCode(ExitInvalid, err)
 			}
 			r, err := refuse.Decode(ring, args[0])
 			if err != nil {
-				return exit(ExitForged, err)
+				return withExitCode(ExitForged, err)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "Request %s of workspace %s was refused by VM %s at %s (%s).\n%s\n",
 				r.Request, r.Workspace, r.VM, r.At.UTC().Format("2006-01-02 15:04:05.000 UTC"), r.Reason, r.Explain())
--- a/internal/proc/cmds/root.go
+++ b/internal/proc/cmds/root.go
@@ -1,4 +1,4 @@
-// Package cmds is the command line of umberladder.
+// Package cmds implements the command line of umberladder.
 package cmds
 
 import (
@@ -21,7 +21,7 @@
 	ExitForged   = 6 // a refusal code was not made by this system
 )
 
-// exitError is an error with the exit code it ends the process with.
+// exitError is an error with the exit code of the process.
 type exitError struct {
 	code int
 	err  error
@@ -31,7 +31,7 @@
 
 func (e *exitError) Unwrap() error { return e.err }
 
-func exit(code int, err error) error {
+func withExitCode(code int, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/proc/cmds/serve.go
+++ b/internal/proc/cmds/serve.go
@@ -23,20 +23,20 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := conf.Read(file)
 			if err != nil {
-				return exit(ExitInvalid, err)
+				return withExitCode(ExitInvalid, err)
 			}
 			log, err := newLogger(cfg.LogLevel)
 			if err != nil {
-				return exit(ExitInvalid, err)
+				return withExitCode(ExitInvalid, err)
 			}
 			defer func() { _ = log.Sync() }()
 			vm, err := serve.New(cfg, log)
 			if err != nil {
-				return exit(ExitFailure, err)
+				return withExitCode(ExitFailure, err)
 			}
 			stop, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
-			return exit(ExitFailure, vm.Run(stop))
+			return withExitCode(ExitFailure, vm.Run(stop))
 		},
 	}
 	c.Flags().StringVar(&file, "config", "", "the node settings, a JSON file")
--- a/internal/proc/cmds/settings.go
+++ b/internal/proc/cmds/settings.go
@@ -38,33 +38,33 @@
 			"  umberladder settings check --as workspace installers.json",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			var first error
+			var firstErr error
 			for _, file := range files {
 				kind, err := checkFile(file, as)
 				if err != nil {
 					fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", file, trace.UserMessage(err))
-					if first == nil {
-						first = fmt.Errorf("%s is not valid", file)
+					if firstErr == nil {
+						firstErr = fmt.Errorf("%s is not valid", file)
 					}
 					continue
 				}
 				fmt.Fprintf(c.OutOrStdout(), "%s: valid %s settings\n", file, kind)
 			}
-			return exit(ExitInvalid, first)
+			return withExitCode(ExitInvalid, firstErr)
 		},
 	}
 	c.Flags().StringVar(&as, "as", "", "kind of the files: node, edge, system or workspace")
 	return c
 }
 
-// checkFile checks one file and returns its kind.
+// checkFile checks one settings file and returns its kind.
 func checkFile(file, kind string) (string, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return "", trace.ConvertSystemError(err)
 	}
 	if kind == "" {
-		kind = kindOf(data)
+		kind = detectKind(data)
 	}
 	switch kind {
 	case "node":
@@ -81,8 +81,8 @@
 	return kind, err
 }
 
-// kindOf guesses a document's kind from a member that only it has.
-func kindOf(data []byte) string {
+// detectKind guesses a document's kind from a member that only this kind has.
+func detectKind(data []byte) string {
 	switch {
 	case strings.Contains(string(data), `"ready-address"`):
 		return "edge"
@@ -96,8 +96,8 @@
 }
 
 func newGet() *cobra.Command {
-	var vm remote.VM
-	var o output
+	var client remote.Client
+	var o outputFormat
 	c := &cobra.Command{
 		Use:   "get [PATH]",
 		Short: "Print the document in force at a path, or list the paths",
@@ -106,42 +106,42 @@
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return o.show(c, &vm, "/v1/settings", printPaths)
+				return o.print(c, &client, "/v1/settings", printPaths)
 			}
-			a, err := vm.Get("/v1/settings" + args[0])
+			resp, err := client.Get("/v1/settings" + args[0])
 			if err != nil {
-				return failed(err)
+				return withCallExitCode(err)
 			}
-			fmt.Fprintf(c.ErrOrStderr(), "version %s\n", strings.Trim(a.ETag, `"`))
-			fmt.Fprintf(c.OutOrStdout(), "%s\n", a.Body)
+			fmt.Fprintf(c.ErrOrStderr(), "version %s\n", strings.Trim(resp.ETag, `"`))
+			fmt.Fprintf(c.OutOrStdout(), "%s\n", resp.Body)
 			return nil
 		},
 	}
-	remoteFlags(c, &vm)
-	o.flags(c, "table or json")
+	addRemoteFlags(c, &client)
+	o.addFlag(c, "table or json")
 	return c
 }
 
-func printPaths(w io.Writer, a *remote.Answer) error {
+func printPaths(w io.Writer, resp *remote.Response) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "PATH\tVERSION")
-	for _, v := range a.Value().GetArray() {
+	for _, v := range resp.JSON().GetArray() {
 		fmt.Fprintf(t, "%s\t%d\n", v.GetStringBytes("path"), v.GetUint64("version"))
 	}
 	return trace.Wrap(t.Flush())
 }
 
-// putFlags are the flags of a change.
+// putFlags holds the flags of the put command.
 type putFlags struct {
 	from   int64
 	change string
 	by     string
-	dry    bool
+	dryRun bool
 }
 
 func newPut() *cobra.Command {
-	var vm remote.VM
-	var p putFlags
+	var client remote.Client
+	var flags putFlags
 	c := &cobra.Command{
 		Use:   "put PATH FILE",
 		Short: "Replace the document at a path, if nobody changed it since it was read",
@@ -154,48 +154,48 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			body, err := os.ReadFile(args[1])
 			if err != nil {
-				return exit(ExitInvalid, trace.ConvertSystemError(err))
+				return withExitCode(ExitInvalid, trace.ConvertSystemError(err))
 			}
-			return p.send(c.OutOrStdout(), &vm, args[0], body)
+			return flags.put(c.OutOrStdout(), &client, args[0], body)
 		},
 	}
-	remoteFlags(c, &vm)
-	c.Flags().Int64Var(&p.from, "from", -1, "the version that was read; 0 for a new document")
-	c.Flags().StringVar(&p.change, "change", "", "id of the change; the same id is applied once")
-	c.Flags().StringVar(&p.by, "by", "", "who makes the change, for the history")
-	c.Flags().BoolVar(&p.dry, "dry-run", false, "say what would change, and change nothing")
+	addRemoteFlags(c, &client)
+	c.Flags().Int64Var(&flags.from, "from", -1, "the version that was read; 0 for a new document")
+	c.Flags().StringVar(&flags.change, "change", "", "id of the change; the same id is applied once")
+	c.Flags().StringVar(&flags.by, "by", "", "who makes the change, for the history")
+	c.Flags().BoolVar(&flags.dryRun, "dry-run", false, "say what would change, and change nothing")
 	_ = c.MarkFlagRequired("from")
 	return c
 }
 
-func (p *putFlags) send(w io.Writer, vm *remote.VM, path string, body []byte) error {
-	if p.from < 0 {
-		return exit(ExitUsage, errors.New("--from: want the version that was read, or 0 for a new document"))
+func (flags *putFlags) put(w io.Writer, client *remote.Client, path string, body []byte) error {
+	if flags.from < 0 {
+		return withExitCode(ExitUsage, errors.New("--from: want the version that was read, or 0 for a new document"))
 	}
-	headers := []string{fasthttp.HeaderIfMatch, fmt.Sprintf(`"%d"`, p.from)}
-	if p.change != "" {
-		headers = append(headers, "Umberladder-Change", p.change)
+	headers := []string{fasthttp.HeaderIfMatch, fmt.Sprintf(`"%d"`, flags.from)}
+	if flags.change != "" {
+		headers = append(headers, "Umberladder-Change", flags.change)
 	}
-	if p.by != "" {
-		headers = append(headers, "Umberladder-Operator", p.by)
+	if flags.by != "" {
+		headers = append(headers, "Umberladder-Operator", flags.by)
 	}
 	uri := "/v1/settings" + path
-	if p.dry {
+	if flags.dryRun {
 		uri += "?dry-run=true"
 	}
-	a, err := vm.Call(fasthttp.MethodPut, uri, body, headers...)
+	resp, err := client.Call(fasthttp.MethodPut, uri, body, headers...)
 	if err != nil {
-		return failed(err)
+		return withCallExitCode(err)
 	}
-	if err := a.Err(fasthttp.StatusOK); err != nil {
-		return failed(err)
+	if err := resp.CheckStatus(fasthttp.StatusOK); err != nil {
+		return withCallExitCode(err)
 	}
-	v := a.Value()
-	word := "accepted"
-	if p.dry {
-		word = "would be accepted"
+	v := resp.JSON()
+	outcome := "accepted"
+	if flags.dryRun {
+		outcome = "would be accepted"
 	}
-	fmt.Fprintf(w, "%s: %s, version %d, change %s\n", path, word, v.GetUint64("version"), v.GetStringBytes("change"))
+	fmt.Fprintf(w, "%s: %s, version %d, change %s\n", path, outcome, v.GetUint64("version"), v.GetStringBytes("change"))
 	for _, d := range v.GetArray("diff") {
 		fmt.Fprintf(w, "  %s\n", d.GetStringBytes())
 	}
@@ -206,26 +206,26 @@
 }
 
 func newHistory() *cobra.Command {
-	var vm remote.VM
-	var o output
+	var client remote.Client
+	var o outputFormat
 	c := &cobra.Command{
 		Use:     "history PATH",
 		Short:   "Print who changed a document, what and when",
 		Example: "  umberladder settings history /workspaces/installers",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return o.show(c, &vm, "/v1/history"+args[0], printHistory)
+			return o.print(c, &client, "/v1/history"+args[0], printHistory)
 		},
 	}
-	remoteFlags(c, &vm)
-	o.flags(c, "table or json")
+	addRemoteFlags(c, &client)
+	o.addFlag(c, "table or json")
 	return c
 }
 
-func printHistory(w io.Writer, a *remote.Answer) error {
+func printHistory(w io.Writer, resp *remote.Response) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "AT\tBY\tCHANGE\tWHAT")
-	for _, v := range a.Value().GetArray("changes") {
+	for _, v := range resp.JSON().GetArray("changes") {
 		var what []string
 		for _, d := range v.GetArray("diff") {
 			what = append(what, string(d.GetStringBytes()))
--- a/internal/proc/cmds/trace.go
+++ b/internal/proc/cmds/trace.go
@@ -25,14 +25,14 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			r := story.New(args[0])
 			if err := readLogs(r, args[1:], c.InOrStdin()); err != nil {
-				return exit(ExitFailure, err)
+				return withExitCode(ExitFailure, err)
 			}
-			tellBad(c.ErrOrStderr(), r.Bad())
-			lines := r.Story()
+			printBadLines(c.ErrOrStderr(), r.BadLines())
+			lines := r.Timeline()
 			if len(lines) == 0 {
-				return exit(ExitFailure, trace.NotFound("no line of the logs names request %s", args[0]))
+				return withExitCode(ExitFailure, trace.NotFound("no line of the logs names request %s", args[0]))
 			}
-			printStory(c.OutOrStdout(), lines, asJSON)
+			printTimeline(c.OutOrStdout(), lines, asJSON)
 			return nil
 		},
 	}
@@ -58,15 +58,16 @@
 	return nil
 }
 
-// tellBad names the first of the lines that could not be read.
-func tellBad(w io.Writer, bad []story.Bad) {
+// printBadLines prints the number of lines that could not be parsed, and the first of
+// them.
+func printBadLines(w io.Writer, bad []story.BadLine) {
 	if len(bad) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "%d lines passed over, the first: %s:%d: %v\n", len(bad), bad[0].File, bad[0].Line, bad[0].Err)
 }
 
-func printStory(w io.Writer, lines []story.Line, asJSON bool) {
+func printTimeline(w io.Writer, lines []story.Line, asJSON bool) {
 	for _, l := range lines {
 		if asJSON {
 			fmt.Fprintln(w, l.Raw)
@@ -76,6 +77,6 @@
 		if l.Request != "" {
 			mark = "*"
 		}
-		fmt.Fprintf(w, "%s %s %-18s %s %s\n", l.At.Format("15:04:05.000"), mark, l.VM, l.What, l.Raw)
+		fmt.Fprintf(w, "%s %s %-18s %s %s\n", l.At.Format("15:04:05.000"), mark, l.VM, l.Message, l.Raw)
 	}
 }
--- a/internal/proc/edge/vm.go
+++ b/internal/proc/edge/vm.go
@@ -73,7 +73,7 @@
 	Names    names.Registry
 	Share    *share.Client            // fetches settings and server entries from other VMs
 	Calls    func() map[string]uint64 // returns the number of calls to the store, by kind
-	Lines    *sink.Sink               // receives the log lines
+	Lines    *sink.Writer             // receives the log lines
 }
 
 // VM is an edge VM.
@@ -81,7 +81,7 @@
 	cfg         atomic.Pointer[conf.Edge]
 	log         *zap.Logger
 	metricSet   *metrics.Set
-	logSink     *sink.Sink
+	logSink     *sink.Writer
 	node        *peers.Node
 	coordinator *homes.Home
 	placer      *desk.Desk
@@ -118,9 +118,9 @@
 		Places:   v.placer,
 		Backend:  deps.Backend,
 		Clock:    awake.Now,
-		Log:      log.Named(sink.Calls),
+		Log:      log.Named(sink.CallsLogger),
 		Group:    group,
-		Count:    &recorder{log: log.Named(sink.Calls), metricSet: v.metricSet},
+		Count:    &recorder{log: log.Named(sink.CallsLogger), metricSet: v.metricSet},
 	})
 	ingress := deps.Codec(v.relay)
 	v.front = front.New(ingress.Handle, ingress.Reject, v.limits, log)
@@ -174,7 +174,7 @@
 		})
 	}
 	group.Go(func() error {
-		v.logSink.Tell(v.log, ctx.Done())
+		v.logSink.ReportDropped(v.log, ctx.Done())
 		return nil
 	})
 	failed := make(chan error, 1)
--- a/internal/proc/remote/vm.go
+++ b/internal/proc/remote/vm.go
@@ -1,4 +1,4 @@
-// Package remote calls the operators' interface of a VM for the command line.
+// Package opapi is the command line's client for the operators' API of a VM.
 package remote
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/valyala/fastjson"
 )
 
-const callTime = 15 * time.Second
+const callTimeout = 15 * time.Second
 
-// VM is the operators' interface of one VM.
-type VM struct {
+// Client calls the operators' API of one VM.
+type Client struct {
 	Address string // IP address and port
 	Key     string
 }
 
-// StatusError is an answer other than the one hoped for.
+// StatusError is a response with an unexpected HTTP status.
 type StatusError struct {
 	Status int
 	Detail string
@@ -28,70 +28,70 @@
 
 func (e *StatusError) Error() string { return e.Detail }
 
-// Answer is what a VM answered.
-type Answer struct {
+// Response is a VM's response.
+type Response struct {
 	Status int
 	ETag   string
 	Body   []byte
 }
 
-// Value returns the answer's JSON, or null.
-func (a *Answer) Value() *fastjson.Value {
-	v, err := fastjson.ParseBytes(a.Body)
+// JSON returns the parsed body, or null if it is not valid JSON.
+func (r *Response) JSON() *fastjson.Value {
+	v, err := fastjson.ParseBytes(r.Body)
 	if err != nil {
 		return fastjson.MustParse("null")
 	}
 	return v
 }
 
-// Err returns a *StatusError unless the answer has the status.
-func (a *Answer) Err(status int) error {
-	if a.Status == status {
+// CheckStatus returns a *StatusError unless the response has the given status.
+func (r *Response) CheckStatus(status int) error {
+	if r.Status == status {
 		return nil
 	}
-	detail := string(a.Value().GetStringBytes("detail"))
+	detail := string(r.JSON().GetStringBytes("detail"))
 	if detail == "" {
-		detail = "status " + strconv.Itoa(a.Status)
+		detail = "status " + strconv.Itoa(r.Status)
 	}
-	return &StatusError{Status: a.Status, Detail: detail}
+	return &StatusError{Status: r.Status, Detail: detail}
 }
 
-// Call sends one request, with headers as pairs of name and value. It is
-// never sent twice.
-func (vm *VM) Call(method, path string, body []byte, headers ...string) (*Answer, error) {
-	if _, err := netip.ParseAddrPort(vm.Address); err != nil {
-		return nil, trace.BadParameter("--server: want an IP address with a port, got %q", vm.Address)
+// Call sends one request. Headers are given as pairs of name and value. The request
+// is never retried.
+func (c *Client) Call(method, path string, body []byte, headers ...string) (*Response, error) {
+	if _, err := netip.ParseAddrPort(c.Address); err != nil {
+		return nil, trace.BadParameter("--server: want an IP address with a port, got %q", c.Address)
 	}
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + vm.Address + path)
-	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+vm.Key)
+	req.SetRequestURI("http://" + c.Address + path)
+	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.Key)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
 	req.SetBody(body)
-	client := &fasthttp.Client{
+	httpClient := &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
-	if err := client.DoTimeout(req, resp, callTime); err != nil {
-		return nil, fmt.Errorf("%s does not answer: %w", vm.Address, err)
+	if err := httpClient.DoTimeout(req, resp, callTimeout); err != nil {
+		return nil, fmt.Errorf("%s does not answer: %w", c.Address, err)
 	}
-	return &Answer{
+	return &Response{
 		Status: resp.StatusCode(),
 		ETag:   string(resp.Header.Peek(fasthttp.HeaderETag)),
 		Body:   append([]byte(nil), resp.Body()...),
 	}, nil
 }
 
-// Get fetches what is at a path.
-func (vm *VM) Get(path string) (*Answer, error) {
-	a, err := vm.Call(fasthttp.MethodGet, path, nil)
+// Get sends a GET request for a path. It fails unless the status is 200.
+func (c *Client) Get(path string) (*Response, error) {
+	resp, err := c.Call(fasthttp.MethodGet, path, nil)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return a, a.Err(fasthttp.StatusOK)
+	return resp, resp.CheckStatus(fasthttp.StatusOK)
 }
--- a/internal/proc/serve/status.go
+++ b/internal/proc/serve/status.go
@@ -109,7 +109,7 @@
 		v.mergePeerBurn(ctx, rep)
 	}
 	if only != "" {
-		rep.Only(only)
+		rep.FilterWorkspace(only)
 	}
 	data, err := rep.Encode()
 	return data, trace.Wrap(err)
--- a/internal/proc/sink/doc.go
+++ b/internal/proc/sink/doc.go
@@ -1,8 +1,8 @@
-// Package sink writes log lines without ever holding up those who log, and at
-// a bounded rate.
+// Package sink writes log lines at a bounded rate and never blocks the goroutines
+// that log.
 //
-// Lines wait in a queue for one writer; a reader that stops reading costs
-// lines, not time. Under load the routine lines of calls go first: below half
-// of the budget they are declined, and a call that fails writes its declined
-// lines at its end. What was left out is counted and told.
+// Lines are queued for a single writer goroutine. If the output is not read, lines
+// are dropped. Under load, routine lines of calls are dropped first, once less than
+// half of the rate budget is left. A call that fails logs its dropped lines when it
+// ends. The number of dropped lines is counted and logged.
 package sink
--- a/internal/proc/sink/sink.go
+++ b/internal/proc/sink/sink.go
@@ -12,57 +12,58 @@
 )
 
 const (
-	// Calls is the name of the logger whose routine lines go first under load.
-	Calls = "calls"
-	// queue is how many lines wait for the writer: 2 s of lines at the full rate.
-	queue = 600
-	// flushTime bounds the wait for the writer at the end.
-	flushTime = 200 * time.Millisecond
-	// tellEvery is how often the lines left out are told.
-	tellEvery = 5 * time.Second
+	// CallsLogger is the name of the logger whose routine lines are dropped first
+	// under load.
+	CallsLogger = "calls"
+	// queueLen is the capacity of the queue in lines: 2 s at the default rate.
+	queueLen = 600
+	// flushTimeout bounds how long Close waits for queued lines to be written.
+	flushTimeout = 200 * time.Millisecond
+	// reportInterval is how often the number of dropped lines is logged.
+	reportInterval = 5 * time.Second
 )
 
-// Sink is the writer of one process's log.
-type Sink struct {
-	lines   chan []byte
-	budget  *rate.Limiter
-	burst   float64
-	left    atomic.Uint64 // lines left out
-	written atomic.Uint64
-	told    uint64
-	done    chan struct{}
-	flush   chan struct{}
+// Writer writes the log of a process. It implements zapcore.WriteSyncer.
+type Writer struct {
+	lines           chan []byte
+	budget          *rate.Limiter
+	burst           float64
+	dropped         atomic.Uint64
+	written         atomic.Uint64
+	reportedDropped uint64
+	done            chan struct{}
+	flush           chan struct{}
 }
 
-// New makes a sink that writes up to perSecond lines a second to w, for as long
-// as the process runs.
-func New(w io.Writer, perSecond int, group *errgroup.Group) *Sink {
-	s := &Sink{
-		lines:  make(chan []byte, queue),
+// New returns a Writer that writes at most perSecond lines per second to out until
+// Close is called. Its goroutine runs in group.
+func New(out io.Writer, perSecond int, group *errgroup.Group) *Writer {
+	w := &Writer{
+		lines:  make(chan []byte, queueLen),
 		budget: rate.NewLimiter(rate.Limit(perSecond), perSecond),
 		burst:  float64(perSecond),
 		done:   make(chan struct{}),
 		flush:  make(chan struct{}),
 	}
 	group.Go(func() error {
-		s.run(w)
+		w.run(out)
 		return nil
 	})
-	return s
+	return w
 }
 
-// run writes lines until Close, and then those that wait.
-func (s *Sink) run(w io.Writer) {
-	defer close(s.done)
+// run writes lines until Close is called, and then the lines still queued.
+func (w *Writer) run(out io.Writer) {
+	defer close(w.done)
 	for {
 		select {
-		case b := <-s.lines:
-			s.put(w, b)
-		case <-s.flush:
+		case b := <-w.lines:
+			w.writeLine(out, b)
+		case <-w.flush:
 			for {
 				select {
-				case b := <-s.lines:
-					s.put(w, b)
+				case b := <-w.lines:
+					w.writeLine(out, b)
 				default:
 					return
 				}
@@ -71,83 +72,85 @@
 	}
 }
 
-func (s *Sink) put(w io.Writer, b []byte) {
-	if _, err := w.Write(b); err != nil {
-		// There is nowhere to write this to; the count tells it.
-		s.left.Add(1)
+func (w *Writer) writeLine(out io.Writer, b []byte) {
+	if _, err := out.Write(b); err != nil {
+		// The error cannot be logged, so the line is only counted as dropped.
+		w.dropped.Add(1)
 		return
 	}
-	s.written.Add(1)
+	w.written.Add(1)
 }
 
-// Write implements io.Writer. It never blocks.
-func (s *Sink) Write(b []byte) (int, error) {
+// Write implements io.Writer. It never blocks: if the queue is full, the line is
+// dropped.
+func (w *Writer) Write(b []byte) (int, error) {
 	select {
-	case s.lines <- append([]byte(nil), b...):
+	case w.lines <- append([]byte(nil), b...):
 	default:
-		s.left.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(b), nil
 }
 
 // Sync implements zapcore.WriteSyncer.
-func (s *Sink) Sync() error { return nil }
+func (w *Writer) Sync() error { return nil }
 
-// Close writes the lines that wait, for a short time at most.
-func (s *Sink) Close() {
-	close(s.flush)
+// Close writes the queued lines, for at most flushTimeout.
+func (w *Writer) Close() {
+	close(w.flush)
 	select {
-	case <-s.done:
-	case <-time.After(flushTime):
+	case <-w.done:
+	case <-time.After(flushTimeout):
 	}
 }
 
-// Counts returns the lines written and left out.
-func (s *Sink) Counts() (written, left uint64) { return s.written.Load(), s.left.Load() }
+// Counts returns the numbers of lines written and dropped.
+func (w *Writer) Counts() (written, dropped uint64) { return w.written.Load(), w.dropped.Load() }
 
-// allow takes one line from the budget.
-func (s *Sink) allow(e zapcore.Entry) bool {
-	if e.LoggerName == Calls && e.Level <= zapcore.InfoLevel && s.budget.Tokens() < s.burst/2 {
+// takeBudget takes one line from the rate budget and reports whether it may be
+// logged.
+func (w *Writer) takeBudget(e zapcore.Entry) bool {
+	if e.LoggerName == CallsLogger && e.Level <= zapcore.InfoLevel && w.budget.Tokens() < w.burst/2 {
 		return false
 	}
-	return s.budget.Allow()
+	return w.budget.Allow()
 }
 
-// Tell logs the lines left out until stop is closed.
-func (s *Sink) Tell(log *zap.Logger, stop <-chan struct{}) {
-	t := time.NewTicker(tellEvery)
+// ReportDropped logs the number of dropped lines periodically until stop is closed.
+func (w *Writer) ReportDropped(log *zap.Logger, stop <-chan struct{}) {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case <-t.C:
-			if n := s.left.Load(); n != s.told {
-				log.Warn("lines left out", zap.Uint64("count", n-s.told))
-				s.told = n
+			if n := w.dropped.Load(); n != w.reportedDropped {
+				log.Warn("lines left out", zap.Uint64("count", n-w.reportedDropped))
+				w.reportedDropped = n
 			}
 		}
 	}
 }
 
-// Logger returns a logger over the sink.
-func (s *Sink) Logger(level zapcore.Level) *zap.Logger {
+// Logger returns a logger that writes JSON lines to w.
+func (w *Writer) Logger(level zapcore.Level) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	cfg.EncodeDuration = zapcore.StringDurationEncoder
-	c := zapcore.NewCore(zapcore.NewJSONEncoder(cfg), s, level)
-	return zap.New(&core{Core: c, sink: s})
+	c := zapcore.NewCore(zapcore.NewJSONEncoder(cfg), w, level)
+	return zap.New(&core{Core: c, writer: w})
 }
 
-// core declines lines over the budget.
+// core is a zapcore.Core that drops lines over the rate budget.
 type core struct {
 	zapcore.Core
-	sink *Sink
+	writer *Writer
 }
 
 // With implements zapcore.Core.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
-	return &core{Core: c.Core.With(fields), sink: c.sink}
+	return &core{Core: c.Core.With(fields), writer: c.writer}
 }
 
 // Check implements zapcore.Core.
@@ -155,8 +158,8 @@
 	if !c.Enabled(e.Level) {
 		return ce
 	}
-	if !c.sink.allow(e) {
-		c.sink.left.Add(1)
+	if !c.writer.takeBudget(e) {
+		c.writer.dropped.Add(1)
 		return ce
 	}
 	return ce.AddCore(e, c)
--- a/internal/proc/story/doc.go
+++ b/internal/proc/story/doc.go
@@ -1,6 +1,6 @@
-// Package story puts the log lines of one request together, from the logs of
-// many VMs, in the order in which they happened.
+// Package reqlog collects the log lines of one request from the logs of many VMs
+// and sorts them by time.
 //
-// VMs' clocks differ. Settings come into force on all VMs within some 50 ms of
-// each other, so the times of those lines tell the clocks apart.
+// The clocks of VMs differ. Settings come into force on all VMs within about 50 ms
+// of each other, so clock offsets are estimated from the times of those log lines.
 package story
--- a/internal/proc/story/story.go
+++ b/internal/proc/story/story.go
@@ -11,63 +11,64 @@
 )
 
 const (
-	// maxLine is the longest log line read, in bytes.
-	maxLine = 1 << 20
-	// around is how long before and after a request the lines of its VM on its
-	// servers and on settings belong to its story.
-	around = 3 * time.Second
+	// maxLineBytes is the maximum length of a log line.
+	maxLineBytes = 1 << 20
+	// contextTime is how long before and after a request the lines of its VMs about
+	// its servers, the settings or the store are included in its timeline.
+	contextTime = 3 * time.Second
 )
 
 // Line is one log line.
 type Line struct {
-	At      time.Time // by the clock of the VM that is taken as the reference
+	At      time.Time // by the clock of the reference VM
 	VM      string
-	What    string
+	Message string
 	Request string
 	Server  string
 	Raw     string
 }
 
-// Bad is a line that could not be read.
-type Bad struct {
+// BadLine is a log line that could not be parsed.
+type BadLine struct {
 	File string
 	Line int
 	Err  error
 }
 
-// Reader gathers lines.
+// Reader reads logs and collects the lines relevant to one request.
 type Reader struct {
-	id     string
-	lines  []Line
-	forces map[string]map[uint64]time.Time // by VM: when a version came into force
-	bad    []Bad
+	id        string
+	lines     []Line
+	appliedAt map[string]map[uint64]time.Time // when each settings version came into force, by VM
+	badLines  []BadLine
 }
 
-// New makes a reader for one request.
+// New returns a reader for the request with the given ID.
 func New(id string) *Reader {
-	return &Reader{id: id, forces: make(map[string]map[uint64]time.Time)}
+	return &Reader{id: id, appliedAt: make(map[string]map[uint64]time.Time)}
 }
 
-// Bad returns the lines that could not be read.
-func (r *Reader) Bad() []Bad { return r.bad }
+// BadLines returns the lines that could not be parsed.
+func (r *Reader) BadLines() []BadLine { return r.badLines }
 
-// Read takes a VM's log. Lines that are not JSON are noted and passed over.
+// Read reads the log of a VM. Lines that cannot be parsed are skipped and listed in
+// BadLines.
 func (r *Reader) Read(name string, in io.Reader) error {
 	s := bufio.NewScanner(in)
-	s.Buffer(make([]byte, 64<<10), maxLine)
+	s.Buffer(make([]byte, 64<<10), maxLineBytes)
 	var p fastjson.Parser
 	for n := 1; s.Scan(); n++ {
 		if len(s.Bytes()) == 0 {
 			continue
 		}
-		if err := r.take(&p, s.Bytes()); err != nil {
-			r.bad = append(r.bad, Bad{File: name, Line: n, Err: err})
+		if err := r.addLine(&p, s.Bytes()); err != nil {
+			r.badLines = append(r.badLines, BadLine{File: name, Line: n, Err: err})
 		}
 	}
 	return trace.Wrap(s.Err(), "%s", name)
 }
 
-func (r *Reader) take(p *fastjson.Parser, b []byte) error {
+func (r *Reader) addLine(p *fastjson.Parser, b []byte) error {
 	v, err := p.ParseBytes(b)
 	if err != nil {
 		return trace.BadParameter("not JSON: %v", err)
@@ -79,16 +80,16 @@
 	l := Line{
 		At:      at,
 		VM:      string(v.GetStringBytes("vm")),
-		What:    string(v.GetStringBytes("msg")),
+		Message: string(v.GetStringBytes("msg")),
 		Request: string(v.GetStringBytes("request")),
 		Server:  string(v.GetStringBytes("server")),
 		Raw:     string(b),
 	}
-	if l.What == "settings in force" {
-		if r.forces[l.VM] == nil {
-			r.forces[l.VM] = make(map[uint64]time.Time)
+	if l.Message == "settings in force" {
+		if r.appliedAt[l.VM] == nil {
+			r.appliedAt[l.VM] = make(map[uint64]time.Time)
 		}
-		r.forces[l.VM][v.GetUint64("version")] = at
+		r.appliedAt[l.VM][v.GetUint64("version")] = at
 	}
 	if l.Request == "" || l.Request == r.id {
 		r.lines = append(r.lines, l)
@@ -96,9 +97,9 @@
 	return nil
 }
 
-// Story returns the request's lines, and those of its VMs at that time that
-// tell of its servers, of the settings or of the store, in order.
-func (r *Reader) Story() []Line {
+// Timeline returns the request's log lines, sorted by time. It includes the lines of
+// its VMs around that time that concern its servers, the settings or the store.
+func (r *Reader) Timeline() []Line {
 	vms, servers := map[string]bool{}, map[string]bool{}
 	var first, last time.Time
 	for _, l := range r.lines {
@@ -113,22 +114,22 @@
 			last = l.At
 		}
 	}
-	ref := r.reference(vms)
+	ref := r.referenceVM(vms)
 	var out []Line
 	for _, l := range r.lines {
-		near := vms[l.VM] && l.At.After(first.Add(-around)) && l.At.Before(last.Add(around))
-		if l.Request != r.id && (!near || l.Server != "" && !servers[l.Server]) {
+		inRange := vms[l.VM] && l.At.After(first.Add(-contextTime)) && l.At.Before(last.Add(contextTime))
+		if l.Request != r.id && (!inRange || l.Server != "" && !servers[l.Server]) {
 			continue
 		}
-		l.At = l.At.Add(-r.offset(l.VM, ref))
+		l.At = l.At.Add(-r.clockOffset(l.VM, ref))
 		out = append(out, l)
 	}
 	slices.SortStableFunc(out, func(a, b Line) int { return a.At.Compare(b.At) })
 	return out
 }
 
-// reference returns the VM whose clock the story is told by: the first by name.
-func (r *Reader) reference(vms map[string]bool) string {
+// referenceVM returns the VM whose clock the timeline uses: the first by name.
+func (r *Reader) referenceVM(vms map[string]bool) string {
 	ref := ""
 	for vm := range vms {
 		if ref == "" || vm < ref {
@@ -138,12 +139,12 @@
 	return ref
 }
 
-// offset returns by how much a VM's clock is ahead of the reference: the median
-// over the versions of settings that both put in force.
-func (r *Reader) offset(vm, ref string) time.Duration {
+// clockOffset returns how far a VM's clock is ahead of the reference VM's: the median
+// over the settings versions that came into force on both.
+func (r *Reader) clockOffset(vm, ref string) time.Duration {
 	var all []time.Duration
-	for version, at := range r.forces[vm] {
-		if other, ok := r.forces[ref][version]; ok {
+	for version, at := range r.appliedAt[vm] {
+		if other, ok := r.appliedAt[ref][version]; ok {
 			all = append(all, at.Sub(other))
 		}
 	}
--- a/internal/proc/tally/tally.go
+++ b/internal/proc/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally turns the record of each finished request into a log line and
-// metrics. It writes no prompt text and no key.
+// Package record writes a log line and updates metrics for each finished request.
+// Neither contains prompt text or keys.
 package tally
 
 import (
@@ -14,22 +14,23 @@
 	"umberladder/internal/core/refuse"
 )
 
-// Tally records finished requests. It is safe for use by several goroutines.
-type Tally struct {
+// Recorder records finished requests. It is safe for concurrent use.
+type Recorder struct {
 	log  *zap.Logger
 	set  *metrics.Set
 	gaps *metrics.Histogram
 	next final.Recorder
 }
 
-// New makes a tally that logs to log and counts in set, and exports the
-// violations in book. Records go on to next, if that is not nil.
-func New(log *zap.Logger, set *metrics.Set, book *invar.Book, next final.Recorder) *Tally {
+// New returns a Recorder that logs to log, counts in set, and exports the invariant
+// violations counted by invariants. It also passes records to next, unless that is
+// nil.
+func New(log *zap.Logger, set *metrics.Set, invariants *invar.Book, next final.Recorder) *Recorder {
 	for _, n := range invar.All() {
 		name := fmt.Sprintf(`umberladder_invariant_violations_total{invariant=%q}`, n)
-		set.NewGauge(name, func() float64 { return float64(book.Count(n)) })
+		set.NewGauge(name, func() float64 { return float64(invariants.Count(n)) })
 	}
-	return &Tally{
+	return &Recorder{
 		log:  log,
 		set:  set,
 		gaps: set.NewHistogram("umberladder_token_gap_seconds"),
@@ -37,60 +38,60 @@
 	}
 }
 
-// Gap implements final.Recorder.
-func (t *Tally) Gap(d time.Duration) {
-	t.gaps.Update(d.Seconds())
-	if t.next != nil {
-		t.next.Gap(d)
+// Gap implements result.Recorder.
+func (r *Recorder) Gap(d time.Duration) {
+	r.gaps.Update(d.Seconds())
+	if r.next != nil {
+		r.next.Gap(d)
 	}
 }
 
-// Done implements final.Recorder.
-func (t *Tally) Done(r *final.Record) {
-	t.count(r)
-	t.write(r)
-	if t.next != nil {
-		t.next.Done(r)
+// Done implements result.Recorder.
+func (r *Recorder) Done(rec *final.Record) {
+	r.count(rec)
+	r.logRecord(rec)
+	if r.next != nil {
+		r.next.Done(rec)
 	}
 }
 
-func (t *Tally) count(r *final.Record) {
+func (r *Recorder) count(rec *final.Record) {
 	reason := ""
 	ran := ""
-	if r.Refusal != nil {
-		reason, ran = r.Refusal.Reason.String(), r.Refusal.Ran.String()
+	if rec.Refusal != nil {
+		reason, ran = rec.Refusal.Reason.String(), rec.Refusal.Ran.String()
 	}
-	labels := fmt.Sprintf(`{workspace=%q,service=%q,class=%q`, r.Workspace, r.Service, r.Class)
-	t.set.GetOrCreateCounter(fmt.Sprintf(`umberladder_requests_total%s,outcome=%q,reason=%q,ran=%q}`,
-		labels, r.Outcome, reason, ran)).Inc()
-	t.set.GetOrCreateFloatCounter("umberladder_stall_seconds_total" + labels + "}").Add(r.Stall.Seconds())
-	t.set.GetOrCreateCounter("umberladder_preemptions_total" + labels + "}").Add(r.Preemptions)
-	t.set.GetOrCreateCounter("umberladder_tokens_total" + labels + "}").Add(r.Tokens)
-	t.set.GetOrCreateHistogram("umberladder_first_seconds" + labels + "}").Update(r.First.Seconds())
+	labels := fmt.Sprintf(`{workspace=%q,service=%q,class=%q`, rec.Workspace, rec.Service, rec.Class)
+	r.set.GetOrCreateCounter(fmt.Sprintf(`umberladder_requests_total%s,outcome=%q,reason=%q,ran=%q}`,
+		labels, rec.Outcome, reason, ran)).Inc()
+	r.set.GetOrCreateFloatCounter("umberladder_stall_seconds_total" + labels + "}").Add(rec.Stall.Seconds())
+	r.set.GetOrCreateCounter("umberladder_preemptions_total" + labels + "}").Add(rec.Preemptions)
+	r.set.GetOrCreateCounter("umberladder_tokens_total" + labels + "}").Add(rec.Tokens)
+	r.set.GetOrCreateHistogram("umberladder_first_seconds" + labels + "}").Update(rec.First.Seconds())
 }
 
-func (t *Tally) write(r *final.Record) {
+func (r *Recorder) logRecord(rec *final.Record) {
 	fields := []zap.Field{
-		zap.String("request", string(r.Request)),
-		zap.String("workspace", string(r.Workspace)),
-		zap.String("service", string(r.Service)),
-		zap.String("class", string(r.Class)),
-		zap.String("server", string(r.Server)),
-		zap.Stringer("outcome", r.Outcome),
-		zap.Duration("total", r.Total),
-		zap.Duration("queued", r.Queued),
-		zap.Duration("first", r.First),
-		zap.Duration("stall", r.Stall),
-		zap.Int("preemptions", r.Preemptions),
-		zap.Int("resumes", r.Resumes),
-		zap.Int("reruns", r.Reruns),
-		zap.Int("tokens", r.Tokens),
-		zap.Int("bytes", r.Bytes),
+		zap.String("request", string(rec.Request)),
+		zap.String("workspace", string(rec.Workspace)),
+		zap.String("service", string(rec.Service)),
+		zap.String("class", string(rec.Class)),
+		zap.String("server", string(rec.Server)),
+		zap.Stringer("outcome", rec.Outcome),
+		zap.Duration("total", rec.Total),
+		zap.Duration("queued", rec.Queued),
+		zap.Duration("first", rec.First),
+		zap.Duration("stall", rec.Stall),
+		zap.Int("preemptions", rec.Preemptions),
+		zap.Int("resumes", rec.Resumes),
+		zap.Int("reruns", rec.Reruns),
+		zap.Int("tokens", rec.Tokens),
+		zap.Int("bytes", rec.Bytes),
 	}
-	if r.Refusal != nil {
-		fields = append(fields, refusal(r.Refusal)...)
+	if rec.Refusal != nil {
+		fields = append(fields, refusal(rec.Refusal)...)
 	}
-	t.log.Info("request", fields...)
+	r.log.Info("request", fields...)
 }
 
 func refusal(r *refuse.Refusal) []zap.Field {
