--- a/internal/proc/peers/node.go
+++ b/internal/proc/peers/node.go
@@ -122,8 +122,8 @@
 
 // Sent returns how many messages of a kind were sent to other VMs, and their bytes.
 func (n *Node) Sent(k gossip.Kind) gossip.Traffic {
-	if g := n.agent.Load(); g != nil {
-		return g.Sent(k)
+	if agent := n.agent.Load(); agent != nil {
+		return agent.Sent(k)
 	}
 	return gossip.Traffic{}
 }
--- a/internal/proc/peers/shared.go
+++ b/internal/proc/peers/shared.go
@@ -14,7 +14,7 @@
 
 // Settings implements share.Source.
 func (s shareSource) Settings() (share.Settings, bool) {
-	fresh, snap := s.node.Settings.Fresh(), s.node.Settings.Load()
+	freshAt, snap := s.node.Settings.Fresh(), s.node.Settings.Load()
 	if snap == nil {
 		return share.Settings{}, false
 	}
@@ -23,7 +23,7 @@
 		s.node.log.Error("settings not compressed", zap.Uint64("version", snap.Version), zap.Error(err))
 		return share.Settings{}, false
 	}
-	return share.Settings{Packed: compressed, Version: snap.Version, Age: awake.Now().Sub(fresh)}, true
+	return share.Settings{Packed: compressed, Version: snap.Version, Age: awake.Now().Sub(freshAt)}, true
 }
 
 // Servers implements share.Source.
--- a/internal/proc/peers/told.go
+++ b/internal/proc/peers/told.go
@@ -67,7 +67,8 @@
 // detect its recovery early.
 func (n *Node) probesStore() bool { return n.Hubs.First(time.Now()) }
 
-// leadsWatch reports whether no VM ranked before this one watches the store.
+// leadsWatch reports whether no VM ranked before this one watches the store and
+// receives responses from it.
 func (n *Node) leadsWatch() bool { return n.Hubs.Lead(time.Now()) }
 
 // serversFromPeers reports whether this VM receives changes of servers from other VMs
@@ -94,8 +95,8 @@
 
 // FillResponse implements gossip.Delegate.
 func (l *local) Answer(s *wire.State, to ident.VM, now time.Time) {
-	t := l.node.Budget.Rest(to, now)
-	s.Hub.Known, s.Hub.Heard, s.Hub.Rest = t.Known, t.Heard, t.Sent
+	total := l.node.Budget.Rest(to, now)
+	s.Hub.Known, s.Hub.Heard, s.Hub.Rest = total.Known, total.Heard, total.Sent
 	s.Findings = l.node.Poison.Answer(to, now)
 	s.Limits = l.node.Rates.Answer(to, now)
 	l.fillCommon(s, now)
@@ -214,11 +215,11 @@
 
 // fetchServers fetches the complete list of servers from a hub.
 func (n *Node) fetchServers(ctx context.Context) (follow.News, error) {
-	list := n.Hubs.Addresses(time.Now())
-	if len(list) == 0 {
+	hubAddrs := n.Hubs.Addresses(time.Now())
+	if len(hubAddrs) == 0 {
 		return follow.News{}, follow.ErrNobody
 	}
-	return share.Take(ctx, list, n.share.Servers)
+	return share.Take(ctx, hubAddrs, n.share.Servers)
 }
 
 // Refresh implements port.Refresher. It asks the hubs to confirm that the settings are
@@ -232,8 +233,8 @@
 
 // reportNow sends a report to the hubs without waiting for the report interval.
 func (n *Node) reportNow() {
-	if g := n.agent.Load(); g != nil {
-		g.Beat()
+	if agent := n.agent.Load(); agent != nil {
+		agent.Beat()
 	}
 }
 
@@ -255,10 +256,10 @@
 
 // VersionReply implements gossip.Delegate.
 func (l *local) Reply(requestTime uint64) *wire.Reply {
-	fresh := l.node.Settings.Fresh()
+	freshAt := l.node.Settings.Fresh()
 	r := &wire.Reply{Ask: requestTime}
 	if snap := l.node.Settings.Load(); snap != nil {
-		r.Version, r.Age = snap.Version, awake.Now().Sub(fresh)
+		r.Version, r.Age = snap.Version, awake.Now().Sub(freshAt)
 	}
 	return r
 }
@@ -292,9 +293,9 @@
 	}
 	now := time.Now()
 	for _, s := range snap.Engines() {
-		for _, p := range l.node.Hubs.Order(s, loadRecipients, now) {
-			if p.Addr.IsValid() && !slices.Contains(out, p.Addr) {
-				out = append(out, p.Addr)
+		for _, candidate := range l.node.Hubs.Order(s, loadRecipients, now) {
+			if candidate.Addr.IsValid() && !slices.Contains(out, candidate.Addr) {
+				out = append(out, candidate.Addr)
 			}
 		}
 	}
@@ -302,18 +303,18 @@
 }
 
 // HandlePlacementRequest implements gossip.Delegate.
-func (l *local) Seat(a homes.Ask, reply func(homes.Answer)) {
-	l.node.coordinator.Take(a, reply, time.Now())
+func (l *local) Seat(req homes.Ask, reply func(homes.Answer)) {
+	l.node.coordinator.Take(req, reply, time.Now())
 }
 
 // HandlePlacementResponse implements gossip.Delegate.
-func (l *local) Seated(a homes.Answer) { l.node.placer.Answered(a) }
+func (l *local) Seated(resp homes.Answer) { l.node.placer.Answered(resp) }
 
 // SendRequest implements placer.Transport. Requests made before the gossip agent has
 // started are lost.
-func (n *Node) Ask(to netip.AddrPort, a homes.Ask) {
-	if g := n.agent.Load(); g != nil {
-		g.Ask(to, a)
+func (n *Node) Ask(to netip.AddrPort, req homes.Ask) {
+	if agent := n.agent.Load(); agent != nil {
+		agent.Ask(to, req)
 	}
 }
 
@@ -339,8 +340,8 @@
 	return out
 }
 
-// announce requests an announcement to all other VMs. VMs that are not hubs and do not
-// watch the store include the change in their next report instead.
+// announce requests an immediate announcement to all other VMs. VMs that are not hubs
+// and do not watch the store include the change in their next report instead.
 func (n *Node) announce() {
 	if now := time.Now(); !n.Hubs.Asks(now) && !n.Hubs.Hub(now) {
 		return
