--- a/cmd/stress/claims.go
+++ b/cmd/stress/claims.go
@@ -86,8 +86,8 @@
 	const q50, q99 = 50, 99
 	return &claimWire{
 		Calls:      calls,
-		P50:        drive.Millis(times.At(q50)),
-		P99:        drive.Millis(times.At(q99)),
+		P50:        drive.Millis(times.Percentile(q50)),
+		P99:        drive.Millis(times.Percentile(q99)),
 		StoreCalls: float64(after.Total()-before.Total()) / float64(calls),
 	}, nil
 }
--- a/internal/load/drive/client.go
+++ b/internal/load/drive/client.go
@@ -21,201 +21,205 @@
 )
 
 const (
-	maxSends    = 8
-	maxResumes  = 20
-	resendPause = 150 * time.Millisecond
-	deadline    = 120 * time.Second
+	maxAttempts    = 8
+	maxResumes     = 20
+	retryPause     = 150 * time.Millisecond
+	requestTimeout = 120 * time.Second
 )
 
 var (
-	// errBroken is a connection that ended without a word or in mid-stream.
-	errBroken = errors.New("the connection broke")
-	// errUnsent is a connection that was never made.
-	errUnsent = errors.New("no connection")
+	// errInterrupted reports a connection that broke before the response or
+	// within a stream.
+	errInterrupted = errors.New("connection interrupted")
+	// errNotConnected reports a connection that could not be established.
+	errNotConnected = errors.New("connection not established")
 )
 
-// Client sends orders to VMs. It is safe for use by several goroutines.
+// Client sends requests to VMs. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	vms  *picker.Picker
-	gap  func(time.Duration)
+	http  *http.Client
+	vms   *picker.Picker
+	onGap func(time.Duration)
 }
 
-// NewClient makes a client that sends requests to the VMs that vms picks; gap
-// is told the time between two tokens.
-func NewClient(vms *picker.Picker, gap func(time.Duration)) *Client {
+// NewClient returns a client that sends requests to the VMs that vms picks. It
+// calls onGap with the time between each two tokens of a stream.
+func NewClient(vms *picker.Picker, onGap func(time.Duration)) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
-	return &Client{http: &http.Client{Transport: t}, vms: vms, gap: gap}
+	return &Client{http: &http.Client{Transport: t}, vms: vms, onGap: onGap}
 }
 
-// Close drops the kept connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// attempt is one order on its way.
-type attempt struct {
-	client *Client
-	order  Order
-	key    string
-	res    Result
-	start  time.Time
-	words  []string // text received so far
-	next   uint64   // index of the next token
-	handle string
+// session is the state of one request over its attempts and resumes.
+type session struct {
+	client       *Client
+	request      Request
+	key          string
+	res          Result
+	start        time.Time
+	chunks       []string // text received so far
+	nextIndex    uint64   // index of the next token expected
+	resumeHandle string
 }
 
-// Do sends the order until it has an outcome.
-func (c *Client) Do(ctx context.Context, o Order) Result {
-	ctx, cancel := context.WithTimeout(ctx, deadline)
+// Do sends req, retrying and resuming it, until it has an outcome. A refused
+// request that may be repeated is sent once more after its Retry-After time.
+func (c *Client) Do(ctx context.Context, req Request) Result {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	a := &attempt{client: c, order: o, res: Result{Order: o}, start: time.Now()}
-	if o.Keyed {
-		a.key = newKey()
+	s := &session{client: c, request: req, res: Result{Request: req}, start: time.Now()}
+	if req.Keyed {
+		s.key = newKey()
 	}
-	a.run(ctx)
-	a.res.Total = time.Since(a.start)
-	if a.res.Outcome == Refused && a.res.ComeBack > 0 && !o.AtMostOnce {
-		a.res.Again = c.comeBack(ctx, o, a.res.ComeBack)
+	s.run(ctx)
+	s.res.Total = time.Since(s.start)
+	if s.res.Outcome == Refused && s.res.RetryAfter > 0 && !req.AtMostOnce {
+		s.res.Retried = c.retryLater(ctx, req, s.res.RetryAfter)
 	}
-	return a.res
+	return s.res
 }
 
-// comeBack sends a refused order once more, when its refusal said to.
-func (c *Client) comeBack(ctx context.Context, o Order, wait time.Duration) *Result {
+// retryLater sends a refused request once more after the time that the refusal
+// gave in Retry-After.
+func (c *Client) retryLater(ctx context.Context, req Request, retryAfter time.Duration) *Result {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-time.After(wait):
+	case <-time.After(retryAfter):
 	}
-	o.Want.Tag += ".back"
-	a := &attempt{client: c, order: o, res: Result{Order: o}, start: time.Now()}
-	a.run(ctx)
-	return &a.res
+	req.Spec.Tag += ".back"
+	s := &session{client: c, request: req, res: Result{Request: req}, start: time.Now()}
+	s.run(ctx)
+	return &s.res
 }
 
-func (a *attempt) run(ctx context.Context) {
-	for a.res.Sends < maxSends {
-		a.res.Sends++
-		err := a.send(ctx)
-		for errors.Is(err, errBroken) && a.handle != "" && a.res.Resumes < maxResumes && ctx.Err() == nil {
-			a.res.Resumes++
-			time.Sleep(resendPause)
-			err = a.resume(ctx)
+func (s *session) run(ctx context.Context) {
+	for s.res.Attempts < maxAttempts {
+		s.res.Attempts++
+		err := s.send(ctx)
+		for errors.Is(err, errInterrupted) && s.resumeHandle != "" && s.res.Resumes < maxResumes && ctx.Err() == nil {
+			s.res.Resumes++
+			time.Sleep(retryPause)
+			err = s.resume(ctx)
 		}
 		switch {
 		case err == nil:
 			return
-		case a.handle != "" || ctx.Err() != nil:
-			a.end(Lost, err.Error())
+		case s.resumeHandle != "" || ctx.Err() != nil:
+			s.finish(Lost, err.Error())
 			return
-		case errors.Is(err, errUnsent):
-		case a.order.AtMostOnce && !a.order.Keyed:
-			a.end(Broken, err.Error())
+		case errors.Is(err, errNotConnected):
+		case s.request.AtMostOnce && !s.request.Keyed:
+			s.finish(Interrupted, err.Error())
 			return
 		}
-		time.Sleep(resendPause)
+		time.Sleep(retryPause)
 	}
-	a.end(Lost, "every resend broke")
+	s.finish(Lost, "all attempts failed")
 }
 
-func (a *attempt) end(o Outcome, detail string) {
-	a.res.Outcome, a.res.Detail = o, detail
+func (s *session) finish(o Outcome, detail string) {
+	s.res.Outcome, s.res.Detail = o, detail
 }
 
-func (a *attempt) send(ctx context.Context) error {
-	vm := a.client.vms.Pick()
-	a.res.VM = vm.Name
-	a.res.Tag = a.tag()
-	method, path, body := a.request()
+func (s *session) send(ctx context.Context) error {
+	vm := s.client.vms.Pick()
+	s.res.VM = vm.Name
+	s.res.Tag = s.attemptTag()
+	method, path, body := s.httpRequest()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+vm.Address.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	if a.key != "" {
-		req.Header.Set("Idempotency-Key", a.key)
+	if s.key != "" {
+		req.Header.Set("Idempotency-Key", s.key)
 	}
-	return a.exchange(req)
+	return s.roundTrip(req)
 }
 
-func (a *attempt) resume(ctx context.Context) error {
-	vm := a.client.vms.Pick()
-	a.res.VM = vm.Name
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+vm.Address.String()+"/v1/resume/"+a.handle, http.NoBody)
+func (s *session) resume(ctx context.Context) error {
+	vm := s.client.vms.Pick()
+	s.res.VM = vm.Name
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+vm.Address.String()+"/v1/resume/"+s.resumeHandle, http.NoBody)
 	if err != nil {
 		return err
 	}
-	if a.next > 0 {
-		req.Header.Set("Last-Event-ID", strconv.FormatUint(a.next-1, 10))
+	if s.nextIndex > 0 {
+		req.Header.Set("Last-Event-ID", strconv.FormatUint(s.nextIndex-1, 10))
 	}
-	return a.exchange(req)
+	return s.roundTrip(req)
 }
 
-// tag marks what the backend servers run for this sending. Sendings of a call
-// that may be repeated are told apart, so that each refusal can be held against
-// the records; those of one that may not bear one tag, so that a second run
-// shows.
-func (a *attempt) tag() string {
-	if a.order.AtMostOnce || a.res.Sends == 1 {
-		return a.order.Want.Tag
+// attemptTag returns the tag under which backend servers record this attempt.
+// Each attempt of a retryable call has its own tag, so that each refusal can be
+// checked against the records. All attempts of an at-most-once call share one
+// tag, so that a duplicate run is detected.
+func (s *session) attemptTag() string {
+	if s.request.AtMostOnce || s.res.Attempts == 1 {
+		return s.request.Spec.Tag
 	}
-	return fmt.Sprintf("%s.%d", a.order.Want.Tag, a.res.Sends)
+	return fmt.Sprintf("%s.%d", s.request.Spec.Tag, s.res.Attempts)
 }
 
-// request returns the method, path and body of the order. Net/http resends a
-// GET by itself on a broken kept connection; that is what callers do too.
-func (a *attempt) request() (string, string, []byte) {
-	o := &a.order
-	if o.Plain {
+// httpRequest returns the method, path and body of the request. Package net/http
+// itself retries a GET when a reused connection breaks, as callers' HTTP clients
+// do.
+func (s *session) httpRequest() (string, string, []byte) {
+	r := &s.request
+	if r.Plain {
 		method := http.MethodGet
-		if o.AtMostOnce {
+		if r.AtMostOnce {
 			method = http.MethodPost
 		}
-		return method, fmt.Sprintf("/v1/services/%s/do?tag=%s", o.Service, a.res.Tag), nil
+		return method, fmt.Sprintf("/v1/services/%s/do?tag=%s", r.Service, s.res.Tag), nil
 	}
-	body, _ := json.Marshal(map[string]any{"model": o.Service, "prompt": a.want().Prompt(), "stream": o.Stream})
+	body, _ := json.Marshal(map[string]any{"model": r.Service, "prompt": s.spec().Prompt(), "stream": r.Stream})
 	return http.MethodPost, "/v1/completions", body
 }
 
-func (a *attempt) exchange(req *http.Request) error {
-	req.Header.Set("Authorization", "Bearer "+plan.CallerKey(a.order.Workspace))
+func (s *session) roundTrip(req *http.Request) error {
+	req.Header.Set("Authorization", "Bearer "+plan.CallerKey(s.request.Workspace))
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := a.client.http.Do(req)
+	resp, err := s.client.http.Do(req)
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return fmt.Errorf("%w: %w: %w", errBroken, errUnsent, err)
+		return fmt.Errorf("%w: %w: %w", errInterrupted, errNotConnected, err)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", errBroken, err)
+		return fmt.Errorf("%w: %w", errInterrupted, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		if h := resp.Header.Get("Umberladder-Resume"); h != "" {
-			a.handle = h
+			s.resumeHandle = h
 		}
-		return a.stream(resp.Body)
+		return s.readStream(resp.Body)
 	}
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errBroken, err)
+		return fmt.Errorf("%w: %w", errInterrupted, err)
 	}
-	if a.res.First == 0 {
-		a.res.First = time.Since(a.start)
+	if s.res.First == 0 {
+		s.res.First = time.Since(s.start)
 	}
 	if resp.StatusCode != http.StatusOK {
-		a.refused(data, resp.Header.Get("Retry-After"))
+		s.handleRefusal(data, resp.Header.Get("Retry-After"))
 		return nil
 	}
-	a.whole(data)
+	s.handleResponse(data)
 	return nil
 }
 
-// want is what this sending orders.
-func (a *attempt) want() prompt.Order {
-	o := a.order.Want
-	o.Tag = a.res.Tag
-	return o
+// spec returns the prompt spec of this attempt.
+func (s *session) spec() prompt.Order {
+	spec := s.request.Spec
+	spec.Tag = s.res.Tag
+	return spec
 }
 
-// problem is the part of a problem document that a caller reads.
+// problem holds the fields of a problem document that the client checks.
 type problem struct {
 	Reason string `json:"reason"`
 	Ran    string `json:"ran"`
@@ -223,57 +227,57 @@
 	Detail string `json:"detail"`
 }
 
-func (a *attempt) refused(data []byte, after string) {
+func (s *session) handleRefusal(data []byte, retryAfter string) {
 	var p problem
 	if err := json.Unmarshal(data, &p); err != nil || p.Reason == "" {
-		a.end(Wrong, fmt.Sprintf("a refusal without a reason: %.200s", data))
+		s.finish(Wrong, fmt.Sprintf("refusal without a reason: %.200s", data))
 		return
 	}
-	a.res.Reason, a.res.Ran, a.res.Code = p.Reason, p.Ran, p.Code
-	if s, err := strconv.Atoi(after); err == nil {
-		a.res.ComeBack = time.Duration(s) * time.Second
+	s.res.Reason, s.res.Ran, s.res.Code = p.Reason, p.Ran, p.Code
+	if secs, err := strconv.Atoi(retryAfter); err == nil {
+		s.res.RetryAfter = time.Duration(secs) * time.Second
 	}
-	a.end(Refused, p.Detail)
+	s.finish(Refused, p.Detail)
 }
 
-func (a *attempt) whole(data []byte) {
-	if a.order.Plain {
-		var answer struct{ Tag string }
-		if err := json.Unmarshal(data, &answer); err != nil || answer.Tag != a.res.Tag {
-			a.end(Wrong, fmt.Sprintf("the answer to %s is %.200s", a.res.Tag, data))
+func (s *session) handleResponse(data []byte) {
+	if s.request.Plain {
+		var resp struct{ Tag string }
+		if err := json.Unmarshal(data, &resp); err != nil || resp.Tag != s.res.Tag {
+			s.finish(Wrong, fmt.Sprintf("the response to %s is %.200s", s.res.Tag, data))
 		}
 		return
 	}
-	var answer struct{ Choices []struct{ Text string } }
-	if err := json.Unmarshal(data, &answer); err != nil || len(answer.Choices) != 1 {
-		a.end(Wrong, fmt.Sprintf("not a completion: %.200s", data))
+	var completion struct{ Choices []struct{ Text string } }
+	if err := json.Unmarshal(data, &completion); err != nil || len(completion.Choices) != 1 {
+		s.finish(Wrong, fmt.Sprintf("not a completion: %.200s", data))
 		return
 	}
-	a.words = []string{answer.Choices[0].Text}
-	a.check()
+	s.chunks = []string{completion.Choices[0].Text}
+	s.checkText()
 }
 
-// check holds the whole text against the order.
-func (a *attempt) check() {
-	text := strings.Join(a.words, "")
-	a.res.Tokens = len(strings.Fields(text))
-	if err := a.order.Want.CheckText(text); err != nil {
-		a.end(Wrong, err.Error())
+// checkText checks the complete text against the request.
+func (s *session) checkText() {
+	text := strings.Join(s.chunks, "")
+	s.res.Tokens = len(strings.Fields(text))
+	if err := s.request.Spec.CheckText(text); err != nil {
+		s.finish(Wrong, err.Error())
 	}
 }
 
-func (a *attempt) stream(body io.Reader) error {
-	last := time.Time{}
+func (s *session) readStream(body io.Reader) error {
+	lastToken := time.Time{}
 	for ev, err := range sse.Read(body, nil) {
 		if err != nil {
-			return fmt.Errorf("%w: %w", errBroken, err)
+			return fmt.Errorf("%w: %w", errInterrupted, err)
 		}
 		if ev.Type == "error" {
-			a.refused([]byte(ev.Data), "")
+			s.handleRefusal([]byte(ev.Data), "")
 			return nil
 		}
 		if ev.Data == "[DONE]" {
-			a.check()
+			s.checkText()
 			return nil
 		}
 		var chunk struct {
@@ -283,34 +287,34 @@
 			}
 		}
 		if err := json.Unmarshal([]byte(ev.Data), &chunk); err != nil || len(chunk.Choices) != 1 {
-			a.end(Wrong, fmt.Sprintf("not a chunk: %.200s", ev.Data))
+			s.finish(Wrong, fmt.Sprintf("not a chunk: %.200s", ev.Data))
 			return nil
 		}
 		if chunk.Choices[0].Finish != nil {
 			continue
 		}
-		last = a.token(ev.LastEventID, chunk.Choices[0].Text, last)
-		if a.res.Outcome == Wrong {
+		lastToken = s.handleToken(ev.LastEventID, chunk.Choices[0].Text, lastToken)
+		if s.res.Outcome == Wrong {
 			return nil
 		}
 	}
-	return errBroken
+	return errInterrupted
 }
 
-// token takes one token and returns when it came.
-func (a *attempt) token(id, text string, last time.Time) time.Time {
+// handleToken processes one token and returns the time of its arrival.
+func (s *session) handleToken(id, text string, previous time.Time) time.Time {
 	now := time.Now()
-	if a.res.First == 0 {
-		a.res.First = now.Sub(a.start)
+	if s.res.First == 0 {
+		s.res.First = now.Sub(s.start)
 	}
-	if !last.IsZero() {
-		a.client.gap(now.Sub(last))
+	if !previous.IsZero() {
+		s.client.onGap(now.Sub(previous))
 	}
-	if id != strconv.FormatUint(a.next, 10) {
-		a.end(Wrong, fmt.Sprintf("token %s came in place of %d", id, a.next))
+	if id != strconv.FormatUint(s.nextIndex, 10) {
+		s.finish(Wrong, fmt.Sprintf("received token %s, expected token %d", id, s.nextIndex))
 		return now
 	}
-	a.next++
-	a.words = append(a.words, text)
+	s.nextIndex++
+	s.chunks = append(s.chunks, text)
 	return now
 }
--- a/internal/load/drive/doc.go
+++ b/internal/load/drive/doc.go
@@ -1,4 +1,4 @@
-// Package drive sends requests to running VMs as callers would, checks every
-// answer against what was ordered, and holds the refusals against what the
-// backend servers recorded.
+// Package drive is a load generator: it sends requests to running VMs as
+// callers would, checks every response against its request, and checks refusals
+// against what the backend servers recorded as run.
 package drive
--- a/internal/load/drive/result.go
+++ b/internal/load/drive/result.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request as its caller sees it.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	Complete Outcome = iota // the whole answer, and the right one
-	Refused                 // a refusal
-	Wrong                   // an answer that is not what was ordered
-	Lost                    // no outcome at all
-	Broken                  // the VM was killed before a word, and the call may not be sent again
+	Complete    Outcome = iota // a complete and correct response
+	Refused                    // a refusal
+	Wrong                      // a response that does not match the request
+	Lost                       // no outcome after all attempts and resumes
+	Interrupted                // the connection broke before a response, and the call may not be retried
 )
 
-// Result is what became of one order.
+// Result holds the outcome and the measurements of one request.
 type Result struct {
-	Order    Order
-	Outcome  Outcome
-	Reason   string // of a refusal
-	Ran      string // of a refusal: "no", "maybe", "partial"
-	Code     string // of a refusal
-	Detail   string
-	Tag      string // what the servers recorded of the last sending
-	Tokens   int
-	Sends    int // requests sent, resends counted
-	Resumes  int
-	VM       string // the last that served it
-	First    time.Duration
-	Total    time.Duration
-	ComeBack time.Duration // from Retry-After
-	Again    *Result       // of coming back then, or nil
+	Request    Request
+	Outcome    Outcome
+	Reason     string // of a refusal
+	Ran        string // of a refusal, whether the request ran: "no", "maybe" or "partial"
+	Code       string // of a refusal
+	Detail     string
+	Tag        string // under which the servers recorded the last attempt
+	Tokens     int
+	Attempts   int // number of times sent, including retries
+	Resumes    int
+	VM         string        // the last VM that the request was sent to
+	First      time.Duration // time to the first token, or to the complete response
+	Total      time.Duration
+	RetryAfter time.Duration // of a refusal, from the Retry-After header
+	Retried    *Result       // of the retry after RetryAfter; nil if there was none
 }
--- a/internal/load/rivals/rivals.go
+++ b/internal/load/rivals/rivals.go
@@ -114,9 +114,9 @@
 	stop()
 	_ = rec.Wait()
 	r.audit()
-	r.report.ForceP50 = drive.Millis(r.force.At(50))
-	r.report.ForceP99 = drive.Millis(r.force.At(99))
-	r.report.ForceMax = drive.Millis(r.force.At(100))
+	r.report.ForceP50 = drive.Millis(r.force.Percentile(50))
+	r.report.ForceP99 = drive.Millis(r.force.Percentile(99))
+	r.report.ForceMax = drive.Millis(r.force.Percentile(100))
 	return &r.report
 }
 
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -249,7 +249,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	run := drive.Send(ctx, f.VMs, mix.Orders(seed), seed)
+	run := drive.Send(ctx, f.VMs, mix.Schedule(seed), seed)
 	cancel()
 	if err := g.Wait(); err != nil {
 		return nil, trace.Wrap(err)
@@ -260,18 +260,18 @@
 	}
 	res.Summary = run.Summarise(runs)
 	if s.Graceful {
-		res.CutOff = run.CutOff()
+		res.CutOff = run.ConnectionBreaks()
 	}
 	res.measure(ctx, f)
 	after, err := gauge.Store(ctx, f.Store)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	res.Store = storeUse(before, after, run.Took)
+	res.Store = storeUse(before, after, run.Elapsed)
 	if res.Violations, err = violations(f); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	res.Late = world.Late()
-	res.Held = res.Summary.Held() && res.CutOff == 0 && res.Late == 0 && res.Violations == 0 && s.raceHeld(res.Race)
+	res.Held = res.Summary.OK() && res.CutOff == 0 && res.Late == 0 && res.Violations == 0 && s.raceHeld(res.Race)
 	return res, nil
 }
--- a/internal/load/trial/trial.go
+++ b/internal/load/trial/trial.go
@@ -248,8 +248,8 @@
 
 func (r *run) figures() *Figures {
 	f := &r.fig
-	f.GapP50, f.GapP99 = r.gaps.At(50), r.gaps.At(99)
-	f.FirstP99, f.UrgentP99 = r.first.At(99), r.urgent.At(99)
+	f.GapP50, f.GapP99 = r.gaps.Percentile(50), r.gaps.Percentile(99)
+	f.FirstP99, f.UrgentP99 = r.first.Percentile(99), r.urgent.Percentile(99)
 	f.Goodput = float64(r.tokens) / (r.cfg.Time - r.cfg.Warm).Seconds()
 	f.Violations = r.book.Total()
 	return f
