--- a/cmd/stress/soak.go
+++ b/cmd/stress/soak.go
@@ -26,7 +26,7 @@
 				if err := printLine(c, rep); err != nil {
 					return err
 				}
-				bad += len(rep.Violated)
+				bad += len(rep.Violations)
 				cfg.Seed++
 			}
 			if bad > 0 {
@@ -43,7 +43,7 @@
 	f.IntVar(&cfg.Servers, "servers", 6, "model engines; half as many plain servers")
 	f.IntVar(&cfg.Clients, "clients", 24, "clients")
 	f.IntVar(&cfg.Routes, "routes", 0, "routes that the settings grow to, beside those that are called")
-	f.BoolVar(&cfg.Drills, "drills", false, "have the store come back from copies, too")
+	f.BoolVar(&cfg.StoreRestores, "drills", false, "have the store come back from copies, too")
 	f.BoolVar(&cfg.Crashes, "crashes", false, "have requests end servers, and servers announce drains and pauses in answers")
 	f.StringVar(&cfg.Program, "program", "bin/umberladder", "the program")
 	f.StringVar(&cfg.Dir, "dir", "run/soak", "where settings and logs go")
--- a/internal/load/soak/client.go
+++ b/internal/load/soak/client.go
@@ -14,66 +14,67 @@
 	"umberladder/platform/standin"
 )
 
-// call is what a client saw of one call.
+// call records one call as its client saw it.
 type call struct {
-	id     string
-	path   string
-	key    string
-	vm     string
-	sent   time.Time
-	status int // zero: no answer
-	whole  bool
-	fault  string // a broken promise that the client saw
-	body   string // empty: the usual one
-	ended  time.Time
-	drains string // the server that answered, if it says that it drains
+	id             string
+	path           string
+	key            string
+	vm             string
+	sentAt         time.Time
+	status         int    // zero: no response
+	complete       bool   // the response body was read to its end
+	violation      string // a violated guarantee that the client saw
+	body           string // of the request; empty: the default body
+	respondedAt    time.Time
+	drainingServer string // the server that responded, if its response announced a drain
 }
 
-// patience is how long a client waits for an answer.
-const patience = 4 * time.Second
+// clientTimeout is how long a client waits for a response.
+const clientTimeout = 4 * time.Second
 
-// send makes one call and reads the whole answer.
-func (r *run) send(ctx context.Context, http1 *http.Client, c *call, front string) {
-	ctx, cancel := context.WithTimeout(ctx, patience+time.Second)
+// send makes one call and reads the complete response.
+func (r *run) send(ctx context.Context, httpClient *http.Client, c *call, addr string) {
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout+time.Second)
 	defer cancel()
-	req, err := standin.NewRequest(ctx, front, c.path, c.id, c.key, patience)
+	req, err := standin.NewRequest(ctx, addr, c.path, c.id, c.key, clientTimeout)
 	if err != nil {
-		c.fault = err.Error()
+		c.violation = err.Error()
 		return
 	}
 	if c.body != "" {
 		req.Body, req.ContentLength = io.NopCloser(strings.NewReader(c.body)), int64(len(c.body))
 	}
-	c.sent = time.Now()
-	resp, err := http1.Do(req)
+	c.sentAt = time.Now()
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.status, c.ended = resp.StatusCode, time.Now()
-	if runs := r.ledger.Runs(c.id); resp.Header.Get("Server-Leaving") == "1" && len(runs) > 0 {
-		c.drains = runs[len(runs)-1].Server
+	c.status, c.respondedAt = resp.StatusCode, time.Now()
+	if runs := r.runLog.Runs(c.id); resp.Header.Get("Server-Leaving") == "1" && len(runs) > 0 {
+		c.drainingServer = runs[len(runs)-1].Server
 	}
 	if c.status != http.StatusOK {
 		_, err = io.Copy(io.Discard, resp.Body)
-		c.whole = err == nil
+		c.complete = err == nil
 		return
 	}
 	if !standin.Signed(resp, c.id) {
-		c.fault = "the answer is not signed as the server's"
+		c.violation = "the response does not have the server's signature"
 	}
 	if strings.HasPrefix(c.path, "/stream/") {
 		c.readStream(resp.Body)
 		return
 	}
 	b, err := io.ReadAll(resp.Body)
-	c.whole = err == nil
-	if c.whole && string(b) != "answer to "+c.id {
-		c.fault = fmt.Sprintf("the answer reads %.60q", b)
+	c.complete = err == nil
+	if c.complete && string(b) != "answer to "+c.id {
+		c.violation = fmt.Sprintf("the response body is %.60q", b)
 	}
 }
 
-// readStream checks that events come once, in order, and all before the end.
+// readStream reads a stream and checks that every event arrives exactly once and
+// in order.
 func (c *call) readStream(body io.Reader) {
 	s := bufio.NewScanner(body)
 	last := 0
@@ -82,36 +83,37 @@
 		if v, ok := strings.CutPrefix(line, "id: "); ok {
 			n := 0
 			if _, err := fmt.Sscan(v, &n); err != nil || n != last+1 {
-				c.fault = fmt.Sprintf("event %s after %d", v, last)
+				c.violation = fmt.Sprintf("event %s after %d", v, last)
 			}
 			last = n
 		}
 		if v, ok := strings.CutPrefix(line, "data: "); ok && v != c.id {
-			c.fault = "an event of " + v
+			c.violation = "event of another request: " + v
 		}
 	}
-	c.whole = s.Err() == nil
-	if c.whole && last != standin.Events {
-		c.fault = fmt.Sprintf("the stream ends as whole after event %d", last)
+	c.complete = s.Err() == nil
+	if c.complete && last != standin.Events {
+		c.violation = fmt.Sprintf("the stream ended without an error after event %d", last)
 	}
 }
 
-// client calls VMs until ctx ends. It keeps its connection until the VM closes it.
-func (r *run) client(ctx context.Context, n int) error {
+// runClient sends calls to random VMs until ctx ends. It keeps its connections
+// open until the VM closes them.
+func (r *run) runClient(ctx context.Context, n int) error {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, uint64(n)))
-	kept := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
-	defer kept.CloseIdleConnections()
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
+	defer httpClient.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		v := r.vms[rng.IntN(len(r.vms))]
 		c := &call{
 			id:   fmt.Sprintf("s%d-c%d-%d", r.cfg.Seed, n, i),
 			path: []string{"/stream/", "/once/", "/once/", "/get/", "/get/"}[rng.IntN(5)] + "x",
-			key:  fmt.Sprintf("key-%d", rng.IntN(keys)),
+			key:  fmt.Sprintf("key-%d", rng.IntN(numKeys)),
 			vm:   v.name,
 		}
-		r.send(ctx, kept, c, v.front)
+		r.send(ctx, httpClient, c, v.callersAddr)
 		if !errors.Is(ctx.Err(), context.Canceled) {
-			r.done(c)
+			r.addCall(c)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/load/soak/doc.go
+++ b/internal/load/soak/doc.go
@@ -1,9 +1,9 @@
-// Package soak runs edge VMs as processes of their own before stand-ins of the
-// platform, brings about failures from outside, and checks what clients and
-// servers see against what was promised.
+// Package soak runs edge VMs as separate processes against fakes of the platform,
+// injects faults from outside, and checks what clients and servers see against
+// the system's guarantees.
 //
-// Failures come in series and overlap: connections through a proxy that delays,
-// resets, silences or cuts them, processes that are stopped, paused, killed and
-// started again, servers that leave, crash, shed and are replaced, keys that
-// are taken away, and a store that can't be reached.
+// Faults follow one another and overlap: proxies delay, reset or black-hole
+// connections in one or both directions; VM processes are stopped, paused, killed
+// and restarted; servers retire, crash, shed load and are replaced; keys are
+// revoked; and the store becomes unreachable.
 package soak
--- a/internal/load/soak/fatal.go
+++ b/internal/load/soak/fatal.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// fatalCrashes is how many servers may end under a request, and fatalMore how often
-	// it may reach servers once VMs have had the contact time to learn of it.
-	fatalCrashes = 3
-	fatalMore    = 3
-	// fatalRepeats is how often a client repeats a request that ends servers.
+	// maxFatalCrashes is how many servers a request may crash before it has to be in
+	// quarantine. maxLateFatalRuns is how often it may still reach servers later than
+	// healthyTime after that, the time that VMs have to learn of the crashes.
+	maxFatalCrashes  = 3
+	maxLateFatalRuns = 3
+	// fatalRepeats is how often a client sends a request that crashes servers.
 	fatalRepeats = 40
-	// awayTime is how long a server that ended so is away.
-	awayTime = time.Second
+	// serverRestartDelay is the time from such a crash to the start of a new server.
+	serverRestartDelay = time.Second
 )
 
-// fatalPaths are those of requests that end each server that begins to run them.
+// fatalPaths are the paths of requests that crash every server that runs them.
 var fatalPaths = []string{"/stream/fatal", "/once/fatal", "/get/fatal"}
 
-// fatalRequest has a client repeat such a request at any VM.
+// fatalRequest starts a client that repeatedly sends a request that crashes
+// servers, each time to a random VM.
 func (r *run) fatalRequest(ctx context.Context) {
 	path := fatalPaths[r.rng.IntN(len(fatalPaths))]
 	var vms []*vm
@@ -38,13 +40,13 @@
 	id := r.nextID
 	r.mu.Unlock()
 	r.group.Go(func() error {
-		kept := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
-		defer kept.CloseIdleConnections()
+		httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
+		defer httpClient.CloseIdleConnections()
 		for n, v := range vms {
-			c := &call{id: fmt.Sprintf("s%d-f%d-%d", r.cfg.Seed, id, n), path: path, key: fmt.Sprintf("key-%d", keys-1), vm: v.name, body: standin.FatalBody}
-			r.send(ctx, kept, c, v.front)
+			c := &call{id: fmt.Sprintf("s%d-f%d-%d", r.cfg.Seed, id, n), path: path, key: fmt.Sprintf("key-%d", numKeys-1), vm: v.name, body: standin.FatalBody}
+			r.send(ctx, httpClient, c, v.callersAddr)
 			if ctx.Err() == nil {
-				r.done(c)
+				r.addCall(c)
 			}
 			r.sleep(ctx, pauses[n])
 		}
@@ -52,16 +54,17 @@
 	})
 }
 
-// crashUnder ends a server's process under a request; another start follows.
-func (r *run) crashUnder(ctx context.Context, b *backend) {
+// crashOnFatal simulates the crash of a server process by a request, and the
+// later start of a new server.
+func (r *run) crashOnFatal(ctx context.Context, b *backend) {
 	_ = b.ln.Close()
 	b.proxy.Close()
 	r.mu.Lock()
 	b.dead = true
 	r.mu.Unlock()
 	r.group.Go(func() error {
-		r.sleep(ctx, awayTime)
-		r.end(b)
+		r.sleep(ctx, serverRestartDelay)
+		r.removeServer(b)
 		if ctx.Err() == nil {
 			return r.addServer(ctx, b.server.Service)
 		}
@@ -69,75 +72,80 @@
 	})
 }
 
-// announceDrain has a server say in its answers alone that it drains; another comes.
+// announceDrain starts a replacement for a server and has the server announce its
+// drain only in its responses, not in its entry.
 func (r *run) announceDrain(ctx context.Context) {
-	b := r.pick()
-	if b == nil || !r.replace(ctx, b) {
+	b := r.pickServer()
+	if b == nil || !r.addReplacement(ctx, b) {
 		return
 	}
 	b.server.Drain()
 	r.group.Go(func() error {
 		r.sleep(ctx, 2*drainBound)
 		b.server.Crash()
-		r.end(b)
+		r.removeServer(b)
 		return nil
 	})
 }
 
-// busyServer has a server want no calls for a time.
+// busyServer has a server reject calls for a time and ask VMs to send none
+// meanwhile.
 func (r *run) busyServer(context.Context) {
-	if b := r.pick(); b != nil {
+	if b := r.pickServer(); b != nil {
 		b.server.Busy(time.Duration(500+r.rng.IntN(3000)) * time.Millisecond)
 	}
 }
 
-// repeated returns the requests that reached servers too often after these had ended.
-func (r *run) repeated() []string {
+// fatalViolations returns a violation for each fatal path whose requests still
+// reached servers too often after maxFatalCrashes crashes.
+func (r *run) fatalViolations() []string {
 	var out []string
 	for _, path := range fatalPaths {
-		var crashed []time.Time
+		var crashes []time.Time
 		for _, c := range r.calls {
 			if c.path == path {
-				for _, one := range r.ledger.Runs(c.id) {
-					crashed = append(crashed, one.Start)
+				for _, run := range r.runLog.Runs(c.id) {
+					crashes = append(crashes, run.Start)
 				}
 			}
 		}
-		if len(crashed) < fatalCrashes {
+		if len(crashes) < maxFatalCrashes {
 			continue
 		}
-		slices.SortFunc(crashed, time.Time.Compare)
-		third := crashed[fatalCrashes-1]
-		late := 0
+		slices.SortFunc(crashes, time.Time.Compare)
+		limitReached := crashes[maxFatalCrashes-1]
+		lateRuns := 0
 		for _, c := range r.calls {
-			if c.path == path && c.sent.Sub(third) > contact && r.inTouch(c.vm, c.sent) {
-				late += len(r.ledger.Runs(c.id))
+			if c.path == path && c.sentAt.Sub(limitReached) > healthyTime && r.wasHealthy(c.vm, c.sentAt) {
+				lateRuns += len(r.runLog.Runs(c.id))
 			}
 		}
-		if late > fatalMore {
-			out = append(out, fmt.Sprintf("%s: sent %d times more, %d servers ended", path, late, len(crashed)))
+		if lateRuns > maxLateFatalRuns {
+			out = append(out, fmt.Sprintf("%s: sent %d times more, %d servers ended", path, lateRuns, len(crashes)))
 		}
 	}
 	return out
 }
 
-// drained names a server that its VM sent the call though it had passed on, long before
-// the client sent it, an answer in which that server drains.
-func (r *run) drained(c *call, runs []standin.Run) string {
-	for _, o := range r.calls {
-		if o.drains == "" || o.vm != c.vm || c.sent.Sub(o.ended) <= drainBound || r.restarted(c.vm, o.ended, c.sent) {
+// drainViolation returns a violation if the call ran at a server whose drain
+// announcement the same VM had forwarded in a response more than drainBound before
+// the call was sent. It ignores VMs that were stopped or paused in between.
+func (r *run) drainViolation(c *call, runs []standin.Run) string {
+	for _, other := range r.calls {
+		if other.drainingServer == "" || other.vm != c.vm || c.sentAt.Sub(other.respondedAt) <= drainBound || r.wasStopped(c.vm, other.respondedAt, c.sentAt) {
 			continue
 		}
-		for _, one := range runs {
-			if one.Server == o.drains {
-				return "ran at " + one.Server + ", which drains as its VM knows"
+		for _, run := range runs {
+			if run.Server == other.drainingServer {
+				return "ran at " + run.Server + ", which the VM knew to be draining"
 			}
 		}
 	}
 	return ""
 }
 
-// restarted reports whether a VM's process was stopped or paused between two moments.
-func (r *run) restarted(vm string, from, to time.Time) bool {
+// wasStopped reports whether a VM's process was stopped or paused between two
+// points in time.
+func (r *run) wasStopped(vm string, from, to time.Time) bool {
 	return slices.ContainsFunc(r.stops[vm], func(at time.Time) bool { return at.After(from) && at.Before(to) })
 }
--- a/internal/load/soak/proxy.go
+++ b/internal/load/soak/proxy.go
@@ -11,43 +11,44 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Mode is what a proxy does to its connections.
+// Mode says how a proxy treats its connections.
 type Mode int32
 
-// The modes.
+// The modes of a proxy.
 const (
-	Pass   Mode = iota
-	Delay       // bytes come later
-	Silent      // nothing passes, nothing is closed
-	OneWay      // answers are lost
-	Reset       // connections are reset
-	modes
+	Pass      Mode = iota
+	Delay          // bytes are delayed
+	Blackhole      // no bytes are forwarded, but connections stay open
+	OneWay         // requests are forwarded, responses are not
+	Reset          // connections are reset
+	numModes
 )
 
 func (m Mode) String() string {
 	return [...]string{"pass", "delay", "silent", "one-way", "reset"}[m]
 }
 
-// delayTime is how much later bytes come in the mode Delay.
-const delayTime = 150 * time.Millisecond
+// addedDelay is the delay of each read in mode Delay.
+const addedDelay = 150 * time.Millisecond
 
-// Proxy stands before one peer.
+// Proxy is a TCP proxy that injects network faults between its clients and one
+// target.
 type Proxy struct {
-	ln    net.Listener
-	to    string
-	mode  atomic.Int32
-	group errgroup.Group
-	mu    sync.Mutex
-	open  map[net.Conn]struct{}
+	ln     net.Listener
+	target string
+	mode   atomic.Int32
+	group  errgroup.Group
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
 }
 
-// NewProxy starts a proxy to an address.
-func NewProxy(to string) (*Proxy, error) {
+// NewProxy starts a proxy to the target address.
+func NewProxy(target string) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{ln: ln, to: to, open: make(map[net.Conn]struct{})}
+	p := &Proxy{ln: ln, target: target, conns: make(map[net.Conn]struct{})}
 	p.group.Go(func() error {
 		for {
 			c, err := ln.Accept()
@@ -63,18 +64,18 @@
 	return p, nil
 }
 
-// Addr returns where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Set changes what the proxy does, to open connections too.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode, also for open connections.
+func (p *Proxy) SetMode(m Mode) {
 	p.mode.Store(int32(m))
 	if m == Reset {
 		p.closeAll()
 	}
 }
 
-// Close ends the proxy.
+// Close closes the listener and all connections, and waits for them to end.
 func (p *Proxy) Close() {
 	_ = p.ln.Close()
 	p.closeAll()
@@ -84,7 +85,7 @@
 func (p *Proxy) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.open {
+	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -92,13 +93,13 @@
 	}
 }
 
-func (p *Proxy) track(c net.Conn, on bool) {
+func (p *Proxy) track(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if on {
-		p.open[c] = struct{}{}
+	if open {
+		p.conns[c] = struct{}{}
 	} else {
-		delete(p.open, c)
+		delete(p.conns, c)
 	}
 }
 
@@ -110,46 +111,47 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	up, err := net.Dial("tcp", p.to)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	p.track(up, true)
-	defer p.track(up, false)
+	p.track(upstream, true)
+	defer p.track(upstream, false)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	context.AfterFunc(ctx, func() {
 		_ = c.Close()
-		_ = up.Close()
+		_ = upstream.Close()
 	})
 	var g errgroup.Group
 	g.Go(func() error {
 		defer cancel()
-		p.copy(up, c, false)
+		p.forward(upstream, c, false)
 		return nil
 	})
 	g.Go(func() error {
 		defer cancel()
-		p.copy(c, up, true)
+		p.forward(c, upstream, true)
 		return nil
 	})
 	_ = g.Wait()
 }
 
-// copy passes bytes on as the mode says; back is the way of the answers.
-func (p *Proxy) copy(to io.Writer, from io.Reader, back bool) {
+// forward copies bytes in one direction as the mode says; response marks the
+// direction from the target to the client.
+func (p *Proxy) forward(to io.Writer, from io.Reader, response bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		for held := true; held; {
+		for blocked := true; blocked; {
 			switch m := Mode(p.mode.Load()); {
-			case m == Silent || m == OneWay && back:
+			case m == Blackhole || m == OneWay && response:
 				time.Sleep(20 * time.Millisecond)
 			case m == Delay:
-				time.Sleep(delayTime)
-				held = false
+				time.Sleep(addedDelay)
+				blocked = false
 			default:
-				held = false
+				blocked = false
 			}
 		}
 		if _, werr := to.Write(buf[:n]); err != nil || werr != nil {
--- a/internal/load/soak/soak.go
+++ b/internal/load/soak/soak.go
@@ -21,82 +21,81 @@
 )
 
 const (
-	keys = 4
-	// revokeBound is how long after its end a key may be served, drainBound how
-	// long after its mark a leaving server may get calls.
+	numKeys = 4
+	// revokeBound is how long after its revocation a key may still be served;
+	// drainBound is how long a retired or draining server may still get calls.
 	revokeBound = 5 * time.Second
 	drainBound  = 2 * time.Second
-	// contact is how long a VM must have been whole, with a way to the store, for
-	// the bound on leaving servers to hold for it.
-	contact = 3 * time.Second
-	// settle is how long VMs have before the first failure.
-	settle = 1500 * time.Millisecond
-	// routesStep is how many routes a version of growing settings has more than the
-	// one before.
+	// healthyTime is how long a VM must have been running with a reachable store for
+	// drainBound to apply to it.
+	healthyTime = 3 * time.Second
+	// startupTime is the time from the start of the VMs to the first fault.
+	startupTime = 1500 * time.Millisecond
+	// routesStep is the number of routes that each version of growing settings adds.
 	routesStep = 700
-	// heartbeat is how often servers write their entries.
-	heartbeat = 400 * time.Millisecond
+	// heartbeatInterval is the interval at which servers write their entries.
+	heartbeatInterval = 400 * time.Millisecond
 )
 
-// Config is one soak.
+// Config describes one soak.
 type Config struct {
-	Seed     uint64
-	Duration time.Duration
-	VMs      int
-	Servers  int // engines; half as many plain servers
-	Clients  int
-	Routes   int  // that the settings grow to, by routesStep with each version
-	Drills   bool // the store comes back from copies, too
-	Crashes  bool // requests end servers, and servers announce drains and pauses in answers
-	Program  string
-	Dir      string
+	Seed          uint64
+	Duration      time.Duration
+	VMs           int
+	Servers       int // number of engines; there are half as many plain servers
+	Clients       int
+	Routes        int  // number of routes that the settings grow to, by routesStep per version
+	StoreRestores bool // also restore the store from backup copies
+	Crashes       bool // also have requests crash servers, and servers announce drains and pauses in responses
+	Program       string
+	Dir           string
 }
 
-// Report is what a soak found.
+// Report is the result of a soak.
 type Report struct {
-	Seed     uint64         `json:"seed"`
-	Calls    int            `json:"calls"`
-	Served   int            `json:"served"`
-	Refused  int            `json:"refused"`
-	Failed   int            `json:"failed"`
-	Faults   map[string]int `json:"faults"`
-	Violated []string       `json:"violated"`
+	Seed       uint64         `json:"seed"`
+	Calls      int            `json:"calls"`
+	Served     int            `json:"served"`
+	Refused    int            `json:"refused"`
+	Failed     int            `json:"failed"`
+	Faults     map[string]int `json:"faults"`
+	Violations []string       `json:"violated"`
 }
 
 // backend is a server behind a proxy.
 type backend struct {
-	server *standin.Server
-	proxy  *Proxy
-	ln     net.Listener
-	left   time.Time // when it was marked as leaving, or its entry removed
-	dead   bool      // it writes its entry no more
+	server    *standin.Server
+	proxy     *Proxy
+	ln        net.Listener
+	retiredAt time.Time // when its entry was set to draining, or removed
+	dead      bool      // it no longer writes its entry
 }
 
 type run struct {
-	cfg    Config
-	rng    *rand.Rand
-	store  *standin.Store
-	ledger *standin.Ledger
-	vms    []*vm
-	ways   []*Proxy // each VM's way to the store
-	group  errgroup.Group
+	cfg          Config
+	rng          *rand.Rand
+	store        *standin.Store
+	runLog       *standin.Ledger
+	vms          []*vm
+	storeProxies []*Proxy // by VM: the proxy between it and the store
+	group        errgroup.Group
 
-	mu       sync.Mutex
-	backends []*backend
-	calls    []*call
-	faults   map[string]int
-	version  int
-	revoked  map[string]time.Time
-	harmed   map[string][]span      // by VM: when it or its way to the store was harmed
-	stops    map[string][]time.Time // by VM: when its process was stopped or paused
-	nextID   int
+	mu          sync.Mutex
+	backends    []*backend
+	calls       []*call
+	faults      map[string]int
+	version     int
+	revoked     map[string]time.Time
+	impairments map[string][]span      // by VM: when it or its connection to the store was impaired
+	stops       map[string][]time.Time // by VM: when its process was stopped or paused
+	nextID      int
 }
 
-// Run plays one soak.
+// Run runs one soak.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	r := &run{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), store: standin.NewStore(), ledger: standin.NewLedger(),
-		faults: make(map[string]int), revoked: make(map[string]time.Time), harmed: make(map[string][]span), stops: make(map[string][]time.Time),
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), store: standin.NewStore(), runLog: standin.NewLedger(),
+		faults: make(map[string]int), revoked: make(map[string]time.Time), impairments: make(map[string][]span), stops: make(map[string][]time.Time),
 	}
 	ctx, cancel := context.WithTimeout(ctx, cfg.Duration)
 	defer cancel()
@@ -104,12 +103,12 @@
 		return nil, err
 	}
 	for n := range cfg.Clients {
-		r.group.Go(func() error { return r.client(ctx, n) })
+		r.group.Go(func() error { return r.runClient(ctx, n) })
 	}
-	r.trouble(ctx)
+	r.injectFaults(ctx)
 	<-ctx.Done()
 	r.stop()
-	return r.judge(), nil
+	return r.report(), nil
 }
 
 // start starts the store, the servers and the VMs.
@@ -120,7 +119,7 @@
 	}
 	context.AfterFunc(ctx, func() { _ = ln.Close() })
 	r.group.Go(func() error { _ = r.store.Serve(ln); return nil })
-	r.configure()
+	r.writeNextSettings()
 	for n := range r.cfg.Servers {
 		if err := r.addServer(ctx, standin.Engines); err != nil {
 			return err
@@ -135,26 +134,26 @@
 		return trace.ConvertSystemError(err)
 	}
 	for n := range r.cfg.VMs {
-		way, err := NewProxy(ln.Addr().String())
+		proxy, err := NewProxy(ln.Addr().String())
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		v, err := newVM(r.cfg.Program, r.cfg.Dir, n, way.Addr())
+		v, err := newVM(r.cfg.Program, r.cfg.Dir, n, proxy.Addr())
 		if err != nil {
 			return err
 		}
-		r.ways, r.vms = append(r.ways, way), append(r.vms, v)
+		r.storeProxies, r.vms = append(r.storeProxies, proxy), append(r.vms, v)
 		if err := v.start(); err != nil {
 			return err
 		}
 	}
-	r.group.Go(func() error { r.beat(ctx); return nil })
-	time.Sleep(settle)
+	r.group.Go(func() error { r.writeHeartbeats(ctx); return nil })
+	time.Sleep(startupTime)
 	return nil
 }
 
-// beat writes the servers' entries, until ctx ends.
-func (r *run) beat(ctx context.Context) {
+// writeHeartbeats writes the servers' entries periodically until ctx ends.
+func (r *run) writeHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		for _, b := range r.backends {
@@ -163,25 +162,26 @@
 			}
 		}
 		r.mu.Unlock()
-		time.Sleep(heartbeat)
+		time.Sleep(heartbeatInterval)
 	}
 }
 
-// configure writes the next version of the settings, with the keys that are left.
-func (r *run) configure() {
+// writeNextSettings writes the next version of the settings, with the keys that
+// are not revoked.
+func (r *run) writeNextSettings() {
 	r.version++
-	r.write()
+	r.writeSettings()
 }
 
-// write writes the settings of the present version.
-func (r *run) write() {
-	var left []string
-	for n := range keys {
+// writeSettings writes the current version of the settings.
+func (r *run) writeSettings() {
+	var valid []string
+	for n := range numKeys {
 		if k := fmt.Sprintf("key-%d", n); r.revoked[k].IsZero() {
-			left = append(left, k)
+			valid = append(valid, k)
 		}
 	}
-	r.store.Configure(r.version, left, min(r.version*routesStep, r.cfg.Routes))
+	r.store.Configure(r.version, valid, min(r.version*routesStep, r.cfg.Routes))
 }
 
 func (r *run) addServer(ctx context.Context, service string) error {
@@ -196,22 +196,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nextID++
-	s := standin.NewServer(fmt.Sprintf("%s-%d", service, r.nextID), service, "a", p.Addr(), r.store, r.ledger)
+	s := standin.NewServer(fmt.Sprintf("%s-%d", service, r.nextID), service, "a", p.Addr(), r.store, r.runLog)
 	b := &backend{server: s, proxy: p, ln: ln}
-	s.OnFatal(func() { r.crashUnder(ctx, b) })
+	s.OnFatal(func() { r.crashOnFatal(ctx, b) })
 	r.backends = append(r.backends, b)
 	s.Enter()
 	r.group.Go(func() error { _ = s.Serve(ln); return nil })
 	return nil
 }
 
-func (r *run) done(c *call) {
+func (r *run) addCall(c *call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, c)
 }
 
-// stop ends what the soak started, and nothing else.
+// stop stops the VMs, servers and proxies that the soak started.
 func (r *run) stop() {
 	for _, v := range r.vms {
 		v.signal(syscall.SIGCONT)
@@ -223,109 +223,112 @@
 		_ = b.ln.Close()
 		b.proxy.Close()
 	}
-	for _, w := range r.ways {
-		w.Close()
+	for _, p := range r.storeProxies {
+		p.Close()
 	}
 	_ = r.group.Wait()
 }
 
-// judge holds what clients saw against what servers did.
-func (r *run) judge() *Report {
-	rep := &Report{Seed: r.cfg.Seed, Calls: len(r.calls), Faults: r.faults, Violated: []string{}}
+// report checks what clients saw against what servers ran.
+func (r *run) report() *Report {
+	rep := &Report{Seed: r.cfg.Seed, Calls: len(r.calls), Faults: r.faults, Violations: []string{}}
 	for _, v := range r.vms {
-		rep.Violated = append(rep.Violated, v.crashed()...)
+		rep.Violations = append(rep.Violations, v.panics()...)
 	}
 	for _, c := range r.calls {
 		switch {
-		case c.status == 200 && c.whole:
+		case c.status == 200 && c.complete:
 			rep.Served++
 		case c.status == 429 || c.status == 503:
 			rep.Refused++
 		default:
 			rep.Failed++
 		}
-		if fault := r.fault(c); fault != "" {
-			rep.Violated = append(rep.Violated, fmt.Sprintf("%s at %s, %s: %s", c.id, c.vm, c.path, fault))
+		if violation := r.violation(c); violation != "" {
+			rep.Violations = append(rep.Violations, fmt.Sprintf("%s at %s, %s: %s", c.id, c.vm, c.path, violation))
 		}
 	}
-	rep.Violated = append(rep.Violated, r.repeated()...)
-	slices.Sort(rep.Violated)
+	rep.Violations = append(rep.Violations, r.fatalViolations()...)
+	slices.Sort(rep.Violations)
 	return rep
 }
 
-// fault returns the promise that was broken to a call, or nothing.
-func (r *run) fault(c *call) string {
-	runs := r.ledger.Runs(c.id)
-	if c.fault != "" {
-		return c.fault
+// violation describes the guarantee that was violated for a call; it returns ""
+// if there is none.
+func (r *run) violation(c *call) string {
+	runs := r.runLog.Runs(c.id)
+	if c.violation != "" {
+		return c.violation
 	}
-	if s := cmp.Or(r.leftBehind(c, runs), r.drained(c, runs)); s != "" {
+	if s := cmp.Or(r.retiredViolation(c, runs), r.drainViolation(c, runs)); s != "" {
 		return s
 	}
-	return r.untrue(c, runs)
+	return r.responseViolation(c, runs)
 }
 
-// span is a time from one moment to another; a zero end has not come.
+// span is a time interval; a zero to means that it has not ended.
 type span struct{ from, to time.Time }
 
-// inTouch reports whether a VM was unharmed for the whole contact time before a
-// moment.
-func (r *run) inTouch(vm string, at time.Time) bool {
-	for _, h := range r.harmed[vm] {
-		if h.from.Before(at) && (h.to.IsZero() || h.to.Add(contact).After(at)) {
+// wasHealthy reports whether a VM was unimpaired at a point in time and for
+// healthyTime before it.
+func (r *run) wasHealthy(vm string, at time.Time) bool {
+	for _, s := range r.impairments[vm] {
+		if s.from.Before(at) && (s.to.IsZero() || s.to.Add(healthyTime).After(at)) {
 			return false
 		}
 	}
 	return true
 }
 
-// harm notes that a VM is harmed from now on, and returns what notes the end.
-func (r *run) harm(vm string) func() {
+// markImpaired records that a VM is impaired from now on, and returns a function
+// that records the end.
+func (r *run) markImpaired(vm string) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.harmed[vm] = append(r.harmed[vm], span{from: time.Now()})
-	n := len(r.harmed[vm]) - 1
+	r.impairments[vm] = append(r.impairments[vm], span{from: time.Now()})
+	n := len(r.impairments[vm]) - 1
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.harmed[vm][n].to = time.Now()
+		r.impairments[vm][n].to = time.Now()
 	}
 }
 
-// leftBehind names a server that the call was given long after it had left.
-func (r *run) leftBehind(c *call, runs []standin.Run) string {
-	for _, one := range runs {
-		b := r.backend(one.Server)
-		if b != nil && !b.left.IsZero() && one.Start.Sub(b.left) > drainBound && c.sent.After(b.left) && r.inTouch(c.vm, one.Start) {
-			return "ran at " + one.Server + ", which had left"
+// retiredViolation returns a violation if the call ran at a server that had retired
+// more than drainBound before.
+func (r *run) retiredViolation(c *call, runs []standin.Run) string {
+	for _, run := range runs {
+		b := r.findBackend(run.Server)
+		if b != nil && !b.retiredAt.IsZero() && run.Start.Sub(b.retiredAt) > drainBound && c.sentAt.After(b.retiredAt) && r.wasHealthy(c.vm, run.Start) {
+			return "ran at " + run.Server + ", which had retired"
 		}
 	}
 	return ""
 }
 
-// untrue holds the answer against the call's runs.
-func (r *run) untrue(c *call, runs []standin.Run) string {
-	fresh := 0
-	for _, one := range runs {
-		if !one.GoesOn {
-			fresh++
+// responseViolation checks the response against the runs of the call.
+func (r *run) responseViolation(c *call, runs []standin.Run) string {
+	newRuns := 0
+	for _, run := range runs {
+		if !run.GoesOn {
+			newRuns++
 		}
 	}
 	revoked := r.revoked[c.key]
 	switch {
 	case (c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests) && len(runs) > 0:
-		return "was refused as not run, and has run"
-	case fresh > 1 && !strings.HasPrefix(c.path, "/get/"):
-		return fmt.Sprintf("ran %d times", fresh)
-	case !revoked.IsZero() && c.sent.Sub(revoked) > revokeBound && len(runs) > 0:
-		return "ran with a key that was taken away"
+		return "was refused as not run, but ran"
+	case newRuns > 1 && !strings.HasPrefix(c.path, "/get/"):
+		return fmt.Sprintf("ran %d times", newRuns)
+	case !revoked.IsZero() && c.sentAt.Sub(revoked) > revokeBound && len(runs) > 0:
+		return "ran with a revoked key"
 	case (c.status == http.StatusUnauthorized || c.status == http.StatusNotFound) && revoked.IsZero():
 		return fmt.Sprintf("was denied with %d", c.status)
 	}
 	return ""
 }
 
-func (r *run) backend(id string) *backend {
+func (r *run) findBackend(id string) *backend {
 	for _, b := range r.backends {
 		if b.server.ID == id {
 			return b
