--- a/cmd/stress/claims.go
+++ b/cmd/stress/claims.go
@@ -93,7 +93,7 @@
 }
 
 // book makes one plain call that may not be repeated.
-func book(ctx context.Context, vm plan.Node, key string) error {
+func book(ctx context.Context, vm plan.Endpoint, key string) error {
 	url := fmt.Sprintf("http://%s/v1/services/%s/do?tag=cost-%s", vm.Address, plan.Bookings, uuid.NewString())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, http.NoBody)
 	if err != nil {
--- a/cmd/stress/cost.go
+++ b/cmd/stress/cost.go
@@ -76,7 +76,7 @@
 }
 
 func viaCopy(f *plan.Fleet, o prompt.Order) relay {
-	return relay{name: "copy", addr: f.Copy, path: "/v1/generations", body: func(i int) []byte {
+	return relay{name: "copy", addr: f.Proxy, path: "/v1/generations", body: func(i int) []byte {
 		data, _ := json.Marshal(map[string]any{"id": fmt.Sprint("copy-", time.Now().UnixNano(), i), "prompt": o.Prompt()})
 		return data
 	}}
--- a/cmd/stress/plan.go
+++ b/cmd/stress/plan.go
@@ -47,7 +47,7 @@
 	fl.Reserve = f.reserve
 	fl.Verbose = f.verbose
 	if f.withCopy {
-		fl.WithCopy()
+		fl.AddProxy()
 	}
 	return fl, nil
 }
--- a/internal/load/drive/run.go
+++ b/internal/load/drive/run.go
@@ -54,7 +54,7 @@
 }
 
 // Send sends each request at its time and waits for all outcomes.
-func Send(ctx context.Context, vms []plan.Node, requests []Request, seed uint64) *Run {
+func Send(ctx context.Context, vms []plan.Endpoint, requests []Request, seed uint64) *Run {
 	r := &Run{Results: make([]Result, len(requests)), Gaps: NewHistogram(), FirstToken: NewHistogram(), Urgent: NewHistogram()}
 	vmPicker := picker.New(vms, seed)
 	c := NewClient(vmPicker, r.Gaps.Add)
--- a/internal/load/fault/kinds.go
+++ b/internal/load/fault/kinds.go
@@ -64,11 +64,11 @@
 	return Kind{}, false
 }
 
-func (w *World) kill(n plan.Node) (Ending, error) {
+func (w *World) kill(n plan.Endpoint) (Ending, error) {
 	return Ending{After: time.Second, Do: nothing}, w.signal(n.Name, syscall.SIGKILL)
 }
 
-func (w *World) freeze(n plan.Node, low, high time.Duration) (Ending, error) {
+func (w *World) freeze(n plan.Endpoint, low, high time.Duration) (Ending, error) {
 	thaw := func() error { return w.signal(n.Name, syscall.SIGCONT) }
 	return Ending{After: w.between(low, high), Do: thaw}, w.signal(n.Name, syscall.SIGSTOP)
 }
--- a/internal/load/fault/world.go
+++ b/internal/load/fault/world.go
@@ -79,27 +79,27 @@
 }
 
 // Drain stops a VM gracefully.
-func (w *World) Drain(vm plan.Node) error { return w.signal(vm.Name, syscall.SIGTERM) }
+func (w *World) Drain(vm plan.Endpoint) error { return w.signal(vm.Name, syscall.SIGTERM) }
 
-func (w *World) engine() plan.Node {
+func (w *World) engine() plan.Endpoint {
 	return w.Fleet.Engines[w.Rand.IntN(len(w.Fleet.Engines))]
 }
 
-func (w *World) plain() plan.Node {
+func (w *World) plain() plan.Endpoint {
 	return w.Fleet.Plain[w.Rand.IntN(len(w.Fleet.Plain))]
 }
 
-func (w *World) vm() plan.Node { return w.Fleet.VMs[w.Rand.IntN(len(w.Fleet.VMs))] }
+func (w *World) vm() plan.Endpoint { return w.Fleet.VMs[w.Rand.IntN(len(w.Fleet.VMs))] }
 
 func (w *World) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.Rand.Int64N(int64(high-low)))
 }
 
-func (w *World) engineFault(n plan.Node, format string, args ...any) error {
+func (w *World) engineFault(n plan.Endpoint, format string, args ...any) error {
 	return w.post(n.Address, "/v1/faults", fmt.Sprintf(format, args...))
 }
 
-func (w *World) plainFault(n plan.Node, format string, args ...any) error {
+func (w *World) plainFault(n plan.Endpoint, format string, args ...any) error {
 	return w.post(n.Address, "/stand-in/faults", fmt.Sprintf(format, args...))
 }
 
--- a/internal/load/gauge/proc.go
+++ b/internal/load/gauge/proc.go
@@ -50,7 +50,7 @@
 
 // Late returns how much new work was offered to an engine that had been leaving
 // for more than three seconds.
-func Late(ctx context.Context, e plan.Node) (int, error) {
+func Late(ctx context.Context, e plan.Endpoint) (int, error) {
 	var c struct{ Late int }
 	err := fetch(ctx, fmt.Sprintf("http://%s/v1/counts", e.Address), &c)
 	return c.Late, err
@@ -60,7 +60,7 @@
 type Metrics map[string]float64
 
 // Scrape reads a VM's metrics.
-func Scrape(ctx context.Context, vm plan.Node) (Metrics, error) {
+func Scrape(ctx context.Context, vm plan.Endpoint) (Metrics, error) {
 	body, err := open(ctx, fmt.Sprintf("http://%s/metrics", vm.Address))
 	if err != nil {
 		return nil, err
--- a/internal/load/picker/picker.go
+++ b/internal/load/picker/picker.go
@@ -23,20 +23,20 @@
 
 // Picker knows which VMs are ready. It is safe for use by several goroutines.
 type Picker struct {
-	vms []plan.Node
+	vms []plan.Endpoint
 
 	mu    sync.Mutex
 	rng   *rand.Rand
-	ready []plan.Node // the VMs that said so when last asked
+	ready []plan.Endpoint // the VMs that said so when last asked
 }
 
 // New makes a picker of the VMs, which are taken as ready at first.
-func New(vms []plan.Node, seed uint64) *Picker {
+func New(vms []plan.Endpoint, seed uint64) *Picker {
 	return &Picker{vms: vms, ready: vms, rng: rand.New(rand.NewPCG(seed, seedStream))}
 }
 
 // Pick returns one of the ready VMs, or any if none is ready.
-func (p *Picker) Pick() plan.Node {
+func (p *Picker) Pick() plan.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.ready) == 0 {
@@ -59,7 +59,7 @@
 			})
 		}
 		_ = g.Wait()
-		var ready []plan.Node
+		var ready []plan.Endpoint
 		for i, vm := range p.vms {
 			if up[i] {
 				ready = append(ready, vm)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func isReady(ctx context.Context, probe *http.Client, vm plan.Node) bool {
+func isReady(ctx context.Context, probe *http.Client, vm plan.Endpoint) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+vm.Address.String()+"/readyz", http.NoBody)
 	if err != nil {
 		return false
--- a/internal/load/plan/doc.go
+++ b/internal/load/plan/doc.go
@@ -1,3 +1,3 @@
-// Package plan lays out a fleet on loopback addresses: which processes there
-// are, their settings files, and what a load driver needs to know of them.
+// Package plan lays out a fleet on loopback addresses: its processes, their
+// settings files, and the addresses and keys that a load generator needs.
 package plan
--- a/internal/load/plan/fleet.go
+++ b/internal/load/plan/fleet.go
@@ -15,27 +15,27 @@
 	operatorsPort = 8081
 	peersPort     = 8082
 	storePort     = 7000
-	listPort      = 7001
+	vmListPort    = 7001
 	enginePort    = 9000
 	plainPort     = 9100
-	copyPort      = 7002
-	maxNodes      = 250
+	proxyPort     = 7002
+	maxHosts      = 250 // addresses used in each /24 network
 )
 
-// Profile is one deployment: how many processes of each kind there are and
-// how large the engines are.
+// Profile describes a deployment: the number of failure domains and backend
+// servers, and the size of the engines.
 type Profile struct {
 	Name    string
 	Domains int
 	Engines int
 	Plain   int
 	Memory  int           // of an engine, in tokens
-	Batch   int           // of an engine, in streams
-	Step    time.Duration // of an engine
+	Batch   int           // largest batch of an engine, in streams
+	Step    time.Duration // time of one step of an engine
 }
 
-// Profiles lists the deployments by name: the two of the brief, with the
-// engines made small, and a smaller one for demonstrations.
+// Profiles returns the known deployments: the two that the requirements describe,
+// with small engines, and a smaller one for demonstrations.
 func Profiles() []Profile {
 	return []Profile{
 		{Name: "demo", Domains: 3, Engines: 4, Plain: 2, Memory: 6000, Batch: 64, Step: 4 * time.Millisecond},
@@ -44,99 +44,101 @@
 	}
 }
 
-// FindProfile returns the profile of a name.
+// FindProfile returns the profile with the given name.
 func FindProfile(name string) (Profile, error) {
 	for _, p := range Profiles() {
 		if p.Name == name {
 			return p, nil
 		}
 	}
-	return Profile{}, trace.NotFound("there is no profile %q", name)
+	return Profile{}, trace.NotFound("profile %q does not exist", name)
 }
 
-// Node is one process of the fleet, by role.
-type Node struct {
+// Endpoint is one address of a process of the fleet. A VM has an endpoint for
+// each kind of client.
+type Endpoint struct {
 	Name    string
 	Domain  string
 	Address netip.AddrPort
 }
 
-// Fleet is a laid-out fleet.
+// Fleet is the layout of a fleet.
 type Fleet struct {
 	Dir       string
 	Profile   Profile
-	VMs       []Node // address for callers
-	Operators []Node // the same VMs, address for operators
-	Peers     []Node // the same VMs, address for other VMs
-	Engines   []Node
-	Plain     []Node
+	VMs       []Endpoint // VMs, addresses for callers
+	Operators []Endpoint // the same VMs, addresses for operators
+	Peers     []Endpoint // the same VMs, addresses for other VMs
+	Engines   []Endpoint
+	Plain     []Endpoint
 	Store     netip.AddrPort
 	VMList    netip.AddrPort
-	Copy      netip.AddrPort // of a bare copy of engine 1's streams, if wanted
+	Proxy     netip.AddrPort // of the pass-through proxy for engine 1; zero: none
 	Placement string
-	Reserve   float64
-	Verbose   bool
+	Reserve   float64 // share of engine memory that is reserved for urgent calls
+	Verbose   bool    // VMs log every request
 }
 
-// New lays out a fleet of n VMs in the loopback network 127.net.0.0/16.
-func New(dir string, p Profile, n, net int) (*Fleet, error) {
-	if n < 1 || n > maxNodes {
-		return nil, trace.BadParameter("want 1 to %d VMs, got %d", maxNodes, n)
+// New lays out a fleet of numVMs VMs in the loopback network 127.net.0.0/16. The
+// third byte of an address says which kind of process has it.
+func New(dir string, p Profile, numVMs, net int) (*Fleet, error) {
+	if numVMs < 1 || numVMs > maxHosts {
+		return nil, trace.BadParameter("want 1 to %d VMs, got %d", maxHosts, numVMs)
 	}
 	if net < 0 || net > 255 {
 		return nil, trace.BadParameter("want a network from 0 to 255, got %d", net)
 	}
-	at := func(role, i, port int) netip.AddrPort {
+	addr := func(role, i, port int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(net), byte(role), byte(i)}), uint16(port))
 	}
-	f := &Fleet{Dir: dir, Profile: p, Store: at(2, 1, storePort), VMList: at(2, 1, listPort), Placement: "predicted"}
-	for i := range n {
-		name, domain := fmt.Sprintf("vm-%d", i+1), domainOf(i, p.Domains)
-		f.VMs = append(f.VMs, Node{Name: name, Domain: domain, Address: at(1, i+1, callersPort)})
-		f.Operators = append(f.Operators, Node{Name: name, Domain: domain, Address: at(1, i+1, operatorsPort)})
-		f.Peers = append(f.Peers, Node{Name: name, Domain: domain, Address: at(1, i+1, peersPort)})
+	f := &Fleet{Dir: dir, Profile: p, Store: addr(2, 1, storePort), VMList: addr(2, 1, vmListPort), Placement: "predicted"}
+	for i := range numVMs {
+		name, domain := fmt.Sprintf("vm-%d", i+1), failureDomain(i, p.Domains)
+		f.VMs = append(f.VMs, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, callersPort)})
+		f.Operators = append(f.Operators, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, operatorsPort)})
+		f.Peers = append(f.Peers, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, peersPort)})
 	}
 	for i := range p.Engines {
-		f.Engines = append(f.Engines, Node{
+		f.Engines = append(f.Engines, Endpoint{
 			Name:    fmt.Sprintf("engine-%d", i+1),
-			Domain:  domainOf(i, p.Domains),
-			Address: at(3+i/maxNodes, 1+i%maxNodes, enginePort),
+			Domain:  failureDomain(i, p.Domains),
+			Address: addr(3+i/maxHosts, 1+i%maxHosts, enginePort),
 		})
 	}
 	for i := range p.Plain {
-		f.Plain = append(f.Plain, Node{Name: fmt.Sprintf("plain-%d", i+1), Domain: domainOf(i, p.Domains), Address: at(200, i+1, plainPort)})
+		f.Plain = append(f.Plain, Endpoint{Name: fmt.Sprintf("plain-%d", i+1), Domain: failureDomain(i, p.Domains), Address: addr(200, i+1, plainPort)})
 	}
 	return f, nil
 }
 
-func domainOf(i, domains int) string { return fmt.Sprintf("fd-%c", 'a'+i%domains) }
+func failureDomain(i, domains int) string { return fmt.Sprintf("fd-%c", 'a'+i%domains) }
 
-// WithCopy adds a process that copies engine 1's streams and does nothing
-// else, to measure against.
-func (f *Fleet) WithCopy() {
-	f.Copy = netip.AddrPortFrom(f.Store.Addr().Next(), copyPort)
+// AddProxy adds a pass-through proxy for the streams of engine 1, as a baseline
+// for measurements.
+func (f *Fleet) AddProxy() {
+	f.Proxy = netip.AddrPortFrom(f.Store.Addr().Next(), proxyPort)
 }
 
 // Workspaces and services of every fleet.
 const (
-	Installers = "installers" // a workspace of installers
-	Faultdesk  = "fault-desk" // a workspace of a fault desk
+	Installers = "installers"
+	Faultdesk  = "fault-desk"
 
 	Proposals = "proposals" // long generations
 	Questions = "questions" // short urgent generations
-	Triage    = "triage"    // short generations that may not be repeated
-	Bookings  = "bookings"  // plain calls that may not be repeated
-	Lookups   = "lookups"   // plain calls that may be
+	Triage    = "triage"    // short at-most-once generations
+	Bookings  = "bookings"  // at-most-once plain calls
+	Lookups   = "lookups"   // retryable plain calls
 )
 
-// CallerKey returns the bearer key of a workspace's callers.
+// CallerKey returns the API key of a workspace's callers.
 func CallerKey(workspace string) string { return "caller-of-" + workspace }
 
-// OperatorKey returns the key of a subtree's operators; "system" is the
-// system's.
+// OperatorKey returns the key of the operators of a workspace, or of the whole
+// system if subtree is "system".
 func OperatorKey(subtree string) string { return "operator-of-" + subtree }
 
-func hashOf(key string) string {
+func keyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/load/rivals/rivals.go
+++ b/internal/load/rivals/rivals.go
@@ -151,7 +151,7 @@
 	body   []byte
 }
 
-func (r *Race) call(vm plan.Node, method, path, key, body string, headers ...string) (*reply, error) {
+func (r *Race) call(vm plan.Endpoint, method, path, key, body string, headers ...string) (*reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTime)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+vm.Address.String()+path, bytes.NewReader([]byte(body)))
@@ -174,7 +174,7 @@
 
 var errStatus = errors.New("the answer has another status")
 
-func (r *Race) read(vm plan.Node, path, key string) ([]byte, uint64, error) {
+func (r *Race) read(vm plan.Endpoint, path, key string) ([]byte, uint64, error) {
 	resp, err := r.call(vm, http.MethodGet, "/v1/settings"+path, key, "")
 	if err != nil {
 		return nil, 0, err
@@ -186,7 +186,7 @@
 	return resp.body, version, err
 }
 
-func (r *Race) write(vm plan.Node, path, key, id string, from uint64, body string, rng *rand.Rand) {
+func (r *Race) write(vm plan.Endpoint, path, key, id string, from uint64, body string, rng *rand.Rand) {
 	resp, err := r.call(vm, http.MethodPut, "/v1/settings"+path, key, body,
 		"If-Match", strconv.Quote(strconv.FormatUint(from, 10)), "Umberladder-Change", id)
 	switch {
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -254,7 +254,7 @@
 	if err := g.Wait(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	runs, err := record.Read(f.Records())
+	runs, err := record.Read(f.RunLogFiles())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
