--- a/cmd/stress/control.go
+++ b/cmd/stress/control.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = end.Do() }()
+	defer func() { _ = end.Run() }()
 	for time.Since(start) < time.Minute {
 		seen := 0
 		for _, vm := range f.VMs {
--- a/internal/load/fault/doc.go
+++ b/internal/load/fault/doc.go
@@ -1,4 +1,4 @@
-// Package fault brings about failures in a running fleet: it signals processes
-// by the ids that the fleet's supervisors wrote down, and switches on the
-// stand-ins' own faults.
+// Package fault injects faults into a running fleet: it sends signals to the
+// processes whose IDs the fleet's supervisors wrote to files, and switches on
+// faults that the fake servers implement themselves.
 package fault
--- a/internal/load/fault/kinds.go
+++ b/internal/load/fault/kinds.go
@@ -9,30 +9,30 @@
 	"umberladder/internal/load/plan"
 )
 
-// Kind is one kind of failure.
+// Kind is one kind of fault.
 type Kind struct {
 	Name string
-	// HitsVM says that a VM dies or stands still, so that callers may see
-	// connections break.
-	HitsVM bool
-	// Start brings the failure about and returns how to end it and how long
-	// it should last.
-	Start func(w *World) (Ending, error)
+	// AffectsVM says that a VM is killed or paused, so that callers may see broken
+	// connections.
+	AffectsVM bool
+	// Start injects the fault and returns how to undo it and how long it should
+	// last.
+	Start func(inj *Injector) (Undo, error)
 }
 
-// Ending ends a failure after its time.
-type Ending struct {
+// Undo says how and after what time a fault is undone.
+type Undo struct {
 	After time.Duration
-	Do    func() error
+	Run   func() error
 }
 
-func nothing() error { return nil }
+func noop() error { return nil }
 
-// Kinds lists every kind of failure.
+// Kinds returns all kinds of faults.
 func Kinds() []Kind {
 	return []Kind{
-		{Name: "kill-vm", HitsVM: true, Start: killVM},
-		{Name: "freeze-vm", HitsVM: true, Start: freezeVM},
+		{Name: "kill-vm", AffectsVM: true, Start: killVM},
+		{Name: "freeze-vm", AffectsVM: true, Start: freezeVM},
 		{Name: "drain-vm", Start: drainVM},
 		{Name: "kill-engine", Start: killEngine},
 		{Name: "freeze-engine", Start: freezeEngine},
@@ -49,12 +49,12 @@
 		{Name: "store-down", Start: storeDown},
 		{Name: "store-hang", Start: storeHang},
 		{Name: "store-slow", Start: storeSlow},
-		{Name: "store-loses-replies", Start: storeLoses},
+		{Name: "store-loses-replies", Start: storeLosesReplies},
 		{Name: "store-drops", Start: storeDrops},
 	}
 }
 
-// Find returns the kind of a name.
+// Find returns the kind with the given name.
 func Find(name string) (Kind, bool) {
 	for _, k := range Kinds() {
 		if k.Name == name {
@@ -64,111 +64,111 @@
 	return Kind{}, false
 }
 
-func (w *World) kill(n plan.Endpoint) (Ending, error) {
-	return Ending{After: time.Second, Do: nothing}, w.signal(n.Name, syscall.SIGKILL)
+func (inj *Injector) kill(n plan.Endpoint) (Undo, error) {
+	return Undo{After: time.Second, Run: noop}, inj.signal(n.Name, syscall.SIGKILL)
 }
 
-func (w *World) freeze(n plan.Endpoint, low, high time.Duration) (Ending, error) {
-	thaw := func() error { return w.signal(n.Name, syscall.SIGCONT) }
-	return Ending{After: w.between(low, high), Do: thaw}, w.signal(n.Name, syscall.SIGSTOP)
+func (inj *Injector) freeze(n plan.Endpoint, low, high time.Duration) (Undo, error) {
+	resume := func() error { return inj.signal(n.Name, syscall.SIGCONT) }
+	return Undo{After: inj.randomDuration(low, high), Run: resume}, inj.signal(n.Name, syscall.SIGSTOP)
 }
 
-func killVM(w *World) (Ending, error)     { return w.kill(w.vm()) }
-func killEngine(w *World) (Ending, error) { return w.kill(w.engine()) }
-func killPlain(w *World) (Ending, error)  { return w.kill(w.plain()) }
+func killVM(inj *Injector) (Undo, error)     { return inj.kill(inj.randomVM()) }
+func killEngine(inj *Injector) (Undo, error) { return inj.kill(inj.randomEngine()) }
+func killPlain(inj *Injector) (Undo, error)  { return inj.kill(inj.randomPlain()) }
 
-// freezeVM may outlast the lease on idempotency keys.
-func freezeVM(w *World) (Ending, error) {
-	return w.freeze(w.vm(), 200*time.Millisecond, 20*time.Second)
+// freezeVM pauses a VM, possibly for longer than the lease on idempotency keys.
+func freezeVM(inj *Injector) (Undo, error) {
+	return inj.freeze(inj.randomVM(), 200*time.Millisecond, 20*time.Second)
 }
 
-func freezeEngine(w *World) (Ending, error) {
-	return w.freeze(w.engine(), 200*time.Millisecond, 8*time.Second)
+func freezeEngine(inj *Injector) (Undo, error) {
+	return inj.freeze(inj.randomEngine(), 200*time.Millisecond, 8*time.Second)
 }
 
-func drainVM(w *World) (Ending, error) {
-	return Ending{After: 3 * time.Second, Do: nothing}, w.signal(w.vm().Name, syscall.SIGTERM)
+func drainVM(inj *Injector) (Undo, error) {
+	return Undo{After: 3 * time.Second, Run: noop}, inj.signal(inj.randomVM().Name, syscall.SIGTERM)
 }
 
-// switched strikes one engine for a time.
-func (w *World) switched(format string, args ...any) (Ending, error) {
-	n := w.engine()
-	off := func() error { return w.engineFault(n, `{}`) }
-	return Ending{After: w.between(time.Second, 5*time.Second), Do: off}, w.engineFault(n, format, args...)
+// startEngineFault switches on a fault of a random engine.
+func (inj *Injector) startEngineFault(format string, args ...any) (Undo, error) {
+	n := inj.randomEngine()
+	reset := func() error { return inj.setEngineFault(n, `{}`) }
+	return Undo{After: inj.randomDuration(time.Second, 5*time.Second), Run: reset}, inj.setEngineFault(n, format, args...)
 }
 
-func stallEngine(w *World) (Ending, error) {
-	return w.switched(`{"stall_ms":%d}`, 200+w.Rand.IntN(2500))
+func stallEngine(inj *Injector) (Undo, error) {
+	return inj.startEngineFault(`{"stall_ms":%d}`, 200+inj.Rand.IntN(2500))
 }
 
-func cutEngine(w *World) (Ending, error) {
-	return w.switched(`{"cut_after":%d}`, 1+w.Rand.IntN(20))
+func cutEngine(inj *Injector) (Undo, error) {
+	return inj.startEngineFault(`{"cut_after":%d}`, 1+inj.Rand.IntN(20))
 }
 
-// cutLink cuts one VM off from one engine: nothing arrives, and nothing says so.
-func cutLink(w *World) (Ending, error) {
-	return w.switched(`{"cut_from":%q}`, w.vm().Address.Addr().String())
+// cutLink simulates a network partition between one VM and one engine: traffic is
+// dropped without an error.
+func cutLink(inj *Injector) (Undo, error) {
+	return inj.startEngineFault(`{"cut_from":%q}`, inj.randomVM().Address.Addr().String())
 }
 
-func refuseEngine(w *World) (Ending, error) { return w.switched(`{"refuse":true}`) }
+func refuseEngine(inj *Injector) (Undo, error) { return inj.startEngineFault(`{"refuse":true}`) }
 
-func lateEngine(w *World) (Ending, error) {
-	return w.switched(`{"late_ms":%d}`, 100+w.Rand.IntN(3500))
+func lateEngine(inj *Injector) (Undo, error) {
+	return inj.startEngineFault(`{"late_ms":%d}`, 100+inj.Rand.IntN(3500))
 }
 
-func foreignEngine(w *World) (Ending, error) {
-	return w.switched(`{"cut_after":%d,"new_run":true}`, 5+w.Rand.IntN(20))
+func foreignEngine(inj *Injector) (Undo, error) {
+	return inj.startEngineFault(`{"cut_after":%d,"new_run":true}`, 5+inj.Rand.IntN(20))
 }
 
-// reclaimEngine has an engine leave at short notice: it is killed after the
-// notice, whatever still runs on it.
-func reclaimEngine(w *World) (Ending, error) {
-	n := w.engine()
+// reclaimEngine has an engine announce a drain at short notice. It is killed 4 to
+// 8 s later, even if generations still run on it.
+func reclaimEngine(inj *Injector) (Undo, error) {
+	n := inj.randomEngine()
 	kill := func() error {
-		// What it counted goes with it.
+		// The engine's counters are lost when it is killed.
 		if late, err := gauge.Late(context.Background(), n); err == nil {
-			w.late.Add(int64(late))
+			inj.lateRequests.Add(int64(late))
 		}
-		return w.signal(n.Name, syscall.SIGKILL)
+		return inj.signal(n.Name, syscall.SIGKILL)
 	}
-	return Ending{After: w.between(4*time.Second, 8*time.Second), Do: kill}, w.engineFault(n, `{"leaving":true}`)
+	return Undo{After: inj.randomDuration(4*time.Second, 8*time.Second), Run: kill}, inj.setEngineFault(n, `{"leaving":true}`)
 }
 
-func cutPlain(w *World) (Ending, error) {
-	n := w.plain()
-	off := func() error { return w.plainFault(n, `{}`) }
-	return Ending{After: w.between(time.Second, 4*time.Second), Do: off}, w.plainFault(n, `{"cut":true}`)
+func cutPlain(inj *Injector) (Undo, error) {
+	n := inj.randomPlain()
+	reset := func() error { return inj.setPlainFault(n, `{}`) }
+	return Undo{After: inj.randomDuration(time.Second, 4*time.Second), Run: reset}, inj.setPlainFault(n, `{"cut":true}`)
 }
 
-func latePlain(w *World) (Ending, error) {
-	n := w.plain()
-	off := func() error { return w.plainFault(n, `{}`) }
-	return Ending{After: w.between(time.Second, 4*time.Second), Do: off}, w.plainFault(n, `{"late_ms":%d}`, 500+w.Rand.IntN(6000))
+func latePlain(inj *Injector) (Undo, error) {
+	n := inj.randomPlain()
+	reset := func() error { return inj.setPlainFault(n, `{}`) }
+	return Undo{After: inj.randomDuration(time.Second, 4*time.Second), Run: reset}, inj.setPlainFault(n, `{"late_ms":%d}`, 500+inj.Rand.IntN(6000))
 }
 
-func (w *World) store(low, high time.Duration, format string, args ...any) (Ending, error) {
-	off := func() error { return w.storeFault(`{}`) }
-	return Ending{After: w.between(low, high), Do: off}, w.storeFault(format, args...)
+func (inj *Injector) startStoreFault(low, high time.Duration, format string, args ...any) (Undo, error) {
+	reset := func() error { return inj.setStoreFault(`{}`) }
+	return Undo{After: inj.randomDuration(low, high), Run: reset}, inj.setStoreFault(format, args...)
 }
 
-func storeDown(w *World) (Ending, error) {
-	return w.store(time.Second, 25*time.Second, `{"down":true}`)
+func storeDown(inj *Injector) (Undo, error) {
+	return inj.startStoreFault(time.Second, 25*time.Second, `{"down":true}`)
 }
 
-func storeHang(w *World) (Ending, error) {
-	return w.store(time.Second, 12*time.Second, `{"hang":true}`)
+func storeHang(inj *Injector) (Undo, error) {
+	return inj.startStoreFault(time.Second, 12*time.Second, `{"hang":true}`)
 }
 
-func storeSlow(w *World) (Ending, error) {
-	return w.store(time.Second, 12*time.Second, `{"slow_ms":%d}`, 50+w.Rand.IntN(1500))
+func storeSlow(inj *Injector) (Undo, error) {
+	return inj.startStoreFault(time.Second, 12*time.Second, `{"slow_ms":%d}`, 50+inj.Rand.IntN(1500))
 }
 
-func storeLoses(w *World) (Ending, error) {
-	return w.store(2*time.Second, 12*time.Second, `{"lose_replies":%.2f}`, 0.2+0.8*w.Rand.Float64())
+func storeLosesReplies(inj *Injector) (Undo, error) {
+	return inj.startStoreFault(2*time.Second, 12*time.Second, `{"lose_replies":%.2f}`, 0.2+0.8*inj.Rand.Float64())
 }
 
-// storeDrops has the store go down for a while as soon as a change of settings
-// took effect.
-func storeDrops(w *World) (Ending, error) {
-	return w.store(5*time.Second, 12*time.Second, `{"drop_after_ms":4000}`)
+// storeDrops has the store go down for 4 s after each change of settings.
+func storeDrops(inj *Injector) (Undo, error) {
+	return inj.startStoreFault(5*time.Second, 12*time.Second, `{"drop_after_ms":4000}`)
 }
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -31,7 +31,7 @@
 	// break.
 	Graceful bool
 	Race     bool // operators race meanwhile
-	Faults   func(ctx context.Context, w *fault.World) error
+	Faults   func(ctx context.Context, w *fault.Injector) error
 }
 
 // All lists the scenes: without failures, each kind of failure alone, all in
@@ -48,7 +48,7 @@
 		out = append(out, Scene{
 			Name:     k.Name,
 			About:    "this failure alone, again and again",
-			Graceful: !k.HitsVM,
+			Graceful: !k.AffectsVM,
 			Race:     strings.HasPrefix(k.Name, "store-"),
 			Faults:   only(k),
 		})
@@ -66,7 +66,7 @@
 	return Scene{}, trace.NotFound("there is no scene %q; see stress list", name)
 }
 
-func none(ctx context.Context, _ *fault.World) error {
+func none(ctx context.Context, _ *fault.Injector) error {
 	<-ctx.Done()
 	return nil
 }
@@ -78,14 +78,14 @@
 )
 
 // strike brings one failure about, waits its time, and ends it.
-func strike(ctx context.Context, w *fault.World, k fault.Kind) error {
+func strike(ctx context.Context, w *fault.Injector, k fault.Kind) error {
 	end, err := k.Start(w)
 	if err != nil {
 		return nil //nolint:nilerr // the process is just being started again
 	}
 	retry.Pause(ctx, end.After)
 	for range 20 {
-		if end.Do() == nil {
+		if end.Run() == nil {
 			return nil
 		}
 		time.Sleep(restLeast)
@@ -93,12 +93,12 @@
 	return trace.Errorf("the failure %s could not be ended", k.Name)
 }
 
-func rest(ctx context.Context, w *fault.World) {
+func rest(ctx context.Context, w *fault.Injector) {
 	retry.Pause(ctx, restLeast+time.Duration(w.Rand.Int64N(int64(restMost-restLeast))))
 }
 
-func only(k fault.Kind) func(context.Context, *fault.World) error {
-	return func(ctx context.Context, w *fault.World) error {
+func only(k fault.Kind) func(context.Context, *fault.Injector) error {
+	return func(ctx context.Context, w *fault.Injector) error {
 		for ctx.Err() == nil {
 			rest(ctx, w)
 			if err := strike(ctx, w, k); err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-func pairs(ctx context.Context, w *fault.World) error {
+func pairs(ctx context.Context, w *fault.Injector) error {
 	kinds := fault.Kinds()
 	for ctx.Err() == nil {
 		rest(ctx, w)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func rolling(ctx context.Context, w *fault.World) error {
+func rolling(ctx context.Context, w *fault.Injector) error {
 	for ctx.Err() == nil {
 		for _, vm := range w.Fleet.VMs {
 			if err := w.Drain(vm); err != nil {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-func storeOutage(ctx context.Context, w *fault.World) error {
+func storeOutage(ctx context.Context, w *fault.Injector) error {
 	names := []string{"store-down", "store-slow", "store-loses-replies", "store-hang", "store-drops"}
 	for ctx.Err() == nil {
 		k, _ := fault.Find(names[w.Rand.IntN(len(names))])
@@ -271,7 +271,7 @@
 	if res.Violations, err = violations(f); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	res.Late = world.Late()
+	res.Late = world.LateRequests()
 	res.Held = res.Summary.OK() && res.CutOff == 0 && res.Late == 0 && res.Violations == 0 && s.raceHeld(res.Race)
 	return res, nil
 }
