--- a/cmd/stress/run.go
+++ b/cmd/stress/run.go
@@ -22,7 +22,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, s := range scene.All() {
-				fmt.Fprintf(t, "%s\t%s\n", s.Name, s.About)
+				fmt.Fprintf(t, "%s\t%s\n", s.Name, s.Description)
 			}
 			return t.Flush()
 		},
@@ -54,7 +54,7 @@
 			if err := printLine(c, res); err != nil {
 				return err
 			}
-			if !res.Held {
+			if !res.Passed {
 				return errBroken
 			}
 			return nil
--- a/internal/load/drive/run.go
+++ b/internal/load/drive/run.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// OK reports whether no guarantee was violated.
-func (s *Summary) OK() bool {
+// Passed reports whether no guarantee was violated.
+func (s *Summary) Passed() bool {
 	return s.Lost == 0 && s.Duplicated == 0 && s.Wrong == 0 && s.FalseNotRun == 0
 }
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -1,5 +1,6 @@
-// Package scene names the trials that a fleet is put through: a load, the
-// failures that strike meanwhile, and what must hold at the end.
+// Package scene defines the scenarios ("scenes" on the command line) of load
+// tests: the faults that are injected into a fleet under load, and what must hold
+// at the end.
 package scene
 
 import (
@@ -23,85 +24,85 @@
 	"umberladder/internal/policy/retry"
 )
 
-// Scene is one trial.
-type Scene struct {
-	Name  string
-	About string
-	// Graceful says that no VM dies: then no caller may see a connection
-	// break.
-	Graceful bool
-	Race     bool // operators race meanwhile
-	Faults   func(ctx context.Context, w *fault.Injector) error
+// Scenario is one scenario of a load test.
+type Scenario struct {
+	Name        string
+	Description string
+	// Graceful says that no VM is killed or paused. Then no caller may see a broken
+	// connection.
+	Graceful          bool
+	ConcurrentUpdates bool // operators update settings concurrently during the run
+	InjectFaults      func(ctx context.Context, inj *fault.Injector) error
 }
 
-// All lists the scenes: without failures, each kind of failure alone, all in
-// pairs, a rolling restart, and racing operators.
-func All() []Scene {
-	out := []Scene{
-		{Name: "calm", About: "no failures", Graceful: true, Faults: none},
-		{Name: "pairs", About: "failures of all kinds, two at a time, drawn from the seed", Race: true, Faults: pairs},
-		{Name: "rolling", About: "every VM is stopped gracefully in turn", Graceful: true, Faults: rolling},
-		{Name: "settings-race", About: "operators race on one team and on two", Graceful: true, Race: true, Faults: none},
-		{Name: "store-outage", About: "operators race while the store is down, slow, or loses replies", Graceful: true, Race: true, Faults: storeOutage},
+// All returns the scenarios: no faults, each kind of fault alone, pairs of faults
+// of all kinds, a rolling restart, and concurrent settings updates.
+func All() []Scenario {
+	out := []Scenario{
+		{Name: "calm", Description: "no faults", Graceful: true, InjectFaults: noFaults},
+		{Name: "pairs", Description: "faults of all kinds, two at a time, drawn from the seed", ConcurrentUpdates: true, InjectFaults: faultPairs},
+		{Name: "rolling", Description: "every VM is stopped gracefully in turn", Graceful: true, InjectFaults: rollingRestart},
+		{Name: "settings-race", Description: "operators update the settings of two workspaces concurrently, two on each", Graceful: true, ConcurrentUpdates: true, InjectFaults: noFaults},
+		{Name: "store-outage", Description: "operators update settings concurrently while the store is down, slow, or loses replies", Graceful: true, ConcurrentUpdates: true, InjectFaults: storeOutage},
 	}
 	for _, k := range fault.Kinds() {
-		out = append(out, Scene{
-			Name:     k.Name,
-			About:    "this failure alone, again and again",
-			Graceful: !k.AffectsVM,
-			Race:     strings.HasPrefix(k.Name, "store-"),
-			Faults:   only(k),
+		out = append(out, Scenario{
+			Name:              k.Name,
+			Description:       "this fault alone, repeatedly",
+			Graceful:          !k.AffectsVM,
+			ConcurrentUpdates: strings.HasPrefix(k.Name, "store-"),
+			InjectFaults:      repeatFault(k),
 		})
 	}
 	return out
 }
 
-// Find returns the scene of a name.
-func Find(name string) (Scene, error) {
+// Find returns the scenario with the given name.
+func Find(name string) (Scenario, error) {
 	for _, s := range All() {
 		if s.Name == name {
 			return s, nil
 		}
 	}
-	return Scene{}, trace.NotFound("there is no scene %q; see stress list", name)
+	return Scenario{}, trace.NotFound("scene %q does not exist; see stress list", name)
 }
 
-func none(ctx context.Context, _ *fault.Injector) error {
+func noFaults(ctx context.Context, _ *fault.Injector) error {
 	<-ctx.Done()
 	return nil
 }
 
 const (
-	restLeast = 500 * time.Millisecond
-	restMost  = 3 * time.Second
-	rollEvery = 2500 * time.Millisecond
+	minPause      = 500 * time.Millisecond
+	maxPause      = 3 * time.Second
+	drainInterval = 2500 * time.Millisecond
 )
 
-// strike brings one failure about, waits its time, and ends it.
-func strike(ctx context.Context, w *fault.Injector, k fault.Kind) error {
-	end, err := k.Start(w)
+// injectFault injects one fault, waits for its duration, and undoes it.
+func injectFault(ctx context.Context, inj *fault.Injector, k fault.Kind) error {
+	undo, err := k.Start(inj)
 	if err != nil {
 		return nil //nolint:nilerr // the process is just being started again
 	}
-	retry.Pause(ctx, end.After)
+	retry.Pause(ctx, undo.After)
 	for range 20 {
-		if end.Run() == nil {
+		if undo.Run() == nil {
 			return nil
 		}
-		time.Sleep(restLeast)
+		time.Sleep(minPause)
 	}
-	return trace.Errorf("the failure %s could not be ended", k.Name)
+	return trace.Errorf("the fault %s could not be undone", k.Name)
 }
 
-func rest(ctx context.Context, w *fault.Injector) {
-	retry.Pause(ctx, restLeast+time.Duration(w.Rand.Int64N(int64(restMost-restLeast))))
+func pause(ctx context.Context, inj *fault.Injector) {
+	retry.Pause(ctx, minPause+time.Duration(inj.Rand.Int64N(int64(maxPause-minPause))))
 }
 
-func only(k fault.Kind) func(context.Context, *fault.Injector) error {
-	return func(ctx context.Context, w *fault.Injector) error {
+func repeatFault(k fault.Kind) func(context.Context, *fault.Injector) error {
+	return func(ctx context.Context, inj *fault.Injector) error {
 		for ctx.Err() == nil {
-			rest(ctx, w)
-			if err := strike(ctx, w, k); err != nil {
+			pause(ctx, inj)
+			if err := injectFault(ctx, inj, k); err != nil {
 				return err
 			}
 		}
@@ -109,15 +110,15 @@
 	}
 }
 
-func pairs(ctx context.Context, w *fault.Injector) error {
+func faultPairs(ctx context.Context, inj *fault.Injector) error {
 	kinds := fault.Kinds()
 	for ctx.Err() == nil {
-		rest(ctx, w)
+		pause(ctx, inj)
 		var g errgroup.Group
 		for range 2 {
-			k := kinds[w.Rand.IntN(len(kinds))]
-			one := w.Fork()
-			g.Go(func() error { return strike(ctx, one, k) })
+			k := kinds[inj.Rand.IntN(len(kinds))]
+			forked := inj.Fork()
+			g.Go(func() error { return injectFault(ctx, forked, k) })
 		}
 		if err := g.Wait(); err != nil {
 			return err
@@ -126,91 +127,93 @@
 	return nil
 }
 
-func rolling(ctx context.Context, w *fault.Injector) error {
+func rollingRestart(ctx context.Context, inj *fault.Injector) error {
 	for ctx.Err() == nil {
-		for _, vm := range w.Fleet.VMs {
-			if err := w.Drain(vm); err != nil {
+		for _, vm := range inj.Fleet.VMs {
+			if err := inj.Drain(vm); err != nil {
 				return err
 			}
-			retry.Pause(ctx, rollEvery)
+			retry.Pause(ctx, drainInterval)
 		}
 	}
 	return nil
 }
 
-func storeOutage(ctx context.Context, w *fault.Injector) error {
+func storeOutage(ctx context.Context, inj *fault.Injector) error {
 	names := []string{"store-down", "store-slow", "store-loses-replies", "store-hang", "store-drops"}
 	for ctx.Err() == nil {
-		k, _ := fault.Find(names[w.Rand.IntN(len(names))])
-		rest(ctx, w)
-		if err := strike(ctx, w, k); err != nil {
+		k, _ := fault.Find(names[inj.Rand.IntN(len(names))])
+		pause(ctx, inj)
+		if err := injectFault(ctx, inj, k); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Result is the one-line result of a trial.
+// Result is the result of a scenario, printed as one line of JSON.
 type Result struct {
-	Scene string `json:"scene"`
-	Seed  uint64 `json:"seed"`
+	Scenario string `json:"scene"`
+	Seed     uint64 `json:"seed"`
 	drive.Summary
-	CutOff int `json:"cut-off"`   // connections that broke though no VM died
-	Late   int `json:"late-work"` // offered to engines that had long been leaving
-	// StallMS and Preempted are of the VMs and requests that are still there:
-	// a killed VM's metrics are gone.
-	StallMS   float64 `json:"stall-ms-per-request"`
-	Preempted float64 `json:"preempted-per-1000"`
-	CallBytes float64 `json:"peer-call-bytes-per-request"`
-	Removals  int     `json:"vm-removals"` // times a VM took another for dead
-	Store     Store   `json:"store"`
-	// Violations counts the invariants that the VMs' logs say were violated.
-	Violations int            `json:"violations"`
-	Race       *rivals.Report `json:"race,omitempty"`
-	Held       bool           `json:"held"`
+	ConnectionBreaks int `json:"cut-off"`   // requests with a broken connection though no VM was killed or paused
+	LateRequests     int `json:"late-work"` // generations offered to engines more than 3 s after these began to drain
+	// StallPerRequest (in milliseconds) and PreemptedPer1000 leave out the metrics
+	// that were lost with killed VMs.
+	StallPerRequest     float64   `json:"stall-ms-per-request"`
+	PreemptedPer1000    float64   `json:"preempted-per-1000"`
+	CallBytesPerRequest float64   `json:"peer-call-bytes-per-request"`
+	VMRemovals          int       `json:"vm-removals"` // how often a VM removed another from its membership list as dead
+	Store               StoreLoad `json:"store"`
+	// Violations counts the violated invariants in the VMs' logs.
+	Violations      int            `json:"violations"`
+	SettingsUpdates *rivals.Report `json:"race,omitempty"`
+	Passed          bool           `json:"held"`
 }
 
-// Store is what the platform's key-value service was asked in a trial, waiting
-// watches included.
-type Store struct {
-	PerVM   float64 `json:"calls-per-second-of-the-busiest-vm"`
-	Fleet   float64 `json:"calls-per-second"`
-	Peak    int     `json:"calls-in-the-busiest-second"`
-	Refused int     `json:"refused-by-its-rates"`
+// StoreLoad counts the calls to the platform's key-value store during a run,
+// including pending watches.
+type StoreLoad struct {
+	BusiestVM     float64 `json:"calls-per-second-of-the-busiest-vm"`
+	AllVMs        float64 `json:"calls-per-second"`
+	PeakPerSecond int     `json:"calls-in-the-busiest-second"`
+	Refused       int     `json:"refused-by-its-rates"`
 }
 
-// storeUse compares what the store counted before and after.
-func storeUse(before, after *gauge.StoreCalls, took time.Duration) Store {
-	s := Store{Peak: after.Peak, Refused: after.Refused - before.Refused}
-	most := 0
+// storeLoad returns the difference of the store's counters before and after a run.
+func storeLoad(before, after *gauge.StoreCalls, elapsed time.Duration) StoreLoad {
+	s := StoreLoad{PeakPerSecond: after.Peak, Refused: after.Refused - before.Refused}
+	busiest := 0
 	for name, n := range after.Calls {
-		most = max(most, n-before.Calls[name])
+		busiest = max(busiest, n-before.Calls[name])
 	}
-	seconds := math.Max(1, took.Seconds())
-	s.PerVM = float64(most) / seconds
-	s.Fleet = float64(after.Total()-before.Total()) / seconds
+	seconds := math.Max(1, elapsed.Seconds())
+	s.BusiestVM = float64(busiest) / seconds
+	s.AllVMs = float64(after.Total()-before.Total()) / seconds
 	return s
 }
 
-// measure reads the users' own measures off the VMs.
-func (r *Result) measure(ctx context.Context, f *plan.Fleet) {
+// readMetrics reads the measures that matter to callers, and the bytes of calls
+// between VMs, from the VMs' metrics.
+func (r *Result) readMetrics(ctx context.Context, f *plan.Fleet) {
 	for _, vm := range f.VMs {
-		m, err := gauge.Scrape(ctx, vm)
+		metrics, err := gauge.Scrape(ctx, vm)
 		if err != nil {
-			continue // it is just being started again
+			continue // the VM is being restarted
 		}
-		r.StallMS += 1000 * m["umberladder_stall_seconds_total"]
-		r.CallBytes += m["umberladder_peer_call_bytes_total"]
-		r.Removals += int(m["umberladder_vm_removals_total"])
-		r.Preempted += 1000 * m["umberladder_preemptions_total"]
+		r.StallPerRequest += 1000 * metrics["umberladder_stall_seconds_total"]
+		r.CallBytesPerRequest += metrics["umberladder_peer_call_bytes_total"]
+		r.VMRemovals += int(metrics["umberladder_vm_removals_total"])
+		r.PreemptedPer1000 += 1000 * metrics["umberladder_preemptions_total"]
 	}
-	r.CallBytes /= math.Max(1, float64(r.Requests))
-	r.StallMS /= math.Max(1, float64(r.Requests))
-	r.Preempted /= math.Max(1, float64(r.Requests))
+	r.CallBytesPerRequest /= math.Max(1, float64(r.Requests))
+	r.StallPerRequest /= math.Max(1, float64(r.Requests))
+	r.PreemptedPer1000 /= math.Max(1, float64(r.Requests))
 }
 
-// violations counts them in the VMs' logs, which outlive the processes.
-func violations(f *plan.Fleet) (int, error) {
+// countViolations counts the violated invariants in the VMs' logs, which remain
+// when a process exits.
+func countViolations(f *plan.Fleet) (int, error) {
 	n := 0
 	for _, vm := range f.VMs {
 		data, err := os.ReadFile(filepath.Join(f.Dir, plan.LogDir, vm.Name+".log"))
@@ -222,26 +225,26 @@
 	return n, nil
 }
 
-// raceHeld reports whether the operators' race held, if there was one. Where no
-// VM dies or stands still, changes must also be in force in time.
-func (s *Scene) raceHeld(r *rivals.Report) bool {
+// updatesOK reports whether the settings updates, if there were any, violated no
+// guarantee. If no VM is killed or paused, they must also be in force in time.
+func (sc *Scenario) updatesOK(r *rivals.Report) bool {
 	if r == nil {
 		return true
 	}
-	return r.Held() && (!s.Graceful || r.InTime())
+	return r.Held() && (!sc.Graceful || r.InTime())
 }
 
-// Run puts a running fleet through the scene.
-func (s *Scene) Run(ctx context.Context, f *plan.Fleet, mix drive.Mix, seed uint64) (*Result, error) {
-	faults, cancel := context.WithTimeout(ctx, mix.Duration)
+// Run runs the scenario on a running fleet.
+func (sc *Scenario) Run(ctx context.Context, f *plan.Fleet, mix drive.Mix, seed uint64) (*Result, error) {
+	faultsCtx, cancel := context.WithTimeout(ctx, mix.Duration)
 	defer cancel()
 	var g errgroup.Group
-	world := fault.New(f, rand.New(rand.NewPCG(seed, 20)))
-	g.Go(func() error { return s.Faults(faults, world) })
-	res := &Result{Scene: s.Name, Seed: seed}
-	if s.Race {
+	inj := fault.New(f, rand.New(rand.NewPCG(seed, 20)))
+	g.Go(func() error { return sc.InjectFaults(faultsCtx, inj) })
+	res := &Result{Scenario: sc.Name, Seed: seed}
+	if sc.ConcurrentUpdates {
 		g.Go(func() error {
-			res.Race = rivals.New(f, seed).Run(faults)
+			res.SettingsUpdates = rivals.New(f, seed).Run(faultsCtx)
 			return nil
 		})
 	}
@@ -259,19 +262,19 @@
 		return nil, trace.Wrap(err)
 	}
 	res.Summary = run.Summarise(runs)
-	if s.Graceful {
-		res.CutOff = run.ConnectionBreaks()
+	if sc.Graceful {
+		res.ConnectionBreaks = run.ConnectionBreaks()
 	}
-	res.measure(ctx, f)
+	res.readMetrics(ctx, f)
 	after, err := gauge.Store(ctx, f.Store)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	res.Store = storeUse(before, after, run.Elapsed)
-	if res.Violations, err = violations(f); err != nil {
+	res.Store = storeLoad(before, after, run.Elapsed)
+	if res.Violations, err = countViolations(f); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	res.Late = world.LateRequests()
-	res.Held = res.Summary.OK() && res.CutOff == 0 && res.Late == 0 && res.Violations == 0 && s.raceHeld(res.Race)
+	res.LateRequests = inj.LateRequests()
+	res.Passed = res.Summary.Passed() && res.ConnectionBreaks == 0 && res.LateRequests == 0 && res.Violations == 0 && sc.updatesOK(res.SettingsUpdates)
 	return res, nil
 }
