--- a/cmd/stress/claims.go
+++ b/cmd/stress/claims.go
@@ -66,7 +66,7 @@
 }
 
 func claimCost(ctx context.Context, f *plan.Fleet, key func() string, calls int, pause time.Duration) (*claimWire, error) {
-	before, err := gauge.Store(ctx, f.Store)
+	before, err := gauge.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 		times.Add(time.Since(start))
 		time.Sleep(pause)
 	}
-	after, err := gauge.Store(ctx, f.Store)
+	after, err := gauge.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/stress/control.go
+++ b/cmd/stress/control.go
@@ -60,7 +60,7 @@
 func sampleAll(ctx context.Context, f *plan.Fleet) ([]sample, error) {
 	var out []sample
 	for _, vm := range f.VMs {
-		cpu, err := gauge.Processor(f, vm.Name)
+		cpu, err := gauge.CPUTime(f, vm.Name)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/stress/cost.go
+++ b/cmd/stress/cost.go
@@ -84,7 +84,7 @@
 
 func (r *relay) run(ctx context.Context, f *plan.Fleet, streams, tokens int) (*costWire, error) {
 	row := &costWire{Process: r.name, Tokens: streams * tokens}
-	before, err := gauge.Processor(f, r.name)
+	before, err := gauge.CPUTime(f, r.name)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	after, err := gauge.Processor(f, r.name)
+	after, err := gauge.CPUTime(f, r.name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/load/fault/kinds.go
+++ b/internal/load/fault/kinds.go
@@ -127,7 +127,7 @@
 	n := inj.randomEngine()
 	kill := func() error {
 		// The engine's counters are lost when it is killed.
-		if late, err := gauge.Late(context.Background(), n); err == nil {
+		if late, err := gauge.LateRequests(context.Background(), n); err == nil {
 			inj.lateRequests.Add(int64(late))
 		}
 		return inj.signal(n.Name, syscall.SIGKILL)
--- a/internal/load/gauge/proc.go
+++ b/internal/load/gauge/proc.go
@@ -1,5 +1,6 @@
-// Package gauge measures what processes of a running fleet use: processor time
-// and memory from the system, messages and store calls from the VMs' metrics.
+// Package stats measures the resource use of the processes of a running fleet:
+// CPU time from the operating system, the VMs' metrics, and the counters of the
+// fake store and engines.
 package gauge
 
 import (
@@ -18,11 +19,11 @@
 	"umberladder/internal/load/plan"
 )
 
-// ticks is the kernel's unit of processor time for processes (USER_HZ).
-const ticks = 100
+// ticksPerSecond is the kernel's unit of CPU time for processes (USER_HZ).
+const ticksPerSecond = 100
 
-// Processor returns the processor time that a process of the fleet has used.
-func Processor(f *plan.Fleet, name string) (time.Duration, error) {
+// CPUTime returns the CPU time that a process of the fleet has used.
+func CPUTime(f *plan.Fleet, name string) (time.Duration, error) {
 	pid, err := os.ReadFile(filepath.Join(f.Dir, plan.PIDDir, name))
 	if err != nil {
 		return 0, trace.ConvertSystemError(err)
@@ -31,52 +32,52 @@
 	if err != nil {
 		return 0, trace.ConvertSystemError(err)
 	}
-	// After the name in parentheses come the state and then numbers; utime and
-	// stime are fields 14 and 15 of all (proc(5)).
+	// The process name, in parentheses, is followed by the state and then by
+	// numbers; utime and stime are fields 14 and 15 of the line (proc(5)).
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
 	if len(fields) < 13 {
-		return 0, trace.BadParameter("the statistics of %s can't be read", name)
+		return 0, trace.BadParameter("/proc/<pid>/stat of %s has too few fields", name)
 	}
 	sum := 0.0
-	for _, s := range fields[11:13] {
-		n, err := strconv.ParseFloat(s, 64)
+	for _, field := range fields[11:13] {
+		n, err := strconv.ParseFloat(field, 64)
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
 		sum += n
 	}
-	return time.Duration(sum / ticks * float64(time.Second)), nil
+	return time.Duration(sum / ticksPerSecond * float64(time.Second)), nil
 }
 
-// Late returns how much new work was offered to an engine that had been leaving
-// for more than three seconds.
-func Late(ctx context.Context, e plan.Endpoint) (int, error) {
-	var c struct{ Late int }
-	err := fetch(ctx, fmt.Sprintf("http://%s/v1/counts", e.Address), &c)
-	return c.Late, err
+// LateRequests returns the number of new generations that were offered to an
+// engine more than three seconds after it had begun to drain.
+func LateRequests(ctx context.Context, engine plan.Endpoint) (int, error) {
+	var counts struct{ Late int }
+	err := getJSON(ctx, fmt.Sprintf("http://%s/v1/counts", engine.Address), &counts)
+	return counts.Late, err
 }
 
-// Metrics are a VM's metrics, each added up over its labels.
+// Metrics holds the metrics of a VM by name, each summed over its labels.
 type Metrics map[string]float64
 
 // Scrape reads a VM's metrics.
 func Scrape(ctx context.Context, vm plan.Endpoint) (Metrics, error) {
-	body, err := open(ctx, fmt.Sprintf("http://%s/metrics", vm.Address))
+	body, err := getBody(ctx, fmt.Sprintf("http://%s/metrics", vm.Address))
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = body.Close() }()
 	m := Metrics{}
-	s := bufio.NewScanner(body)
-	for s.Scan() {
-		at := strings.LastIndexByte(s.Text(), ' ')
-		if at < 0 || strings.HasPrefix(s.Text(), "#") {
+	scanner := bufio.NewScanner(body)
+	for scanner.Scan() {
+		sep := strings.LastIndexByte(scanner.Text(), ' ')
+		if sep < 0 || strings.HasPrefix(scanner.Text(), "#") {
 			continue
 		}
-		name, _, _ := strings.Cut(s.Text()[:at], "{")
-		if x, err := strconv.ParseFloat(s.Text()[at+1:], 64); err == nil {
-			m[name] += x
+		name, _, _ := strings.Cut(scanner.Text()[:sep], "{")
+		if value, err := strconv.ParseFloat(scanner.Text()[sep+1:], 64); err == nil {
+			m[name] += value
 		}
 	}
-	return m, trace.Wrap(s.Err())
+	return m, trace.Wrap(scanner.Err())
 }
--- a/internal/load/gauge/store.go
+++ b/internal/load/gauge/store.go
@@ -11,14 +11,14 @@
 	"github.com/gravitational/trace"
 )
 
-// StoreCalls is what the platform's key-value service was asked so far.
+// StoreCalls counts the calls that the platform's key-value store has received.
 type StoreCalls struct {
-	Calls   map[string]int // by caller
+	Calls   map[string]int // by client
 	Peak    int            // calls in the busiest second
-	Refused int            // over the service's rates
+	Refused int            // calls over the store's rate limits
 }
 
-// Total returns the calls of all callers.
+// Total returns the number of calls of all clients.
 func (c *StoreCalls) Total() int {
 	sum := 0
 	for _, n := range c.Calls {
@@ -27,24 +27,25 @@
 	return sum
 }
 
-// Store asks the stand-in of the platform's service for its counts.
-func Store(ctx context.Context, addr netip.AddrPort) (*StoreCalls, error) {
+// FetchStoreCalls reads the counters of the fake store at addr.
+func FetchStoreCalls(ctx context.Context, addr netip.AddrPort) (*StoreCalls, error) {
 	c := &StoreCalls{}
-	err := fetch(ctx, fmt.Sprintf("http://%s/calls", addr), c)
+	err := getJSON(ctx, fmt.Sprintf("http://%s/calls", addr), c)
 	return c, err
 }
 
-func fetch(ctx context.Context, url string, into any) error {
-	body, err := open(ctx, url)
+func getJSON(ctx context.Context, url string, out any) error {
+	body, err := getBody(ctx, url)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	return trace.Wrap(json.NewDecoder(body).Decode(into))
+	return trace.Wrap(json.NewDecoder(body).Decode(out))
 }
 
-// open returns the body of what is at a URL, to be closed.
-func open(ctx context.Context, url string) (io.ReadCloser, error) {
+// getBody sends a GET request and returns the response body, which the caller must
+// close.
+func getBody(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
 		return nil, trace.Wrap(err)
--- a/internal/load/picker/picker.go
+++ b/internal/load/picker/picker.go
@@ -1,5 +1,5 @@
-// Package picker picks the VM for each request, as the platform's balancer
-// does: at random among those that say they are ready.
+// Package picker picks the VM for each request as the platform's load balancer
+// does: at random among those that report ready.
 package picker
 
 import (
@@ -16,26 +16,26 @@
 )
 
 const (
-	probeEvery = 200 * time.Millisecond
-	probeTime  = time.Second
-	seedStream = 11
+	probeInterval = 200 * time.Millisecond
+	probeTimeout  = time.Second
+	rngStream     = 11
 )
 
-// Picker knows which VMs are ready. It is safe for use by several goroutines.
+// Picker tracks which VMs are ready. It is safe for concurrent use.
 type Picker struct {
 	vms []plan.Endpoint
 
 	mu    sync.Mutex
 	rng   *rand.Rand
-	ready []plan.Endpoint // the VMs that said so when last asked
+	ready []plan.Endpoint // VMs that reported ready at the last probe
 }
 
-// New makes a picker of the VMs, which are taken as ready at first.
+// New returns a picker that takes all VMs as ready until their first probe.
 func New(vms []plan.Endpoint, seed uint64) *Picker {
-	return &Picker{vms: vms, ready: vms, rng: rand.New(rand.NewPCG(seed, seedStream))}
+	return &Picker{vms: vms, ready: vms, rng: rand.New(rand.NewPCG(seed, rngStream))}
 }
 
-// Pick returns one of the ready VMs, or any if none is ready.
+// Pick returns a random ready VM, or any VM if none is ready.
 func (p *Picker) Pick() plan.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,40 +45,39 @@
 	return p.ready[p.rng.IntN(len(p.ready))]
 }
 
-// Run asks every VM whether it is ready until ctx ends, as the platform's
-// balancer does.
+// Run probes the readiness of every VM periodically until ctx ends.
 func (p *Picker) Run(ctx context.Context) error {
-	probe := &http.Client{Timeout: probeTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
-		up := make([]bool, len(p.vms))
+		isUp := make([]bool, len(p.vms))
 		var g errgroup.Group
 		for i, vm := range p.vms {
 			g.Go(func() error {
-				up[i] = isReady(ctx, probe, vm)
+				isUp[i] = isReady(ctx, client, vm)
 				return nil
 			})
 		}
 		_ = g.Wait()
 		var ready []plan.Endpoint
 		for i, vm := range p.vms {
-			if up[i] {
+			if isUp[i] {
 				ready = append(ready, vm)
 			}
 		}
 		p.mu.Lock()
 		p.ready = ready
 		p.mu.Unlock()
-		retry.Pause(ctx, probeEvery)
+		retry.Pause(ctx, probeInterval)
 	}
 	return nil
 }
 
-func isReady(ctx context.Context, probe *http.Client, vm plan.Endpoint) bool {
+func isReady(ctx context.Context, client *http.Client, vm plan.Endpoint) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+vm.Address.String()+"/readyz", http.NoBody)
 	if err != nil {
 		return false
 	}
-	resp, err := probe.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return false
 	}
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -248,7 +248,7 @@
 			return nil
 		})
 	}
-	before, err := gauge.Store(ctx, f.Store)
+	before, err := gauge.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -266,7 +266,7 @@
 		res.ConnectionBreaks = run.ConnectionBreaks()
 	}
 	res.readMetrics(ctx, f)
-	after, err := gauge.Store(ctx, f.Store)
+	after, err := gauge.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
