--- a/internal/load/chart/bars.go
+++ b/internal/load/chart/bars.go
@@ -1,4 +1,4 @@
-// Package chart draws the figures of trials, for the design notes.
+// Package chart draws the results of trials for the design notes.
 package chart
 
 import (
@@ -16,20 +16,21 @@
 	barWidth = 12 * vg.Millimeter / 2
 )
 
-// shades tell series apart, also in print.
-var shades = []color.Gray{{Y: 200}, {Y: 150}, {Y: 100}, {Y: 30}}
+// grays holds the colours of the series, which stay distinguishable in print.
+var grays = []color.Gray{{Y: 200}, {Y: 150}, {Y: 100}, {Y: 30}}
 
-// Series is one value a group, under a name.
+// Series is a named series with one value per group.
 type Series struct {
 	Name   string
 	Values []float64
 }
 
-// Bars writes a chart of groups of bars to a file, whose ending names its form
-// (svg, png, pdf). There are at most four series, each with a value a group.
+// Bars writes a grouped bar chart to the file path, whose extension selects the
+// format (svg, png, pdf). It accepts at most four series, each with one value per
+// group.
 func Bars(path, title, unit string, groups []string, series []Series) error {
-	if len(series) > len(shades) {
-		return trace.BadParameter("chart: %d series; want at most %d", len(series), len(shades))
+	if len(series) > len(grays) {
+		return trace.BadParameter("chart: %d series; want at most %d", len(series), len(grays))
 	}
 	p := plot.New()
 	p.Title.Text = title
@@ -44,7 +45,7 @@
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		bars.Color = shades[i]
+		bars.Color = grays[i]
 		bars.LineStyle.Width = 0
 		bars.Offset = barWidth * vg.Length(float64(i)-float64(len(series)-1)/2)
 		p.Add(bars)
--- a/internal/load/rivals/rivals.go
+++ b/internal/load/rivals/rivals.go
@@ -1,6 +1,6 @@
-// Package rivals has operators race each other's changes through any of the
-// VMs, and watches on every VM that accepted changes come into force in time
-// and never give way to an older version.
+// Package race runs operators that update settings concurrently through random
+// VMs, and checks on every VM that accepted changes come into force in time and
+// are never replaced by an older version.
 package rivals
 
 import (
@@ -26,139 +26,142 @@
 )
 
 const (
-	callTime  = 20 * time.Second
-	pollEvery = 50 * time.Millisecond
-	askTries  = 60
-	askPause  = 500 * time.Millisecond
-	// recordEvery is short enough for no change to leave a history unseen.
-	recordEvery = time.Second
+	callTimeout  = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
+	statusTries  = 60
+	statusPause  = 500 * time.Millisecond
+	// historyInterval is short enough that every change is seen before later changes
+	// push it out of the history.
+	historyInterval = time.Second
 )
 
-// Report is what came of a race.
+// Report is the result of a run.
 type Report struct {
-	Accepted   int     `json:"accepted"`
-	Conflicts  int     `json:"conflicts"`
-	Failed     int     `json:"failed"`           // answered as not applied
-	Unknown    int     `json:"answered-unknown"` // settled afterwards by asking
-	Unsettled  int     `json:"unsettled"`        // still not known at the end
-	Lost       int     `json:"lost-changes"`     // accepted, but not in the history
-	Twice      int     `json:"applied-twice"`
-	False      int     `json:"false-answers"` // said not applied, but in the history
-	Reversions int     `json:"reversions"`
-	Absent     int     `json:"not-in-force"` // VMs on which a change was not in force after 20 s
-	ForceP50   float64 `json:"in-force-p50-ms"`
-	ForceP99   float64 `json:"in-force-p99-ms"`
-	ForceMax   float64 `json:"in-force-max-ms"`
+	Accepted       int     `json:"accepted"`
+	Conflicts      int     `json:"conflicts"`
+	Failed         int     `json:"failed"`           // response: not applied
+	OutcomeUnknown int     `json:"answered-unknown"` // outcome unknown at first; queried afterwards
+	Unsettled      int     `json:"unsettled"`        // outcome still unknown at the end
+	Lost           int     `json:"lost-changes"`     // accepted, but not in the history
+	AppliedTwice   int     `json:"applied-twice"`
+	FalseResponses int     `json:"false-answers"` // response: not applied, but in the history
+	Reversions     int     `json:"reversions"`
+	NotInForce     int     `json:"not-in-force"` // changes that were not in force on a VM after 20 s, counted per VM
+	InForceP50     float64 `json:"in-force-p50-ms"`
+	InForceP99     float64 `json:"in-force-p99-ms"`
+	InForceMax     float64 `json:"in-force-max-ms"`
 }
 
-// Held reports whether no promise was broken.
-func (r *Report) Held() bool {
-	return r.Lost == 0 && r.Twice == 0 && r.False == 0 && r.Reversions == 0
+// Passed reports whether no guarantee was violated.
+func (r *Report) Passed() bool {
+	return r.Lost == 0 && r.AppliedTwice == 0 && r.FalseResponses == 0 && r.Reversions == 0
 }
 
-// forceLimit is when an accepted change must be in force everywhere.
-const forceLimit = 3 * time.Second
+// inForceBound is how long after its acceptance a change must be in force on all
+// VMs.
+const inForceBound = 3 * time.Second
 
-// InTime reports whether changes were in force everywhere in time, but for one
-// in a hundred.
+// InTime reports whether 99% of the changes were in force on a VM within
+// inForceBound, and all within 20 s.
 func (r *Report) InTime() bool {
-	return r.Absent == 0 && r.ForceP99 <= drive.Millis(forceLimit)
+	return r.NotInForce == 0 && r.InForceP99 <= drive.Millis(inForceBound)
 }
 
-// Race is a race under way.
-type Race struct {
+// Runner runs concurrent settings updates.
+type Runner struct {
 	fleet *plan.Fleet
 	http  http.Client
 	seed  uint64
 
-	mu       sync.Mutex
-	report   Report
-	accepted map[string]bool // ids of changes
-	refused  map[string]bool
-	times    map[string]int // how often a change was in a history at once
-	force    *drive.Histogram
+	mu            sync.Mutex
+	report        Report
+	accepted      map[string]bool // IDs of accepted changes
+	refused       map[string]bool
+	historyCounts map[string]int // by change ID: largest number of occurrences in one history
+	inForce       *drive.Histogram
 }
 
-// New makes a race in a fleet.
-func New(f *plan.Fleet, seed uint64) *Race {
-	return &Race{
-		fleet:    f,
-		http:     http.Client{Timeout: callTime},
-		seed:     seed,
-		accepted: map[string]bool{},
-		refused:  map[string]bool{},
-		times:    map[string]int{},
-		force:    drive.NewHistogram(),
+// New returns a runner for a fleet.
+func New(f *plan.Fleet, seed uint64) *Runner {
+	return &Runner{
+		fleet:         f,
+		http:          http.Client{Timeout: callTimeout},
+		seed:          seed,
+		accepted:      map[string]bool{},
+		refused:       map[string]bool{},
+		historyCounts: map[string]int{},
+		inForce:       drive.NewHistogram(),
 	}
 }
 
-// Run races operators until ctx ends, two on each workspace, and returns what
-// came of it.
-func (r *Race) Run(ctx context.Context) *Report {
+// Run runs four operators, two per workspace, until ctx ends, and returns the
+// checked result.
+func (r *Runner) Run(ctx context.Context) *Report {
 	var g errgroup.Group
 	for i := range 4 {
 		workspace := []string{plan.Installers, plan.Faultdesk}[i%2]
 		rng := rand.New(rand.NewPCG(r.seed, uint64(i)))
 		g.Go(func() error {
-			r.operate(ctx, workspace, i, rng)
+			r.runOperator(ctx, workspace, i, rng)
 			return nil
 		})
 	}
-	var rec errgroup.Group
-	recording, stop := context.WithCancel(context.Background())
-	rec.Go(func() error {
-		r.record(recording)
+	var poller errgroup.Group
+	pollCtx, stop := context.WithCancel(context.Background())
+	poller.Go(func() error {
+		r.pollHistories(pollCtx)
 		return nil
 	})
 	_ = g.Wait()
 	stop()
-	_ = rec.Wait()
+	_ = poller.Wait()
 	r.audit()
-	r.report.ForceP50 = drive.Millis(r.force.Percentile(50))
-	r.report.ForceP99 = drive.Millis(r.force.Percentile(99))
-	r.report.ForceMax = drive.Millis(r.force.Percentile(100))
+	r.report.InForceP50 = drive.Millis(r.inForce.Percentile(50))
+	r.report.InForceP99 = drive.Millis(r.inForce.Percentile(99))
+	r.report.InForceMax = drive.Millis(r.inForce.Percentile(100))
 	return &r.report
 }
 
-// operate is one operator: read, change the concurrency limit, write.
-func (r *Race) operate(ctx context.Context, workspace string, who int, rng *rand.Rand) {
+// runOperator simulates one operator that repeatedly reads the settings of a
+// workspace, changes the concurrency limit, and writes them back.
+func (r *Runner) runOperator(ctx context.Context, workspace string, operator int, rng *rand.Rand) {
 	path := "/workspaces/" + workspace
 	key := plan.OperatorKey(workspace)
-	for n := 0; ctx.Err() == nil; n++ {
+	for seq := 0; ctx.Err() == nil; seq++ {
 		time.Sleep(time.Duration(100+rng.IntN(900)) * time.Millisecond)
 		vm := r.fleet.Operators[rng.IntN(len(r.fleet.Operators))]
-		body, version, err := r.read(vm, path, key)
+		body, version, err := r.readSettings(vm, path, key)
 		if err != nil {
 			continue
 		}
-		id := fmt.Sprintf("c%d-%d-%d", r.seed, who, n)
-		changed := withLimit(body, 3000+rng.IntN(1000))
-		r.write(vm, path, key, id, version, changed, rng)
+		id := fmt.Sprintf("c%d-%d-%d", r.seed, operator, seq)
+		changed := withConcurrency(body, 3000+rng.IntN(1000))
+		r.writeSettings(vm, path, key, id, version, changed, rng)
 	}
 }
 
-// concurrency matches the member that operators change.
-var concurrency = regexp.MustCompile(`"concurrency":\s*\d+`)
+// concurrencyRE matches the member of the settings document that operators change.
+var concurrencyRE = regexp.MustCompile(`"concurrency":\s*\d+`)
 
-func withLimit(body []byte, n int) string {
-	return string(concurrency.ReplaceAll(body, []byte(`"concurrency":`+strconv.Itoa(n))))
+func withConcurrency(body []byte, n int) string {
+	return string(concurrencyRE.ReplaceAll(body, []byte(`"concurrency":`+strconv.Itoa(n))))
 }
 
-// reply is an operators' interface's answer.
-type reply struct {
+// response is a response of the operator API.
+type response struct {
 	status int
 	etag   string
 	body   []byte
 }
 
-func (r *Race) call(vm plan.Endpoint, method, path, key, body string, headers ...string) (*reply, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+func (r *Runner) call(vm plan.Endpoint, method, path, key, body string, headers ...string) (*response, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+vm.Address.String()+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // net/http must not send a change again by itself
+	req.GetBody = nil // keep net/http from retrying a change
 	req.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
@@ -169,12 +172,12 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	return &reply{status: resp.StatusCode, etag: resp.Header.Get("ETag"), body: data}, err
+	return &response{status: resp.StatusCode, etag: resp.Header.Get("ETag"), body: data}, err
 }
 
-var errStatus = errors.New("the answer has another status")
+var errStatus = errors.New("unexpected response status")
 
-func (r *Race) read(vm plan.Endpoint, path, key string) ([]byte, uint64, error) {
+func (r *Runner) readSettings(vm plan.Endpoint, path, key string) ([]byte, uint64, error) {
 	resp, err := r.call(vm, http.MethodGet, "/v1/settings"+path, key, "")
 	if err != nil {
 		return nil, 0, err
@@ -186,131 +189,132 @@
 	return resp.body, version, err
 }
 
-func (r *Race) write(vm plan.Endpoint, path, key, id string, from uint64, body string, rng *rand.Rand) {
+func (r *Runner) writeSettings(vm plan.Endpoint, path, key, id string, baseVersion uint64, body string, rng *rand.Rand) {
 	resp, err := r.call(vm, http.MethodPut, "/v1/settings"+path, key, body,
-		"If-Match", strconv.Quote(strconv.FormatUint(from, 10)), "Umberladder-Change", id)
+		"If-Match", strconv.Quote(strconv.FormatUint(baseVersion, 10)), "Umberladder-Change", id)
 	switch {
 	case err == nil && resp.status == http.StatusOK:
 		var res struct{ Version uint64 }
 		_ = json.Unmarshal(resp.body, &res)
-		r.note(func() { r.report.Accepted++; r.accepted[id] = true })
-		r.await(path, key, res.Version)
+		r.locked(func() { r.report.Accepted++; r.accepted[id] = true })
+		r.awaitInForce(path, key, res.Version)
 	case err == nil && resp.status == http.StatusPreconditionFailed:
-		r.note(func() { r.report.Conflicts++; r.refused[id] = true })
+		r.locked(func() { r.report.Conflicts++; r.refused[id] = true })
 	case err == nil && resp.status == http.StatusServiceUnavailable:
-		r.note(func() { r.report.Failed++; r.refused[id] = true })
+		r.locked(func() { r.report.Failed++; r.refused[id] = true })
 	default:
-		// Unknown, or the VM was killed before a word: ask by the id.
-		r.note(func() { r.report.Unknown++ })
-		r.settle(path, key, id, from, rng)
+		// The outcome is unknown, or the VM was killed before it responded: query the
+		// status of the change.
+		r.locked(func() { r.report.OutcomeUnknown++ })
+		r.resolveOutcome(path, key, id, baseVersion, rng)
 	}
 }
 
-func (r *Race) note(f func()) {
+func (r *Runner) locked(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-func (r *Race) settle(path, key, id string, from uint64, rng *rand.Rand) {
-	for range askTries {
+func (r *Runner) resolveOutcome(path, key, id string, baseVersion uint64, rng *rand.Rand) {
+	for range statusTries {
 		vm := r.fleet.Operators[rng.IntN(len(r.fleet.Operators))]
-		uri := fmt.Sprintf("/v1/changes/%s?path=%s&from=%d", id, path, from)
+		uri := fmt.Sprintf("/v1/changes/%s?path=%s&from=%d", id, path, baseVersion)
 		resp, err := r.call(vm, http.MethodGet, uri, key, "")
 		if err == nil && resp.status == http.StatusOK {
 			var res struct{ Status string }
 			_ = json.Unmarshal(resp.body, &res)
 			switch res.Status {
 			case "applied":
-				r.note(func() { r.accepted[id] = true })
+				r.locked(func() { r.accepted[id] = true })
 				return
 			case "not-applied":
-				r.note(func() { r.refused[id] = true })
+				r.locked(func() { r.refused[id] = true })
 				return
 			}
 		}
-		time.Sleep(askPause)
+		time.Sleep(statusPause)
 	}
-	r.note(func() { r.report.Unsettled++ })
+	r.locked(func() { r.report.Unsettled++ })
 }
 
-// await measures until the version is in force on every VM that answers, and
-// that none goes back meanwhile.
-func (r *Race) await(path, key string, version uint64) {
+// awaitInForce measures how long the version takes to be in force on each VM, and
+// counts VMs that revert to an older version meanwhile.
+func (r *Runner) awaitInForce(path, key string, version uint64) {
 	start := time.Now()
 	var g errgroup.Group
 	for _, vm := range r.fleet.Operators {
 		g.Go(func() error {
 			last := uint64(0)
-			for time.Since(start) < callTime {
-				_, v, err := r.read(vm, path, key)
+			for time.Since(start) < callTimeout {
+				_, v, err := r.readSettings(vm, path, key)
 				switch {
 				case err != nil:
-					last = 0 // it may be a new process from here on
+					last = 0 // the VM may have been restarted
 				case v < last:
-					r.note(func() { r.report.Reversions++ })
+					r.locked(func() { r.report.Reversions++ })
 				case v >= version:
-					r.force.Add(time.Since(start))
+					r.inForce.Add(time.Since(start))
 					return nil
 				default:
 					last = v
 				}
-				time.Sleep(pollEvery)
+				time.Sleep(pollInterval)
 			}
-			r.note(func() { r.report.Absent++ })
+			r.locked(func() { r.report.NotInForce++ })
 			return nil
 		})
 	}
 	_ = g.Wait()
 }
 
-// record reads the histories until ctx ends, and once more after it: a
-// history holds only a document's last changes.
-func (r *Race) record(ctx context.Context) {
+// pollHistories reads the histories periodically until ctx ends, because a history
+// holds only a document's last changes.
+func (r *Runner) pollHistories(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.readHistories(1)
-		retry.Pause(ctx, recordEvery)
+		retry.Pause(ctx, historyInterval)
 	}
 }
 
-func (r *Race) readHistories(tries int) {
+func (r *Runner) readHistories(tries int) {
 	for _, workspace := range []string{plan.Installers, plan.Faultdesk} {
-		if times := r.history("/workspaces/"+workspace, plan.OperatorKey(workspace), tries); times != nil {
-			r.note(func() {
-				for id, n := range times {
-					r.times[id] = max(r.times[id], n)
+		if counts := r.changeCounts("/workspaces/"+workspace, plan.OperatorKey(workspace), tries); counts != nil {
+			r.locked(func() {
+				for id, n := range counts {
+					r.historyCounts[id] = max(r.historyCounts[id], n)
 				}
 			})
 		}
 	}
 }
 
-// audit holds every answer against the histories.
-func (r *Race) audit() {
-	r.readHistories(askTries)
+// audit reads the histories once more and checks every response against them.
+func (r *Runner) audit() {
+	r.readHistories(statusTries)
 	for id := range r.accepted {
-		if r.times[id] == 0 {
+		if r.historyCounts[id] == 0 {
 			r.report.Lost++
 		}
 	}
 	for id := range r.refused {
-		if r.times[id] > 0 {
-			r.report.False++
+		if r.historyCounts[id] > 0 {
+			r.report.FalseResponses++
 		}
 	}
-	for _, n := range r.times {
+	for _, n := range r.historyCounts {
 		if n > 1 {
-			r.report.Twice++
+			r.report.AppliedTwice++
 		}
 	}
 }
 
-// history returns how often each change is in a document's history, or nil if
-// no VM can tell.
-func (r *Race) history(path, key string, tries int) map[string]int {
+// changeCounts returns how often each change occurs in a document's history, or
+// nil if no VM returns the history.
+func (r *Runner) changeCounts(path, key string, tries int) map[string]int {
 	for try := range tries {
 		if try > 0 {
-			time.Sleep(askPause)
+			time.Sleep(statusPause)
 		}
 		for _, vm := range r.fleet.Operators {
 			resp, err := r.call(vm, http.MethodGet, "/v1/history"+path, key, "")
@@ -321,11 +325,11 @@
 			if json.Unmarshal(resp.body, &h) != nil {
 				continue
 			}
-			times := map[string]int{}
+			counts := map[string]int{}
 			for _, c := range h.Changes {
-				times[c.Change]++
+				counts[c.Change]++
 			}
-			return times
+			return counts
 		}
 	}
 	return nil
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -231,7 +231,7 @@
 	if r == nil {
 		return true
 	}
-	return r.Held() && (!sc.Graceful || r.InTime())
+	return r.Passed() && (!sc.Graceful || r.InTime())
 }
 
 // Run runs the scenario on a running fleet.
--- a/internal/load/trial/trial.go
+++ b/internal/load/trial/trial.go
@@ -1,8 +1,9 @@
-// Package trial puts the decisions of a few VMs before a few stand-in engines,
-// without a network, so that a change of policy can be judged in seconds. Run
-// in virtual time it is repeatable up to the order of goroutines. It is no
-// model of a cluster: VMs and engines are the real code, in one process, and
-// whatever depends on the network is measured with processes.
+// Package trial runs the placement code of a few VMs against a few fake engines
+// in one process and without a network, so that a change of the placement policy
+// can be evaluated in seconds. In virtual time, results are reproducible up to
+// the scheduling order of goroutines. VMs and engines are not modelled: they run
+// the same code as in separate processes. Effects of the network are not covered;
+// they are measured with separate processes (cmd/stress).
 package trial
 
 import (
@@ -29,77 +30,77 @@
 )
 
 const (
-	firstPace   = 440 * time.Millisecond
-	tokenPace   = 100 * time.Millisecond
-	pollEvery   = 250 * time.Millisecond
-	urgentShare = 0.4
-	urgentMost  = 12
-	median      = 120.0
-	spread      = 0.9
-	longest     = 1500
-	// perEngine is how many generations of this mixture a second fill an
-	// engine of engine.DefaultConfig; see docs/design/05-admission.md.
-	perEngine = 38.0
+	firstTokenPace  = 440 * time.Millisecond
+	tokenPace       = 100 * time.Millisecond
+	pollInterval    = 250 * time.Millisecond
+	urgentShare     = 0.4
+	maxUrgentTokens = 12
+	medianTokens    = 120.0
+	lengthSigma     = 0.9
+	maxTokens       = 1500
+	// engineCapacity is the number of generations of this mix per second that
+	// saturate an engine of engine.DefaultConfig; see docs/design/05-admission.md.
+	engineCapacity = 38.0
 )
 
-// Config is one trial.
+// Config describes one trial.
 type Config struct {
-	Placement string
-	VMs       int
-	Engines   int
-	Load      float64 // arrivals, as a share of what the engines can carry
-	Time      time.Duration
-	Warm      time.Duration // not counted
-	Overflow  float64       // bound on the chance of overflow
-	Reserve   float64       // memory share kept for urgent calls
-	Seed      uint64
+	Placement      string
+	VMs            int
+	Engines        int
+	Load           float64 // arrival rate, as a fraction of the engines' capacity
+	Duration       time.Duration
+	Warmup         time.Duration // from the start; requests that arrive in it are not counted
+	OverflowChance float64       // upper bound on the probability that an engine's memory overflows
+	Reserve        float64       // share of engine memory that is reserved for urgent calls
+	Seed           uint64
 }
 
-// Figures are what a trial measured.
-type Figures struct {
+// Result holds the measurements of a trial.
+type Result struct {
 	Config
 	Requests   int
 	Complete   int
 	Refused    int
 	Preempted  int
-	Stall      time.Duration // of all requests
+	TotalStall time.Duration // summed over all requests
 	GapP50     time.Duration
 	GapP99     time.Duration
 	FirstP99   time.Duration
 	UrgentP99  time.Duration
-	Goodput    float64 // tokens a second of complete generations
+	Goodput    float64 // tokens per second, of complete generations
 	Violations uint64
 }
 
-// Per1000 returns the preemptions per 1,000 complete requests.
-func (f *Figures) Per1000() float64 {
-	return 1000 * float64(f.Preempted) / math.Max(1, float64(f.Complete))
+// PreemptedPer1000 returns the preemptions per 1,000 complete requests.
+func (res *Result) PreemptedPer1000() float64 {
+	return 1000 * float64(res.Preempted) / math.Max(1, float64(res.Complete))
 }
 
-// StallEach returns the mean stall time of a request.
-func (f *Figures) StallEach() time.Duration {
-	return f.Stall / time.Duration(max(1, f.Requests))
+// MeanStall returns the mean stall time per request.
+func (res *Result) MeanStall() time.Duration {
+	return res.TotalStall / time.Duration(max(1, res.Requests))
 }
 
-// Run runs a trial to its end.
-func Run(ctx context.Context, cfg Config) *Figures {
+// Run runs a trial until all its requests have ended.
+func Run(ctx context.Context, cfg Config) *Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := newRun(cfg)
-	var loops, requests errgroup.Group
+	var background, requests errgroup.Group
 	for _, e := range r.engines {
-		loops.Go(func() error { return e.Run(ctx) })
+		background.Go(func() error { return e.Run(ctx) })
 	}
 	for _, p := range r.pools {
 		for _, e := range r.engines {
-			loops.Go(func() error { return r.poll(ctx, p, e) })
+			background.Go(func() error { return r.poll(ctx, p, e) })
 		}
 	}
-	r.arrivals(&requests)
+	r.generateRequests(&requests)
 	_ = requests.Wait()
 	cancel()
-	_ = loops.Wait()
-	return r.figures()
+	_ = background.Wait()
+	return r.finish()
 }
 
 type run struct {
@@ -107,33 +108,33 @@
 	rng      *rand.Rand
 	engines  map[ident.Server]*engine.Engine
 	pools    []*pool.Pool
-	book     *invar.Book
+	checker  *invar.Book
 	services map[bool]*config.Service
 	classes  map[bool]*config.Class
 	start    time.Time
 
-	mu     sync.Mutex
-	fig    Figures
-	tokens int
-	gaps   *drive.Histogram
-	first  *drive.Histogram
-	urgent *drive.Histogram
+	mu         sync.Mutex
+	result     Result
+	tokens     int
+	gaps       *drive.Histogram
+	firstToken *drive.Histogram
+	urgent     *drive.Histogram
 }
 
 func newRun(cfg Config) *run {
 	r := &run{
-		cfg:     cfg,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, 30)),
-		engines: map[ident.Server]*engine.Engine{},
-		book:    &invar.Book{},
-		start:   time.Now(),
-		fig:     Figures{Config: cfg},
-		gaps:    drive.NewHistogram(),
-		first:   drive.NewHistogram(),
-		urgent:  drive.NewHistogram(),
+		cfg:        cfg,
+		rng:        rand.New(rand.NewPCG(cfg.Seed, 30)),
+		engines:    map[ident.Server]*engine.Engine{},
+		checker:    &invar.Book{},
+		start:      time.Now(),
+		result:     Result{Config: cfg},
+		gaps:       drive.NewHistogram(),
+		firstToken: drive.NewHistogram(),
+		urgent:     drive.NewHistogram(),
 		services: map[bool]*config.Service{
-			false: {Name: "long", OverflowChance: cfg.Overflow},
-			true:  {Name: "short", OverflowChance: cfg.Overflow},
+			false: {Name: "long", OverflowChance: cfg.OverflowChance},
+			true:  {Name: "short", OverflowChance: cfg.OverflowChance},
 		},
 		classes: map[bool]*config.Class{
 			false: {Name: "standard", Rank: 1, MaxWait: 20 * time.Second},
@@ -147,97 +148,98 @@
 		servers = append(servers, config.Server{Name: name})
 	}
 	for range cfg.VMs {
-		p := pool.New("m", place.New(cfg.Placement), func() int { return cfg.VMs }, r.book, rand.New(rand.NewPCG(r.rng.Uint64(), 0)))
+		p := pool.New("m", place.New(cfg.Placement), func() int { return cfg.VMs }, r.checker, rand.New(rand.NewPCG(r.rng.Uint64(), 0)))
 		p.Update(servers)
 		r.pools = append(r.pools, p)
 	}
 	return r
 }
 
-// poll reads an engine's reports for one VM, at its own times.
+// poll reads an engine's load reports for one VM, at random intervals of
+// pollInterval on average.
 func (r *run) poll(ctx context.Context, p *pool.Pool, e *engine.Engine) error {
 	r.mu.Lock()
 	rng := rand.New(rand.NewPCG(r.rng.Uint64(), 0))
 	r.mu.Unlock()
 	for ctx.Err() == nil {
-		l := e.Report()
+		load := e.Report()
 		p.Report(ident.Server(e.Name()), peer.Load{
-			Running:    l.Running,
-			Waiting:    l.Waiting,
-			MemoryUsed: l.MemoryUsed,
-			MemorySize: l.MemorySize,
-			At:         l.At,
+			Running:    load.Running,
+			Waiting:    load.Waiting,
+			MemoryUsed: load.MemoryUsed,
+			MemorySize: load.MemorySize,
+			At:         load.At,
 		}, time.Now())
-		retry.Pause(ctx, pollEvery/2+time.Duration(rng.Int64N(int64(pollEvery))))
+		retry.Pause(ctx, pollInterval/2+time.Duration(rng.Int64N(int64(pollInterval))))
 	}
 	return nil
 }
 
-func (r *run) arrivals(g *errgroup.Group) {
+func (r *run) generateRequests(requests *errgroup.Group) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 31))
-	rate := r.cfg.Load * perEngine * float64(r.cfg.Engines)
-	time.Sleep(time.Second) // until every VM has read every report
-	for n := 0; time.Since(r.start) < r.cfg.Time; n++ {
+	rate := r.cfg.Load * engineCapacity * float64(r.cfg.Engines)
+	time.Sleep(time.Second) // until every VM has polled every engine
+	for n := 0; time.Since(r.start) < r.cfg.Duration; n++ {
 		time.Sleep(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		urgent := rng.Float64() < urgentShare
-		o := prompt.Order{Seed: rng.Uint64(), Tag: fmt.Sprint(n), Tokens: 1 + rng.IntN(urgentMost)}
+		spec := prompt.Order{Seed: rng.Uint64(), Tag: fmt.Sprint(n), Tokens: 1 + rng.IntN(maxUrgentTokens)}
 		if !urgent {
-			o.Tokens = min(longest, max(1, int(median*math.Exp(spread*rng.NormFloat64()))))
+			spec.Tokens = min(maxTokens, max(1, int(medianTokens*math.Exp(lengthSigma*rng.NormFloat64()))))
 		}
 		p := r.pools[rng.IntN(len(r.pools))]
-		g.Go(func() error {
-			r.request(p, o, urgent)
+		requests.Go(func() error {
+			r.runRequest(p, spec, urgent)
 			return nil
 		})
 	}
 }
 
-// request is one generation from its arrival to its end.
-func (r *run) request(p *pool.Pool, o prompt.Order, urgent bool) {
+// runRequest runs one generation from its arrival to its end.
+func (r *run) runRequest(p *pool.Pool, spec prompt.Order, urgent bool) {
 	start := time.Now()
-	ask := &pool.Ask{Service: r.services[urgent], Class: r.classes[urgent], Prompt: len(o.Prompt())/4 + 1}
+	req := &pool.Ask{Service: r.services[urgent], Class: r.classes[urgent], Prompt: len(spec.Prompt())/4 + 1}
 	if !urgent {
-		ask.Reserve = r.cfg.Reserve
+		req.Reserve = r.cfg.Reserve
 	}
-	counted := time.Since(r.start) > r.cfg.Warm
-	seat, refusal := p.Acquire(context.Background(), ask)
+	counted := time.Since(r.start) > r.cfg.Warmup
+	reservation, refusal := p.Acquire(context.Background(), req)
 	if refusal != nil {
-		r.note(counted, func() {
-			r.fig.Requests++
-			r.fig.Refused++
-			r.fig.Stall += stallOf(time.Since(start), firstPace)
+		r.record(counted, func() {
+			r.result.Requests++
+			r.result.Refused++
+			r.result.TotalStall += stallTime(time.Since(start), firstTokenPace)
 		})
 		return
 	}
-	last, pace, stall, n := start, firstPace, time.Duration(0), 0
-	preempted := r.engines[seat.Server.Name].Follow(o.Tag, o.Prompt(), ask.Class.Rank, func(produced int) {
+	last, pace, stall, tokens := start, firstTokenPace, time.Duration(0), 0
+	preempted := r.engines[reservation.Server.Name].Follow(spec.Tag, spec.Prompt(), req.Class.Rank, func(produced int) {
 		gap := time.Since(last)
-		stall += stallOf(gap, pace)
-		if counted && n > 0 {
+		stall += stallTime(gap, pace)
+		if counted && tokens > 0 {
 			r.gaps.Add(gap)
 		}
-		if counted && n == 0 && !urgent {
-			r.first.Add(gap)
+		if counted && tokens == 0 && !urgent {
+			r.firstToken.Add(gap)
 		}
-		last, pace, n = time.Now(), tokenPace, produced
-		seat.Progress(produced)
+		last, pace, tokens = time.Now(), tokenPace, produced
+		reservation.Progress(produced)
 	})
-	seat.Release(pool.Whole, time.Now())
-	r.note(counted, func() {
-		r.fig.Requests++
-		r.fig.Complete++
-		r.fig.Preempted += preempted
-		r.fig.Stall += stall
-		r.tokens += n
+	reservation.Release(pool.Whole, time.Now())
+	r.record(counted, func() {
+		r.result.Requests++
+		r.result.Complete++
+		r.result.Preempted += preempted
+		r.result.TotalStall += stall
+		r.tokens += tokens
 		if urgent {
 			r.urgent.Add(time.Since(start))
 		}
 	})
 }
 
-func stallOf(gap, pace time.Duration) time.Duration { return max(0, gap-pace) }
+func stallTime(gap, pace time.Duration) time.Duration { return max(0, gap-pace) }
 
-func (r *run) note(counted bool, f func()) {
+func (r *run) record(counted bool, f func()) {
 	if !counted {
 		return
 	}
@@ -246,11 +248,11 @@
 	f()
 }
 
-func (r *run) figures() *Figures {
-	f := &r.fig
-	f.GapP50, f.GapP99 = r.gaps.Percentile(50), r.gaps.Percentile(99)
-	f.FirstP99, f.UrgentP99 = r.first.Percentile(99), r.urgent.Percentile(99)
-	f.Goodput = float64(r.tokens) / (r.cfg.Time - r.cfg.Warm).Seconds()
-	f.Violations = r.book.Total()
-	return f
+func (r *run) finish() *Result {
+	res := &r.result
+	res.GapP50, res.GapP99 = r.gaps.Percentile(50), r.gaps.Percentile(99)
+	res.FirstP99, res.UrgentP99 = r.firstToken.Percentile(99), r.urgent.Percentile(99)
+	res.Goodput = float64(r.tokens) / (r.cfg.Duration - r.cfg.Warmup).Seconds()
+	res.Violations = r.checker.Total()
+	return res
 }
--- a/internal/load/trial/trial_test.go
+++ b/internal/load/trial/trial_test.go
@@ -16,42 +16,42 @@
 	"umberladder/internal/load/drive"
 )
 
-// The flags of the table in docs/design/05-admission.md.
+// Flags for the table and the charts in docs/design/05-admission.md.
 var (
 	rounds   = flag.Bool("rounds", false, "run every trial and print the table")
-	overflow = flag.Float64("overflow", 0.05, "bound on the chance of overflow")
-	reserve  = flag.Float64("reserve", 0.1, "memory share kept for urgent calls")
-	charts   = flag.String("charts", "", "run the trials of the charts and write them to this folder")
+	overflow = flag.Float64("overflow", 0.05, "upper bound on the probability of memory overflow")
+	reserve  = flag.Float64("reserve", 0.1, "share of memory that is reserved for urgent calls")
+	charts   = flag.String("charts", "", "run the trials of the charts and write the charts to this directory")
 )
 
-func base(placement string, load float64, vms int) Config {
+func baseConfig(placement string, load float64, vms int) Config {
 	return Config{
-		Placement: placement,
-		VMs:       vms,
-		Engines:   4,
-		Load:      load,
-		Time:      40 * time.Second,
-		Warm:      10 * time.Second,
-		Overflow:  *overflow,
-		Reserve:   *reserve,
-		Seed:      1,
+		Placement:      placement,
+		VMs:            vms,
+		Engines:        4,
+		Load:           load,
+		Duration:       40 * time.Second,
+		Warmup:         10 * time.Second,
+		OverflowChance: *overflow,
+		Reserve:        *reserve,
+		Seed:           1,
 	}
 }
 
-func try(t *testing.T, cfg Config) *Figures {
+func runTrial(t *testing.T, cfg Config) *Result {
 	t.Helper()
-	var f *Figures
-	synctest.Test(t, func(*testing.T) { f = Run(context.Background(), cfg) })
-	assert.Equal(t, f.Violations, uint64(0))
-	return f
+	var res *Result
+	synctest.Test(t, func(*testing.T) { res = Run(context.Background(), cfg) })
+	assert.Equal(t, res.Violations, uint64(0))
+	return res
 }
 
-const header = "| placement | VMs | load | requests | refused | stall ms | preempted /1000 | gap p50 | gap p99 | first p99 | urgent p99 | tokens/s |"
+const tableHeader = "| placement | VMs | load | requests | refused | stall ms | preempted /1000 | gap p50 | gap p99 | first p99 | urgent p99 | tokens/s |"
 
-func row(f *Figures) string {
+func tableRow(res *Result) string {
 	return fmt.Sprintf("| %s | %d | %.1f | %d | %d | %.1f | %.1f | %.1f | %.1f | %d | %d | %.0f |",
-		f.Placement, f.VMs, f.Load, f.Requests, f.Refused, drive.Millis(f.StallEach()), f.Per1000(), drive.Millis(f.GapP50), drive.Millis(f.GapP99),
-		f.FirstP99.Milliseconds(), f.UrgentP99.Milliseconds(), f.Goodput)
+		res.Placement, res.VMs, res.Load, res.Requests, res.Refused, drive.Millis(res.MeanStall()), res.PreemptedPer1000(), drive.Millis(res.GapP50), drive.Millis(res.GapP99),
+		res.FirstP99.Milliseconds(), res.UrgentP99.Milliseconds(), res.Goodput)
 }
 
 var placements = []string{"round-robin", "least-load", "two-choices", "predicted"}
@@ -60,19 +60,19 @@
 	if !*rounds {
 		t.Skip("a table for people; run with -rounds")
 	}
-	fmt.Fprintln(os.Stdout, header)
+	fmt.Fprintln(os.Stdout, tableHeader)
 	for _, load := range []float64{0.7, 1.0, 1.3} {
 		for _, p := range placements {
-			t.Run(fmt.Sprintf("%s-%.1f", p, load), func(t *testing.T) { fmt.Fprintln(os.Stdout, row(try(t, base(p, load, 7)))) })
+			t.Run(fmt.Sprintf("%s-%.1f", p, load), func(t *testing.T) { fmt.Fprintln(os.Stdout, tableRow(runTrial(t, baseConfig(p, load, 7)))) })
 		}
 	}
 	for _, vms := range []int{1, 3, 14, 28} {
-		t.Run(fmt.Sprintf("vms-%d", vms), func(t *testing.T) { fmt.Fprintln(os.Stdout, row(try(t, base("predicted", 1.0, vms)))) })
+		t.Run(fmt.Sprintf("vms-%d", vms), func(t *testing.T) { fmt.Fprintln(os.Stdout, tableRow(runTrial(t, baseConfig("predicted", 1.0, vms)))) })
 	}
 }
 
-// TestCharts draws the measures that the users care for, by load: the baselines
-// with seven VMs, and the prediction by one home for all.
+// TestCharts draws the measures that matter to users, by load: the baselines with
+// seven deciding VMs, and the predictive placement with one coordinator.
 func TestCharts(t *testing.T) {
 	if *charts == "" {
 		t.Skip("charts for people; run with -charts FOLDER")
@@ -81,25 +81,25 @@
 	groups := []string{"0.7 of load", "1.0", "1.3"}
 	measures := map[string]struct {
 		title, unit string
-		of          func(*Figures) float64
+		of          func(*Result) float64
 		series      []chart.Series
 	}{
-		"stall":       {title: "Stall time of a request", unit: "ms", of: func(f *Figures) float64 { return drive.Millis(f.StallEach()) }},
-		"preemptions": {title: "Preemptions", unit: "per 1,000 requests", of: (*Figures).Per1000},
-		"token-gap":   {title: "Time between tokens, 99 in 100", unit: "ms", of: func(f *Figures) float64 { return drive.Millis(f.GapP99) }},
+		"stall":       {title: "Stall time of a request", unit: "ms", of: func(f *Result) float64 { return drive.Millis(f.MeanStall()) }},
+		"preemptions": {title: "Preemptions", unit: "per 1,000 requests", of: (*Result).PreemptedPer1000},
+		"token-gap":   {title: "Time between tokens, 99 in 100", unit: "ms", of: func(f *Result) float64 { return drive.Millis(f.GapP99) }},
 	}
 	for _, p := range placements {
 		vms := 7
 		if p == "predicted" {
 			vms = 1
 		}
-		var figures []*Figures
+		var results []*Result
 		for _, load := range loads {
-			figures = append(figures, try(t, base(p, load, vms)))
+			results = append(results, runTrial(t, baseConfig(p, load, vms)))
 		}
 		for name, m := range measures {
 			s := chart.Series{Name: p}
-			for _, f := range figures {
+			for _, f := range results {
 				s.Values = append(s.Values, m.of(f))
 			}
 			m.series = append(m.series, s)
@@ -111,18 +111,19 @@
 	}
 }
 
-// TestPredictedBeatsTwoChoices holds the policy to what it is for, with one VM
-// deciding: fewer preemptions and no more than the baseline's stall, at equal
+// TestPredictedBeatsTwoChoices checks the purpose of the predictive placement with
+// one deciding VM: less than half the preemptions of the baseline, at equal
 // goodput.
 func TestPredictedBeatsTwoChoices(t *testing.T) {
-	best, got := try(t, base("two-choices", 1.0, 1)), try(t, short("predicted", 1.0, 1))
-	assert.Assert(t, got.Per1000() < best.Per1000()/2, "%.1f preemptions against %.1f", got.Per1000(), best.Per1000())
-	assert.Assert(t, got.Goodput > 0.98*best.Goodput)
+	baseline, predicted := runTrial(t, baseConfig("two-choices", 1.0, 1)), runTrial(t, stallConfig("predicted", 1.0, 1))
+	assert.Assert(t, predicted.PreemptedPer1000() < baseline.PreemptedPer1000()/2, "%.1f preemptions against %.1f", predicted.PreemptedPer1000(), baseline.PreemptedPer1000())
+	assert.Assert(t, predicted.Goodput > 0.98*baseline.Goodput)
 }
 
-// short is base with the bound that services of objective stall-time get.
-func short(placement string, load float64, vms int) Config {
-	cfg := base(placement, load, vms)
-	cfg.Overflow = 0.3
+// stallConfig is baseConfig with the overflow bound of services with objective
+// stall-time.
+func stallConfig(placement string, load float64, vms int) Config {
+	cfg := baseConfig(placement, load, vms)
+	cfg.OverflowChance = 0.3
 	return cfg
 }
