--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs small stand-ins of what others own: the platform's
-// key-value service and VM list, model engines, and plain servers. They are
-// for trials and tests only.
+// Command standin runs small fakes of external systems: the platform's key-value
+// store and VM list, model engines, and plain servers. They are for tests and
+// measurements only.
 package main
 
 import (
@@ -31,14 +31,14 @@
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	root := &cobra.Command{Use: "standin", Short: "Run a stand-in of what others own", SilenceUsage: true}
-	root.AddCommand(newPlatform(), newEngine(), newPlain(), newCopy())
+	root := &cobra.Command{Use: "standin", Short: "Run a fake of an external system", SilenceUsage: true}
+	root.AddCommand(newPlatform(), newEngine(), newPlain(), newProxy())
 	if err := root.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
 }
 
-// server answers on a listener until its context ends.
+// server serves requests on a listener until its context ends.
 type server interface {
 	Serve(ctx context.Context, ln net.Listener) error
 }
@@ -49,7 +49,7 @@
 		return nil, trace.BadParameter("want an IP address with a port, got %q", addr)
 	}
 	if !a.Addr().IsLoopback() {
-		return nil, trace.BadParameter("a stand-in listens on loopback addresses only, not on %s", addr)
+		return nil, trace.BadParameter("fakes listen on loopback addresses only, not on %s", addr)
 	}
 	ln, err := net.Listen("tcp", addr)
 	return ln, trace.Wrap(err)
@@ -64,19 +64,19 @@
 	return nil
 }
 
-// serveAll makes a server for each NAME=ADDRESS, with a record of its own, and
-// waits for all to end.
-func serveAll(ctx context.Context, g *errgroup.Group, addrs []string, records string, build func(string, *record.Record) server) error {
-	for _, at := range addrs {
-		name, addr, err := split(at)
+// serveAll starts a server with its own run log for each NAME=ADDRESS, and waits
+// for all of them to end.
+func serveAll(ctx context.Context, g *errgroup.Group, addrs []string, dir string, build func(string, *record.Record) server) error {
+	for _, arg := range addrs {
+		name, addr, err := splitNameAddr(arg)
 		if err != nil {
 			return err
 		}
-		rec, err := openRecord(records, name)
+		runLog, err := openRunLog(dir, name)
 		if err != nil {
 			return err
 		}
-		if err := serveOn(ctx, g, addr, build(name, rec)); err != nil {
+		if err := serveOn(ctx, g, addr, build(name, runLog)); err != nil {
 			return err
 		}
 	}
@@ -90,7 +90,7 @@
 	var docs, vms []string
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "The key-value service and the lagging VM list",
+		Short: "Run the key-value store and the VM list, which lags",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			g, ctx := errgroup.WithContext(c.Context())
@@ -98,7 +98,7 @@
 			if err != nil {
 				return err
 			}
-			list, err := newRoster(vms)
+			list, err := newVMList(vms)
 			if err != nil {
 				return err
 			}
@@ -111,11 +111,11 @@
 			return g.Wait()
 		},
 	}
-	c.Flags().StringVar(&storeAddr, "store", "127.0.0.2:7000", "address of the key-value service")
+	c.Flags().StringVar(&storeAddr, "store", "127.0.0.2:7000", "address of the key-value store")
 	c.Flags().StringVar(&listAddr, "vm-list", "127.0.0.2:7001", "address of the VM list")
-	c.Flags().DurationVar(&lag, "lag", 2*time.Second, "how far the VM list lags")
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the lost replies")
-	c.Flags().StringArrayVar(&docs, "settings", nil, "PATH=FILE of a settings document that is there from the start")
+	c.Flags().DurationVar(&lag, "lag", 2*time.Second, "delay of changes in the VM list")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the choice of lost replies")
+	c.Flags().StringArrayVar(&docs, "settings", nil, "PATH=FILE of an initial settings document; may be repeated")
 	c.Flags().StringArrayVar(&vms, "vm", nil, "NAME=ADDRESS=DOMAIN of a VM on the list; may be repeated")
 	return c
 }
@@ -123,60 +123,60 @@
 func newEngine() *cobra.Command {
 	cfg := engine.DefaultConfig("")
 	var addrs []string
-	var records string
+	var runLogDir string
 	c := &cobra.Command{
 		Use:     "engine",
-		Short:   "Model engines, one for each address",
+		Short:   "Run model engines, one per address",
 		Example: "  standin engine --at engine-1=127.0.0.3:9001 --at engine-2=127.0.0.3:9002",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			g, ctx := errgroup.WithContext(c.Context())
-			return serveAll(ctx, g, addrs, records, func(name string, rec *record.Record) server {
-				one := cfg
-				one.Name = name
-				e := engine.New(one, rec)
+			return serveAll(ctx, g, addrs, runLogDir, func(name string, runLog *record.Record) server {
+				engineCfg := cfg
+				engineCfg.Name = name
+				e := engine.New(engineCfg, runLog)
 				g.Go(func() error { return e.Run(ctx) })
 				return e
 			})
 		},
 	}
 	c.Flags().StringArrayVar(&addrs, "at", nil, "NAME=ADDRESS of an engine; may be repeated")
-	c.Flags().StringVar(&records, "records", "", "folder for the records of what ran")
-	c.Flags().IntVar(&cfg.Memory, "memory", cfg.Memory, "tokens of memory")
-	c.Flags().IntVar(&cfg.Batch, "batch", cfg.Batch, "most streams in a step")
-	c.Flags().DurationVar(&cfg.StepBase, "step", cfg.StepBase, "time of a step")
-	c.Flags().DurationVar(&cfg.StepStream, "step-stream", cfg.StepStream, "time added for each stream")
-	c.Flags().BoolVar(&cfg.Fencing, "fencing", false, "refuse orders with an old fencing number")
+	c.Flags().StringVar(&runLogDir, "records", "", "directory for the run logs")
+	c.Flags().IntVar(&cfg.Memory, "memory", cfg.Memory, "memory of an engine, in tokens")
+	c.Flags().IntVar(&cfg.Batch, "batch", cfg.Batch, "maximum batch size, in streams")
+	c.Flags().DurationVar(&cfg.StepBase, "step", cfg.StepBase, "base time of a step")
+	c.Flags().DurationVar(&cfg.StepStream, "step-stream", cfg.StepStream, "time that each stream adds to a step")
+	c.Flags().BoolVar(&cfg.Fencing, "fencing", false, "refuse commands with an old fencing number")
 	c.Flags().DurationVar(&cfg.ReportLag, "report-lag", cfg.ReportLag, "age of the load reports")
 	return c
 }
 
 func newPlain() *cobra.Command {
 	var addrs []string
-	var records string
+	var runLogDir string
 	c := &cobra.Command{
 		Use:   "plain",
-		Short: "Plain HTTP servers, one for each address",
+		Short: "Run plain HTTP servers, one per address",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			g, ctx := errgroup.WithContext(c.Context())
-			return serveAll(ctx, g, addrs, records, func(name string, rec *record.Record) server {
-				return plain.New(name, rec)
+			return serveAll(ctx, g, addrs, runLogDir, func(name string, runLog *record.Record) server {
+				return plain.New(name, runLog)
 			})
 		},
 	}
 	c.Flags().StringArrayVar(&addrs, "at", nil, "NAME=ADDRESS of a server; may be repeated")
-	c.Flags().StringVar(&records, "records", "", "folder for the records of what ran")
+	c.Flags().StringVar(&runLogDir, "records", "", "directory for the run logs")
 	return c
 }
 
-// newTable returns a table that holds the settings documents.
+// newTable returns a store table that holds the settings documents.
 func newTable(docs []string) (*store.Table, error) {
 	t := store.NewTable()
-	for _, d := range docs {
-		path, file, ok := strings.Cut(d, "=")
+	for _, arg := range docs {
+		path, file, ok := strings.Cut(arg, "=")
 		if !ok {
-			return nil, trace.BadParameter("want PATH=FILE, got %q", d)
+			return nil, trace.BadParameter("want PATH=FILE, got %q", arg)
 		}
 		body, err := os.ReadFile(file)
 		if err != nil {
@@ -192,55 +192,57 @@
 	return t, nil
 }
 
-func newRoster(vms []string) (*roster.Roster, error) {
-	r := roster.New()
+func newVMList(vms []string) (*roster.Roster, error) {
+	list := roster.New()
 	for _, vm := range vms {
-		part := strings.Split(vm, "=")
-		if len(part) != 3 {
+		fields := strings.Split(vm, "=")
+		if len(fields) != 3 {
 			return nil, trace.BadParameter("want NAME=ADDRESS=DOMAIN, got %q", vm)
 		}
-		r.Set(roster.VM{Name: part[0], Address: part[1], Domain: part[2]})
+		list.Set(roster.VM{Name: fields[0], Address: fields[1], Domain: fields[2]})
 	}
-	return r, nil
+	return list, nil
 }
 
-// openRecord opens the record of one stand-in, in memory without a folder.
-func openRecord(dir, name string) (*record.Record, error) {
+// openRunLog opens the run log of one fake server. Without a directory it is kept
+// in memory only.
+func openRunLog(dir, name string) (*record.Record, error) {
 	if dir == "" {
 		return record.New(), nil
 	}
-	r, err := record.Open(filepath.Join(dir, name+".runs"))
-	return r, trace.Wrap(err)
+	runLog, err := record.Open(filepath.Join(dir, name+".runs"))
+	return runLog, trace.Wrap(err)
 }
 
-// newCopy copies engines' streams and does nothing else, for measurements.
-func newCopy() *cobra.Command {
-	var addr, to string
+// newProxy returns the command that runs a pass-through proxy for an engine, as a
+// baseline for measurements.
+func newProxy() *cobra.Command {
+	var addr, engineArg string
 	c := &cobra.Command{
 		Use:   "copy",
-		Short: "A bare copy of one engine's answers, to measure against",
+		Short: "Run a pass-through proxy for one engine, as a baseline for measurements",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			engineAt, err := netip.ParseAddrPort(to)
+			engineAddr, err := netip.ParseAddrPort(engineArg)
 			if err != nil {
-				return trace.BadParameter("--engine: want an IP address with a port, got %q", to)
+				return trace.BadParameter("--engine: want an IP address with a port, got %q", engineArg)
 			}
 			g, ctx := errgroup.WithContext(c.Context())
-			if err := serveOn(ctx, g, addr, copier.New(engineAt)); err != nil {
+			if err := serveOn(ctx, g, addr, copier.New(engineAddr)); err != nil {
 				return err
 			}
 			return g.Wait()
 		},
 	}
 	c.Flags().StringVar(&addr, "at", "", "address to listen on")
-	c.Flags().StringVar(&to, "engine", "", "address of the engine")
+	c.Flags().StringVar(&engineArg, "engine", "", "address of the engine")
 	return c
 }
 
-func split(at string) (string, string, error) {
-	name, addr, ok := strings.Cut(at, "=")
+func splitNameAddr(arg string) (string, string, error) {
+	name, addr, ok := strings.Cut(arg, "=")
 	if !ok || name == "" {
-		return "", "", fmt.Errorf("want NAME=ADDRESS, got %q", at)
+		return "", "", fmt.Errorf("want NAME=ADDRESS, got %q", arg)
 	}
 	return name, addr, nil
 }
--- a/cmd/stress/claims.go
+++ b/cmd/stress/claims.go
@@ -14,7 +14,7 @@
 	"umberladder/internal/load/plan"
 )
 
-// claimWire is what an idempotency key costs a call.
+// claimWire holds the cost of one kind of idempotency key per call.
 type claimWire struct {
 	Key        string  `json:"key"`
 	Calls      int     `json:"calls"`
@@ -23,7 +23,8 @@
 	StoreCalls float64 `json:"store-calls-per-call"`
 }
 
-// keyKinds are the ways a call may be keyed, each with how a key is made.
+// keyKinds lists the kinds of idempotency keys, each with a function that creates
+// one.
 var keyKinds = []struct {
 	name string
 	make func() string
@@ -39,7 +40,7 @@
 	var pause time.Duration
 	c := &cobra.Command{
 		Use:   "claims",
-		Short: "Measure what an idempotency key adds to a plain call, in time and calls to the store",
+		Short: "Measure the latency and the store calls that an idempotency key adds to a plain call",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			f, err := flags.fleet()
@@ -47,12 +48,12 @@
 				return err
 			}
 			for _, kind := range keyKinds {
-				row, err := claimCost(c.Context(), f, kind.make, calls, pause)
+				result, err := measureClaims(c.Context(), f, kind.make, calls, pause)
 				if err != nil {
 					return err
 				}
-				row.Key = kind.name
-				if err := printLine(c, row); err != nil {
+				result.Key = kind.name
+				if err := printLine(c, result); err != nil {
 					return err
 				}
 			}
@@ -60,23 +61,23 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().IntVar(&calls, "calls", 400, "calls with each kind of key, one after the other, through the VMs in turn")
-	c.Flags().DurationVar(&pause, "pause", 10*time.Millisecond, "wait between calls, to stay in the VMs' store budgets")
+	c.Flags().IntVar(&calls, "calls", 400, "number of calls with each kind of key, sent one after the other to the VMs in turn")
+	c.Flags().DurationVar(&pause, "pause", 10*time.Millisecond, "pause between calls, to stay within the VMs' store budgets")
 	return c
 }
 
-func claimCost(ctx context.Context, f *plan.Fleet, key func() string, calls int, pause time.Duration) (*claimWire, error) {
+func measureClaims(ctx context.Context, f *plan.Fleet, newKey func() string, calls int, pause time.Duration) (*claimWire, error) {
 	before, err := gauge.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, err
 	}
-	times := drive.NewHistogram()
+	latencies := drive.NewHistogram()
 	for i := range calls {
 		start := time.Now()
-		if err := book(ctx, f.VMs[i%len(f.VMs)], key()); err != nil {
+		if err := callBooking(ctx, f.VMs[i%len(f.VMs)], newKey()); err != nil {
 			return nil, err
 		}
-		times.Add(time.Since(start))
+		latencies.Add(time.Since(start))
 		time.Sleep(pause)
 	}
 	after, err := gauge.FetchStoreCalls(ctx, f.Store)
@@ -86,14 +87,14 @@
 	const q50, q99 = 50, 99
 	return &claimWire{
 		Calls:      calls,
-		P50:        drive.Millis(times.Percentile(q50)),
-		P99:        drive.Millis(times.Percentile(q99)),
+		P50:        drive.Millis(latencies.Percentile(q50)),
+		P99:        drive.Millis(latencies.Percentile(q99)),
 		StoreCalls: float64(after.Total()-before.Total()) / float64(calls),
 	}, nil
 }
 
-// book makes one plain call that may not be repeated.
-func book(ctx context.Context, vm plan.Endpoint, key string) error {
+// callBooking makes one at-most-once plain call.
+func callBooking(ctx context.Context, vm plan.Endpoint, key string) error {
 	url := fmt.Sprintf("http://%s/v1/services/%s/do?tag=cost-%s", vm.Address, plan.Bookings, uuid.NewString())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, http.NoBody)
 	if err != nil {
@@ -109,7 +110,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answers %d", vm.Name, resp.StatusCode)
+		return fmt.Errorf("%s responded with status %d", vm.Name, resp.StatusCode)
 	}
 	return nil
 }
--- a/cmd/stress/control.go
+++ b/cmd/stress/control.go
@@ -13,7 +13,8 @@
 	"umberladder/internal/load/plan"
 )
 
-// controlWire is what control costs a VM of an idle fleet, on average.
+// controlWire holds the average cost of control traffic and work per VM of an idle
+// fleet.
 type controlWire struct {
 	VMs           int     `json:"vms"`
 	Engines       int     `json:"engines"`
@@ -23,7 +24,7 @@
 	ReceivedBytes float64 `json:"received-bytes-per-second"`
 	Packets       float64 `json:"sent-packets-per-second"`
 	StoreCalls    float64 `json:"store-calls-per-second"`
-	DeathSeen     float64 `json:"all-know-of-a-death-s"`
+	DeathDetected float64 `json:"all-know-of-a-death-s"`
 	FalseRemovals int     `json:"false-removals"`
 }
 
@@ -32,33 +33,33 @@
 	var d time.Duration
 	c := &cobra.Command{
 		Use:   "control",
-		Short: "Measure what control costs each VM of an idle fleet, and how soon a death is known",
+		Short: "Measure the cost of control per VM of an idle fleet, and how soon the death of a VM is detected",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			f, err := flags.fleet()
 			if err != nil {
 				return err
 			}
-			row, err := measure(c.Context(), f, d)
+			result, err := measureControl(c.Context(), f, d)
 			if err != nil {
 				return err
 			}
-			return printLine(c, row)
+			return printLine(c, result)
 		},
 	}
 	flags.add(c)
-	c.Flags().DurationVar(&d, "duration", 20*time.Second, "how long to measure")
+	c.Flags().DurationVar(&d, "duration", 20*time.Second, "duration of the measurement")
 	return c
 }
 
-// sample is what a VM has used so far.
-type sample struct {
+// usage holds the resource use of a VM so far.
+type usage struct {
 	cpu     time.Duration
 	metrics gauge.Metrics
 }
 
-func sampleAll(ctx context.Context, f *plan.Fleet) ([]sample, error) {
-	var out []sample
+func sampleUsage(ctx context.Context, f *plan.Fleet) ([]usage, error) {
+	var out []usage
 	for _, vm := range f.VMs {
 		cpu, err := gauge.CPUTime(f, vm.Name)
 		if err != nil {
@@ -68,20 +69,20 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, sample{cpu, m})
+		out = append(out, usage{cpu, m})
 	}
 	return out, nil
 }
 
-func measure(ctx context.Context, f *plan.Fleet, d time.Duration) (*controlWire, error) {
-	row := &controlWire{VMs: len(f.VMs), Engines: len(f.Engines)}
-	before, err := sampleAll(ctx, f)
+func measureControl(ctx context.Context, f *plan.Fleet, d time.Duration) (*controlWire, error) {
+	result := &controlWire{VMs: len(f.VMs), Engines: len(f.Engines)}
+	before, err := sampleUsage(ctx, f)
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
 	time.Sleep(d)
-	after, err := sampleAll(ctx, f)
+	after, err := sampleUsage(ctx, f)
 	if err != nil {
 		return nil, err
 	}
@@ -89,47 +90,48 @@
 	for i := range after {
 		a, b := after[i], before[i]
 		rate := func(name string) float64 { return (a.metrics[name] - b.metrics[name]) / s / n }
-		row.CPUPercent += 100 * (a.cpu - b.cpu).Seconds() / s / n
-		row.MemoryMB += a.metrics["process_resident_memory_bytes"] / 1e6 / n
-		row.SentBytes += rate("umberladder_peer_sent_bytes_total")
-		row.ReceivedBytes += rate("umberladder_peer_received_bytes_total")
-		row.Packets += rate("umberladder_peer_sent_packets_total")
-		row.StoreCalls += rate("umberladder_store_calls_total")
+		result.CPUPercent += 100 * (a.cpu - b.cpu).Seconds() / s / n
+		result.MemoryMB += a.metrics["process_resident_memory_bytes"] / 1e6 / n
+		result.SentBytes += rate("umberladder_peer_sent_bytes_total")
+		result.ReceivedBytes += rate("umberladder_peer_received_bytes_total")
+		result.Packets += rate("umberladder_peer_sent_packets_total")
+		result.StoreCalls += rate("umberladder_store_calls_total")
 		if int(a.metrics["umberladder_live_vms"]) != len(f.VMs) {
-			row.FalseRemovals++
+			result.FalseRemovals++
 		}
 	}
-	seen, err := death(ctx, f)
-	row.DeathSeen = seen.Seconds()
-	return row, err
+	detection, err := measureDeathDetection(ctx, f)
+	result.DeathDetected = detection.Seconds()
+	return result, err
 }
 
-var errUnseen = errors.New("a death was not seen by all within a minute")
+var errNotDetected = errors.New("the death of a VM was not detected by all others within a minute")
 
-// death freezes a VM and measures until all others have removed it.
-func death(ctx context.Context, f *plan.Fleet) (time.Duration, error) {
+// measureDeathDetection pauses a VM and returns the time until all others have
+// removed it.
+func measureDeathDetection(ctx context.Context, f *plan.Fleet) (time.Duration, error) {
 	k, _ := fault.Find("freeze-vm")
-	w := fault.New(f, rand.New(rand.NewPCG(1, 0)))
+	inj := fault.New(f, rand.New(rand.NewPCG(1, 0)))
 	start := time.Now()
-	end, err := k.Start(w)
+	undo, err := k.Start(inj)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = end.Run() }()
+	defer func() { _ = undo.Run() }()
 	for time.Since(start) < time.Minute {
-		seen := 0
+		detected := 0
 		for _, vm := range f.VMs {
-			one, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
-			m, err := gauge.Scrape(one, vm)
+			scrapeCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
+			m, err := gauge.Scrape(scrapeCtx, vm)
 			cancel()
 			if err == nil && int(m["umberladder_live_vms"]) == len(f.VMs)-1 {
-				seen++
+				detected++
 			}
 		}
-		if seen == len(f.VMs)-1 {
+		if detected == len(f.VMs)-1 {
 			return time.Since(start), nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return 0, errUnseen
+	return 0, errNotDetected
 }
--- a/cmd/stress/cost.go
+++ b/cmd/stress/cost.go
@@ -18,7 +18,7 @@
 	"umberladder/internal/load/plan"
 )
 
-// costWire is what relaying costs a process.
+// costWire holds the cost of relaying streams by a process.
 type costWire struct {
 	Process         string  `json:"process"`
 	Tokens          int     `json:"tokens"`
@@ -33,21 +33,21 @@
 	var streams, tokens int
 	c := &cobra.Command{
 		Use:   "cost",
-		Short: "Measure the processor time of a relayed token, against a bare copy of the same streams",
+		Short: "Measure the CPU time of relaying a token, with a pass-through proxy as baseline",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			flags.withCopy = true
+			flags.withProxy = true
 			f, err := flags.fleet()
 			if err != nil {
 				return err
 			}
-			o := prompt.Order{Tokens: tokens, Seed: 1}
-			for _, target := range []relay{viaVM(f, o), viaCopy(f, o)} {
-				row, err := target.run(c.Context(), f, streams, tokens)
+			spec := prompt.Order{Tokens: tokens, Seed: 1}
+			for _, t := range []target{viaVM(f, spec), viaProxy(f, spec)} {
+				result, err := t.measure(c.Context(), f, streams, tokens)
 				if err != nil {
 					return err
 				}
-				if err := printLine(c, row); err != nil {
+				if err := printLine(c, result); err != nil {
 					return err
 				}
 			}
@@ -55,36 +55,36 @@
 		},
 	}
 	flags.add(c)
-	c.Flags().IntVar(&streams, "streams", 32, "streams at once")
-	c.Flags().IntVar(&tokens, "tokens", 400, "tokens of each stream")
+	c.Flags().IntVar(&streams, "streams", 32, "number of concurrent streams")
+	c.Flags().IntVar(&tokens, "tokens", 400, "tokens per stream")
 	return c
 }
 
-// relay is a process that streams pass through.
-type relay struct {
+// target is a process that relays streams.
+type target struct {
 	name string
 	addr netip.AddrPort
 	path string
 	body func(i int) []byte
 }
 
-func viaVM(f *plan.Fleet, o prompt.Order) relay {
-	return relay{name: f.VMs[0].Name, addr: f.VMs[0].Address, path: "/v1/completions", body: func(int) []byte {
-		data, _ := json.Marshal(map[string]any{"model": plan.Proposals, "prompt": o.Prompt(), "stream": true})
+func viaVM(f *plan.Fleet, spec prompt.Order) target {
+	return target{name: f.VMs[0].Name, addr: f.VMs[0].Address, path: "/v1/completions", body: func(int) []byte {
+		data, _ := json.Marshal(map[string]any{"model": plan.Proposals, "prompt": spec.Prompt(), "stream": true})
 		return data
 	}}
 }
 
-func viaCopy(f *plan.Fleet, o prompt.Order) relay {
-	return relay{name: "copy", addr: f.Proxy, path: "/v1/generations", body: func(i int) []byte {
-		data, _ := json.Marshal(map[string]any{"id": fmt.Sprint("copy-", time.Now().UnixNano(), i), "prompt": o.Prompt()})
+func viaProxy(f *plan.Fleet, spec prompt.Order) target {
+	return target{name: "copy", addr: f.Proxy, path: "/v1/generations", body: func(i int) []byte {
+		data, _ := json.Marshal(map[string]any{"id": fmt.Sprint("copy-", time.Now().UnixNano(), i), "prompt": spec.Prompt()})
 		return data
 	}}
 }
 
-func (r *relay) run(ctx context.Context, f *plan.Fleet, streams, tokens int) (*costWire, error) {
-	row := &costWire{Process: r.name, Tokens: streams * tokens}
-	before, err := gauge.CPUTime(f, r.name)
+func (t *target) measure(ctx context.Context, f *plan.Fleet, streams, tokens int) (*costWire, error) {
+	result := &costWire{Process: t.name, Tokens: streams * tokens}
+	before, err := gauge.CPUTime(f, t.name)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	var g errgroup.Group
 	for i := range streams {
 		g.Go(func() error {
-			n, err := r.stream(ctx, i)
+			n, err := t.stream(ctx, i)
 			sizes[i] = n
 			return err
 		})
@@ -100,21 +100,21 @@
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	after, err := gauge.CPUTime(f, r.name)
+	after, err := gauge.CPUTime(f, t.name)
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range sizes {
-		row.Bytes += n
+		result.Bytes += n
 	}
-	row.CPUSeconds = (after - before).Seconds()
-	row.MicrosPerToken = row.CPUSeconds * 1e6 / float64(row.Tokens)
-	row.TokensPerSecond = float64(row.Tokens) / row.CPUSeconds
-	return row, nil
+	result.CPUSeconds = (after - before).Seconds()
+	result.MicrosPerToken = result.CPUSeconds * 1e6 / float64(result.Tokens)
+	result.TokensPerSecond = float64(result.Tokens) / result.CPUSeconds
+	return result, nil
 }
 
-func (r *relay) stream(ctx context.Context, i int) (int64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr.String()+r.path, bytes.NewReader(r.body(i)))
+func (t *target) stream(ctx context.Context, i int) (int64, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.addr.String()+t.path, bytes.NewReader(t.body(i)))
 	if err != nil {
 		return 0, err
 	}
@@ -125,7 +125,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s answers %d", r.name, resp.StatusCode)
+		return 0, fmt.Errorf("%s responded with status %d", t.name, resp.StatusCode)
 	}
 	return io.Copy(io.Discard, resp.Body)
 }
--- a/cmd/stress/main.go
+++ b/cmd/stress/main.go
@@ -1,6 +1,6 @@
-// Command stress lays out fleets of processes on loopback addresses, drives
-// load against them, brings about failures, and checks every answer. Its last
-// line is a one-line JSON summary; it exits non-zero on a broken promise.
+// Command stress lays out fleets of processes on loopback addresses, sends load
+// to them, injects faults, and checks every response. The last line of its output
+// is a JSON summary; its exit status is non-zero if a guarantee was violated.
 package main
 
 import (
@@ -17,14 +17,14 @@
 func main() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	root := &cobra.Command{Use: "stress", Short: "Drive load and failures against a fleet of processes", SilenceUsage: true}
+	root := &cobra.Command{Use: "stress", Short: "Run load tests with faults against a fleet of processes", SilenceUsage: true}
 	root.AddCommand(newPlan(), newList(), newRun(), newControl(), newCost(), newClaims(), newSoak())
 	if err := root.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
 }
 
-// printLine prints a result as one line of JSON.
+// printLine writes a result as one line of JSON.
 func printLine(c *cobra.Command, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/cmd/stress/plan.go
+++ b/cmd/stress/plan.go
@@ -6,7 +6,7 @@
 	"umberladder/internal/load/plan"
 )
 
-// fleetFlags are the flags that say which fleet is meant.
+// fleetFlags holds the flags that describe a fleet.
 type fleetFlags struct {
 	dir       string
 	profile   string
@@ -16,18 +16,18 @@
 	reserve   float64
 	verbose   bool
 	engines   int
-	withCopy  bool
+	withProxy bool
 }
 
 func (f *fleetFlags) add(c *cobra.Command) {
-	c.Flags().StringVar(&f.dir, "dir", "run", "folder of the fleet's files")
-	c.Flags().StringVar(&f.profile, "profile", "demo", "deployment: demo, cistern-row or liinirike")
-	c.Flags().IntVar(&f.vms, "vms", 7, "entry VMs")
+	c.Flags().StringVar(&f.dir, "dir", "run", "directory of the fleet's files")
+	c.Flags().StringVar(&f.profile, "profile", "demo", "deployment profile: demo, cistern-row or liinirike")
+	c.Flags().IntVar(&f.vms, "vms", 7, "number of entry VMs")
 	c.Flags().IntVar(&f.net, "net", 10, "loopback network 127.NET.0.0")
-	c.Flags().StringVar(&f.placement, "placement", "predicted", "how VMs place generations")
-	c.Flags().Float64Var(&f.reserve, "reserve", 0.1, "share of engine memory kept for urgent calls")
-	c.Flags().IntVar(&f.engines, "engines", 0, "engines, in place of the deployment's number")
-	c.Flags().BoolVar(&f.withCopy, "copy", false, "add a bare copy of engine 1's streams")
+	c.Flags().StringVar(&f.placement, "placement", "predicted", "placement policy for generations")
+	c.Flags().Float64Var(&f.reserve, "reserve", 0.1, "share of engine memory that is reserved for urgent calls")
+	c.Flags().IntVar(&f.engines, "engines", 0, "number of engines; 0: as in the profile")
+	c.Flags().BoolVar(&f.withProxy, "copy", false, "add a pass-through proxy for engine 1")
 	c.Flags().BoolVar(&f.verbose, "verbose", false, "VMs log every request")
 }
 
@@ -39,17 +39,17 @@
 	if f.engines > 0 {
 		p.Engines = f.engines
 	}
-	fl, err := plan.New(f.dir, p, f.vms, f.net)
+	fleet, err := plan.New(f.dir, p, f.vms, f.net)
 	if err != nil {
 		return nil, err
 	}
-	fl.Placement = f.placement
-	fl.Reserve = f.reserve
-	fl.Verbose = f.verbose
-	if f.withCopy {
-		fl.AddProxy()
+	fleet.Placement = f.placement
+	fleet.Reserve = f.reserve
+	fleet.Verbose = f.verbose
+	if f.withProxy {
+		fleet.AddProxy()
 	}
-	return fl, nil
+	return fleet, nil
 }
 
 func newPlan() *cobra.Command {
--- a/cmd/stress/run.go
+++ b/cmd/stress/run.go
@@ -12,7 +12,7 @@
 	"umberladder/internal/load/scene"
 )
 
-var errBroken = errors.New("a promise was broken")
+var errViolation = errors.New("a guarantee was violated")
 
 func newList() *cobra.Command {
 	return &cobra.Command{
@@ -35,7 +35,7 @@
 	mix := drive.DefaultMix()
 	c := &cobra.Command{
 		Use:     "run SCENE",
-		Short:   "Put a running fleet through a scene and check every answer",
+		Short:   "Run a scene on a running fleet and check every response",
 		Example: "  stress run calm --requests 300\n  stress run pairs --seed 7 --duration 10m",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -55,15 +55,15 @@
 				return err
 			}
 			if !res.Passed {
-				return errBroken
+				return errViolation
 			}
 			return nil
 		},
 	}
 	flags.add(c)
-	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the requests and failures")
-	c.Flags().Float64Var(&mix.Rate, "rate", mix.Rate, "requests a second")
-	c.Flags().IntVar(&mix.Requests, "requests", 0, "how many requests; 0: until the duration is over")
-	c.Flags().DurationVar(&mix.Duration, "duration", 30*time.Second, "how long requests are sent and failures brought about")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the requests and faults")
+	c.Flags().Float64Var(&mix.Rate, "rate", mix.Rate, "requests per second")
+	c.Flags().IntVar(&mix.Requests, "requests", 0, "number of requests; 0: until the duration is over")
+	c.Flags().DurationVar(&mix.Duration, "duration", 30*time.Second, "how long requests are sent and faults injected")
 	return c
 }
--- a/cmd/stress/soak.go
+++ b/cmd/stress/soak.go
@@ -14,10 +14,10 @@
 	seeds := 1
 	c := &cobra.Command{
 		Use:   "soak --program bin/umberladder",
-		Short: "Run edge VMs as processes before stand-ins of the platform, with failures from outside",
+		Short: "Run edge VMs as processes against fakes of the platform, with injected faults",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			bad := 0
+			violations := 0
 			for range seeds {
 				rep, err := soak.Run(c.Context(), cfg)
 				if err != nil {
@@ -26,26 +26,26 @@
 				if err := printLine(c, rep); err != nil {
 					return err
 				}
-				bad += len(rep.Violations)
+				violations += len(rep.Violations)
 				cfg.Seed++
 			}
-			if bad > 0 {
-				return trace.Errorf("%d promises broken", bad)
+			if violations > 0 {
+				return trace.Errorf("%d guarantees violated", violations)
 			}
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.Uint64Var(&cfg.Seed, "seed", 1, "the first seed")
-	f.IntVar(&seeds, "seeds", 1, "how many seeds, one after the other")
-	f.DurationVar(&cfg.Duration, "duration", 12*time.Second, "of each seed")
-	f.IntVar(&cfg.VMs, "vms", 4, "edge VMs")
-	f.IntVar(&cfg.Servers, "servers", 6, "model engines; half as many plain servers")
-	f.IntVar(&cfg.Clients, "clients", 24, "clients")
-	f.IntVar(&cfg.Routes, "routes", 0, "routes that the settings grow to, beside those that are called")
-	f.BoolVar(&cfg.StoreRestores, "drills", false, "have the store come back from copies, too")
-	f.BoolVar(&cfg.Crashes, "crashes", false, "have requests end servers, and servers announce drains and pauses in answers")
-	f.StringVar(&cfg.Program, "program", "bin/umberladder", "the program")
-	f.StringVar(&cfg.Dir, "dir", "run/soak", "where settings and logs go")
+	f.Uint64Var(&cfg.Seed, "seed", 1, "first seed")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds, run one after the other")
+	f.DurationVar(&cfg.Duration, "duration", 12*time.Second, "duration of each seed's run")
+	f.IntVar(&cfg.VMs, "vms", 4, "number of edge VMs")
+	f.IntVar(&cfg.Servers, "servers", 6, "number of model engines; there are half as many plain servers")
+	f.IntVar(&cfg.Clients, "clients", 24, "number of clients")
+	f.IntVar(&cfg.Routes, "routes", 0, "number of additional routes that the settings grow to")
+	f.BoolVar(&cfg.StoreRestores, "drills", false, "also restore the store from backup copies")
+	f.BoolVar(&cfg.Crashes, "crashes", false, "also have requests crash servers, and servers announce drains and pauses in responses")
+	f.StringVar(&cfg.Program, "program", "bin/umberladder", "path of the umberladder program")
+	f.StringVar(&cfg.Dir, "dir", "run/soak", "directory for settings and logs")
 	return c
 }
