--- a/internal/load/trial/trial_test.go
+++ b/internal/load/trial/trial_test.go
@@ -58,7 +58,7 @@
 
 func TestRounds(t *testing.T) {
 	if !*rounds {
-		t.Skip("a table for people; run with -rounds")
+		t.Skip("prints a table; run with -rounds")
 	}
 	fmt.Fprintln(os.Stdout, tableHeader)
 	for _, load := range []float64{0.7, 1.0, 1.3} {
@@ -75,7 +75,7 @@
 // seven deciding VMs, and the predictive placement with one coordinator.
 func TestCharts(t *testing.T) {
 	if *charts == "" {
-		t.Skip("charts for people; run with -charts FOLDER")
+		t.Skip("draws charts; run with -charts DIRECTORY")
 	}
 	loads := []float64{0.7, 1.0, 1.3}
 	groups := []string{"0.7 of load", "1.0", "1.3"}
