--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -19,13 +19,13 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/fake/copier"
 	"umberladder/internal/fake/engine"
 	"umberladder/internal/fake/plain"
-	"umberladder/internal/fake/record"
-	"umberladder/internal/fake/roster"
+	"umberladder/internal/fake/proxy"
+	"umberladder/internal/fake/runlog"
 	"umberladder/internal/fake/store"
-	"umberladder/internal/state/spread"
+	"umberladder/internal/fake/vmlist"
+	"umberladder/internal/state/syncer"
 )
 
 func main() {
@@ -66,7 +66,7 @@
 
 // serveAll starts a server with its own run log for each NAME=ADDRESS, and waits
 // for all of them to end.
-func serveAll(ctx context.Context, g *errgroup.Group, addrs []string, dir string, build func(string, *record.Record) server) error {
+func serveAll(ctx context.Context, g *errgroup.Group, addrs []string, dir string, build func(string, *runlog.Log) server) error {
 	for _, arg := range addrs {
 		name, addr, err := splitNameAddr(arg)
 		if err != nil {
@@ -105,7 +105,7 @@
 			if err := serveOn(ctx, g, storeAddr, store.New(table, seed)); err != nil {
 				return err
 			}
-			if err := serveOn(ctx, g, listAddr, list.Lagging(lag)); err != nil {
+			if err := serveOn(ctx, g, listAddr, list.WithLag(lag)); err != nil {
 				return err
 			}
 			return g.Wait()
@@ -131,7 +131,7 @@
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			g, ctx := errgroup.WithContext(c.Context())
-			return serveAll(ctx, g, addrs, runLogDir, func(name string, runLog *record.Record) server {
+			return serveAll(ctx, g, addrs, runLogDir, func(name string, runLog *runlog.Log) server {
 				engineCfg := cfg
 				engineCfg.Name = name
 				e := engine.New(engineCfg, runLog)
@@ -142,11 +142,11 @@
 	}
 	c.Flags().StringArrayVar(&addrs, "at", nil, "NAME=ADDRESS of an engine; may be repeated")
 	c.Flags().StringVar(&runLogDir, "records", "", "directory for the run logs")
-	c.Flags().IntVar(&cfg.Memory, "memory", cfg.Memory, "memory of an engine, in tokens")
-	c.Flags().IntVar(&cfg.Batch, "batch", cfg.Batch, "maximum batch size, in streams")
+	c.Flags().IntVar(&cfg.MemoryTokens, "memory", cfg.MemoryTokens, "memory of an engine, in tokens")
+	c.Flags().IntVar(&cfg.MaxBatch, "batch", cfg.MaxBatch, "maximum batch size, in streams")
 	c.Flags().DurationVar(&cfg.StepBase, "step", cfg.StepBase, "base time of a step")
-	c.Flags().DurationVar(&cfg.StepStream, "step-stream", cfg.StepStream, "time that each stream adds to a step")
-	c.Flags().BoolVar(&cfg.Fencing, "fencing", false, "refuse commands with an old fencing number")
+	c.Flags().DurationVar(&cfg.StepPerStream, "step-stream", cfg.StepPerStream, "time that each stream adds to a step")
+	c.Flags().BoolVar(&cfg.CheckFencing, "fencing", false, "refuse commands with an old fencing number")
 	c.Flags().DurationVar(&cfg.ReportLag, "report-lag", cfg.ReportLag, "age of the load reports")
 	return c
 }
@@ -160,7 +160,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			g, ctx := errgroup.WithContext(c.Context())
-			return serveAll(ctx, g, addrs, runLogDir, func(name string, runLog *record.Record) server {
+			return serveAll(ctx, g, addrs, runLogDir, func(name string, runLog *runlog.Log) server {
 				return plain.New(name, runLog)
 			})
 		},
@@ -182,35 +182,35 @@
 		if err != nil {
 			return nil, trace.ConvertSystemError(err)
 		}
-		v := spread.Value{Body: body}
+		v := syncer.Value{Body: body}
 		data, err := v.Encode()
 		if err != nil {
 			return nil, trace.Wrap(err, "%s", file)
 		}
-		t.Put(spread.Prefix+path, data, 0, 0, time.Now())
+		t.Put(syncer.Prefix+path, data, 0, 0, time.Now())
 	}
 	return t, nil
 }
 
-func newVMList(vms []string) (*roster.Roster, error) {
-	list := roster.New()
+func newVMList(vms []string) (*vmlist.List, error) {
+	list := vmlist.New()
 	for _, vm := range vms {
 		fields := strings.Split(vm, "=")
 		if len(fields) != 3 {
 			return nil, trace.BadParameter("want NAME=ADDRESS=DOMAIN, got %q", vm)
 		}
-		list.Set(roster.VM{Name: fields[0], Address: fields[1], Domain: fields[2]})
+		list.Set(vmlist.VM{Name: fields[0], Address: fields[1], FailureDomain: fields[2]})
 	}
 	return list, nil
 }
 
 // openRunLog opens the run log of one fake server. Without a directory it is kept
 // in memory only.
-func openRunLog(dir, name string) (*record.Record, error) {
+func openRunLog(dir, name string) (*runlog.Log, error) {
 	if dir == "" {
-		return record.New(), nil
+		return runlog.New(), nil
 	}
-	runLog, err := record.Open(filepath.Join(dir, name+".runs"))
+	runLog, err := runlog.Open(filepath.Join(dir, name+".runs"))
 	return runLog, trace.Wrap(err)
 }
 
@@ -228,7 +228,7 @@
 				return trace.BadParameter("--engine: want an IP address with a port, got %q", engineArg)
 			}
 			g, ctx := errgroup.WithContext(c.Context())
-			if err := serveOn(ctx, g, addr, copier.New(engineAddr)); err != nil {
+			if err := serveOn(ctx, g, addr, proxy.New(engineAddr)); err != nil {
 				return err
 			}
 			return g.Wait()
--- a/cmd/stress/claims.go
+++ b/cmd/stress/claims.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 
 	"umberladder/internal/load/drive"
-	"umberladder/internal/load/gauge"
 	"umberladder/internal/load/plan"
+	"umberladder/internal/load/stats"
 )
 
 // claimWire holds the cost of one kind of idempotency key per call.
@@ -67,7 +67,7 @@
 }
 
 func measureClaims(ctx context.Context, f *plan.Fleet, newKey func() string, calls int, pause time.Duration) (*claimWire, error) {
-	before, err := gauge.FetchStoreCalls(ctx, f.Store)
+	before, err := stats.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 		latencies.Add(time.Since(start))
 		time.Sleep(pause)
 	}
-	after, err := gauge.FetchStoreCalls(ctx, f.Store)
+	after, err := stats.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/stress/control.go
+++ b/cmd/stress/control.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 
 	"umberladder/internal/load/fault"
-	"umberladder/internal/load/gauge"
 	"umberladder/internal/load/plan"
+	"umberladder/internal/load/stats"
 )
 
 // controlWire holds the average cost of control traffic and work per VM of an idle
@@ -55,17 +55,17 @@
 // usage holds the resource use of a VM so far.
 type usage struct {
 	cpu     time.Duration
-	metrics gauge.Metrics
+	metrics stats.Metrics
 }
 
 func sampleUsage(ctx context.Context, f *plan.Fleet) ([]usage, error) {
 	var out []usage
 	for _, vm := range f.VMs {
-		cpu, err := gauge.CPUTime(f, vm.Name)
+		cpu, err := stats.CPUTime(f, vm.Name)
 		if err != nil {
 			return nil, err
 		}
-		m, err := gauge.Scrape(ctx, vm)
+		m, err := stats.Scrape(ctx, vm)
 		if err != nil {
 			return nil, err
 		}
@@ -122,7 +122,7 @@
 		detected := 0
 		for _, vm := range f.VMs {
 			scrapeCtx, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
-			m, err := gauge.Scrape(scrapeCtx, vm)
+			m, err := stats.Scrape(scrapeCtx, vm)
 			cancel()
 			if err == nil && int(m["umberladder_live_vms"]) == len(f.VMs)-1 {
 				detected++
--- a/cmd/stress/cost.go
+++ b/cmd/stress/cost.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"umberladder/internal/fake/prompt"
-	"umberladder/internal/load/gauge"
 	"umberladder/internal/load/plan"
+	"umberladder/internal/load/stats"
 )
 
 // costWire holds the cost of relaying streams by a process.
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			spec := prompt.Order{Tokens: tokens, Seed: 1}
+			spec := prompt.Spec{Tokens: tokens, Seed: 1}
 			for _, t := range []target{viaVM(f, spec), viaProxy(f, spec)} {
 				result, err := t.measure(c.Context(), f, streams, tokens)
 				if err != nil {
@@ -68,14 +68,14 @@
 	body func(i int) []byte
 }
 
-func viaVM(f *plan.Fleet, spec prompt.Order) target {
+func viaVM(f *plan.Fleet, spec prompt.Spec) target {
 	return target{name: f.VMs[0].Name, addr: f.VMs[0].Address, path: "/v1/completions", body: func(int) []byte {
 		data, _ := json.Marshal(map[string]any{"model": plan.Proposals, "prompt": spec.Prompt(), "stream": true})
 		return data
 	}}
 }
 
-func viaProxy(f *plan.Fleet, spec prompt.Order) target {
+func viaProxy(f *plan.Fleet, spec prompt.Spec) target {
 	return target{name: "copy", addr: f.Proxy, path: "/v1/generations", body: func(i int) []byte {
 		data, _ := json.Marshal(map[string]any{"id": fmt.Sprint("copy-", time.Now().UnixNano(), i), "prompt": spec.Prompt()})
 		return data
@@ -84,7 +84,7 @@
 
 func (t *target) measure(ctx context.Context, f *plan.Fleet, streams, tokens int) (*costWire, error) {
 	result := &costWire{Process: t.name, Tokens: streams * tokens}
-	before, err := gauge.CPUTime(f, t.name)
+	before, err := stats.CPUTime(f, t.name)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	after, err := gauge.CPUTime(f, t.name)
+	after, err := stats.CPUTime(f, t.name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/core/call/call.go
+++ b/internal/core/call/call.go
@@ -6,8 +6,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/ident"
+	"umberladder/internal/core/uptime"
 )
 
 // Kind says how often a call may be executed.
@@ -16,7 +16,7 @@
 // The kinds of calls.
 const (
 	Idempotent Kind = iota // may be executed any number of times
-	Once                   // may be executed at most once
+	AtMostOnce             // may be executed at most once
 	Stream                 // responds with events; may be executed at most once unless it can be resumed
 )
 
@@ -35,29 +35,29 @@
 
 // Call is one call of a client. It is immutable once it is being served.
 type Call struct {
-	ID       ident.Request
-	Method   string
-	Host     string
-	Path     string // without the query
-	Target   string // path and query, unmodified
-	Fields   []Field
-	Body     []byte
-	Key      string        // the client's API key; empty: none
-	Patience time.Duration // client timeout, counted from Arrived; zero: not given
-	After    string        // identifier of the last event that the client received; empty: none
-	Prompt   *Prompt       // nil: not a generation
+	ID            ident.Request
+	Method        string
+	Host          string
+	Path          string // without the query
+	Target        string // path and query, unmodified
+	Fields        []Field
+	Body          []byte
+	APIKey        string        // the client's API key; empty: none
+	ClientTimeout time.Duration // client timeout, counted from Arrived; zero: not given
+	LastEventID   string        // identifier of the last event that the client received; empty: none
+	Prompt        *Prompt       // nil: not a generation
 
-	Arrived time.Time
-	Woken   awake.Instant // Arrived by the clock that includes suspensions of the VM
+	Arrived       time.Time
+	ArrivedUptime uptime.Instant // Arrived by the clock that includes suspensions of the VM
 }
 
 // Prompt describes the model and the size of a generation.
 type Prompt struct {
-	Model  string
-	Tokens int // of the prompt
-	Limit  int // maximum number of generated tokens
-	Hint   int // the client's estimate of the number of generated tokens; zero: none
-	Parts  []Part
+	Model      string
+	Tokens     int // of the prompt
+	MaxTokens  int // maximum number of generated tokens
+	LengthHint int // the client's estimate of the number of generated tokens; zero: none
+	Parts      []Part
 }
 
 // Part is a part of a prompt that other prompts may have in common.
@@ -68,10 +68,10 @@
 
 // ExpectedMemory returns the memory, in tokens, that the generation is expected to use at its
 // end. LengthHint is accurate at the median; it is capped at MaxTokens.
-func (p *Prompt) Expected() int {
-	out := p.Limit
-	if p.Hint > 0 {
-		out = min(p.Hint, p.Limit)
+func (p *Prompt) ExpectedMemory() int {
+	out := p.MaxTokens
+	if p.LengthHint > 0 {
+		out = min(p.LengthHint, p.MaxTokens)
 	}
 	return p.Tokens + out
 }
--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -15,7 +15,7 @@
 	// VM is the name of a VM of the system.
 	VM string
 	// FailureDomain names a failure domain, a zone.
-	Domain string
+	FailureDomain string
 	// Workspace names a workspace, the part of the settings that one team owns.
 	Workspace string
 	// Service names a service inside a workspace.
@@ -78,7 +78,7 @@
 
 // UUIDTime returns the creation time in a version 7 UUID, to the millisecond. It returns false
 // if key is not a version 7 UUID in canonical form.
-func Minted(key string) (time.Time, bool) {
+func UUIDTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 || len(key) != 36 {
 		return time.Time{}, false
--- a/internal/core/ident/ident_test.go
+++ b/internal/core/ident/ident_test.go
@@ -32,11 +32,11 @@
 func TestUUIDTime(t *testing.T) {
 	before := time.Now().Truncate(time.Millisecond)
 	id := uuid.Must(uuid.NewV7()).String()
-	at, ok := Minted(id)
+	at, ok := UUIDTime(id)
 	assert.Assert(t, ok)
 	assert.Assert(t, !at.Before(before) && at.Before(before.Add(time.Second)))
 	for _, other := range []string{"", "booking-1", uuid.NewString(), "{" + id + "}", strings.ReplaceAll(id, "-", "")} {
-		_, ok := Minted(other)
+		_, ok := UUIDTime(other)
 		assert.Assert(t, !ok, other)
 	}
 }
--- a/internal/core/ident/server.go
+++ b/internal/core/ident/server.go
@@ -41,7 +41,7 @@
 }
 
 // StartTime returns the server's start time, or zero if the server does not report it.
-func (s Server) Born() time.Time {
+func (s Server) StartTime() time.Time {
 	_, text, _ := strings.Cut(string(s), startSeparator)
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/core/ident/server_test.go
+++ b/internal/core/ident/server_test.go
@@ -10,7 +10,7 @@
 
 func ExampleNewServer() {
 	s := NewServer("i-7", time.UnixMilli(1700000000123))
-	fmt.Println(s, s.Name(), s.Born().UnixMilli())
+	fmt.Println(s, s.Name(), s.StartTime().UnixMilli())
 	// Output: i-7@1700000000123 i-7 1700000000123
 }
 
@@ -18,5 +18,5 @@
 	s := NewServer("i-7", time.Time{})
 	assert.Equal(t, s, Server("i-7"))
 	assert.Equal(t, s.Name(), "i-7")
-	assert.Assert(t, s.Born().IsZero())
+	assert.Assert(t, s.StartTime().IsZero())
 }
--- a/internal/core/invar/book.go
+++ b/internal/core/invar/book.go
@@ -6,20 +6,20 @@
 )
 
 // Invariant identifies an invariant.
-type Name uint8
+type Invariant uint8
 
 // The invariants, each with its violation.
 const (
-	TokenOrder    Name = iota // a token was relayed out of order or twice
-	OneGeneration             // a response contained tokens of two generations
-	OneOutcome                // a request ended with no outcome or with two
-	NotRun                    // a refusal said "not run" of a request that had started
-	AtMostOnce                // a non-idempotent call was sent twice
-	NoReversion               // an older version of a setting was applied
-	LeavingServer             // a new call was sent to a retiring server
-	CutOff                    // a VM stopped while a request was open
-	UrgentFirst               // another request was placed while an urgent one waited
-	OwnAnswer                 // a caller received the response to another caller's request
+	TokenOrder    Invariant = iota // a token was relayed out of order or twice
+	OneGeneration                  // a response contained tokens of two generations
+	OneOutcome                     // a request ended with no outcome or with two
+	NotRun                         // a refusal said "not run" of a request that had started
+	AtMostOnce                     // a non-idempotent call was sent twice
+	NoReversion                    // an older version of a setting was applied
+	LeavingServer                  // a new call was sent to a retiring server
+	CutOff                         // a VM stopped while a request was open
+	UrgentFirst                    // another request was placed while an urgent one waited
+	OwnAnswer                      // a caller received the response to another caller's request
 	numInvariants
 )
 
@@ -36,11 +36,11 @@
 	OwnAnswer:     "own-answer",
 }
 
-func (n Name) String() string { return invariantNames[n] }
+func (n Invariant) String() string { return invariantNames[n] }
 
 // All returns all invariants.
-func All() []Name {
-	out := make([]Name, 0, numInvariants)
+func All() []Invariant {
+	out := make([]Invariant, 0, numInvariants)
 	for n := range numInvariants {
 		out = append(out, n)
 	}
@@ -48,30 +48,30 @@
 }
 
 // Checker counts violations. Its zero value is ready for use.
-type Book struct {
+type Checker struct {
 	counts [numInvariants]atomic.Uint64
 	// OnViolation is called for each violation. It must be set before first use, and may be
 	// nil.
-	Report func(n Name, detail string)
+	OnViolation func(n Invariant, detail string)
 }
 
 // Assert counts a violation of n unless ok holds, and returns ok.
-func (c *Book) Assert(n Name, ok bool, format string, args ...any) bool {
+func (c *Checker) Assert(n Invariant, ok bool, format string, args ...any) bool {
 	if ok {
 		return true
 	}
 	c.counts[n].Add(1)
-	if c.Report != nil {
-		c.Report(n, fmt.Sprintf(format, args...))
+	if c.OnViolation != nil {
+		c.OnViolation(n, fmt.Sprintf(format, args...))
 	}
 	return false
 }
 
 // Count returns the number of violations of n.
-func (c *Book) Count(n Name) uint64 { return c.counts[n].Load() }
+func (c *Checker) Count(n Invariant) uint64 { return c.counts[n].Load() }
 
 // Total returns the number of violations of all invariants.
-func (c *Book) Total() uint64 {
+func (c *Checker) Total() uint64 {
 	var sum uint64
 	for n := range numInvariants {
 		sum += c.Count(n)
--- a/internal/core/invar/book_test.go
+++ b/internal/core/invar/book_test.go
@@ -8,7 +8,7 @@
 
 func TestChecker(t *testing.T) {
 	var reported []string
-	b := &Book{Report: func(n Name, detail string) { reported = append(reported, n.String()+": "+detail) }}
+	b := &Checker{OnViolation: func(n Invariant, detail string) { reported = append(reported, n.String()+": "+detail) }}
 	assert.Assert(t, b.Assert(NotRun, true, "unused"))
 	assert.Assert(t, !b.Assert(NotRun, false, "request %d", 7))
 	assert.Equal(t, b.Count(NotRun), uint64(1))
--- a/internal/core/refuse/code.go
+++ b/internal/core/refuse/code.go
@@ -14,18 +14,18 @@
 const codePurpose = "refusal"
 
 // Code returns the refusal's self-contained code.
-func Code(ring *seal.Ring, r *Refusal) string {
-	data, err := pb.Marshal(Encode(r))
+func Code(ring *seal.KeyRing, r *Refusal) string {
+	data, err := pb.Marshal(ToProto(r))
 	if err != nil {
 		// Marshal fails only for text that is not valid UTF-8. Leave all texts out.
 		return Code(ring, &Refusal{Reason: r.Reason, Ran: r.Ran, At: r.At, VM: r.VM})
 	}
-	return ring.Token(codePurpose, data)
+	return ring.SealToken(codePurpose, data)
 }
 
 // Decode returns the refusal that a code holds. It returns seal.ErrForged if the code was not
 // issued by this system.
-func Decode(ring *seal.Ring, code string) (*Refusal, error) {
+func Decode(ring *seal.KeyRing, code string) (*Refusal, error) {
 	data, err := ring.OpenToken(codePurpose, code)
 	if err != nil {
 		return nil, trace.Wrap(err, "the refusal code can't be explained")
@@ -34,11 +34,11 @@
 	if err := pb.Unmarshal(data, &m); err != nil {
 		return nil, trace.Wrap(err, "the refusal code can't be read")
 	}
-	return FromWire(&m), nil
+	return FromProto(&m), nil
 }
 
 // ToProto returns the protobuf form of a refusal.
-func Encode(r *Refusal) *proto.RefusalCode {
+func ToProto(r *Refusal) *proto.RefusalCode {
 	return &proto.RefusalCode{
 		Reason:       uint32(r.Reason),
 		Ran:          uint32(r.Ran),
@@ -56,7 +56,7 @@
 }
 
 // FromProto returns the refusal of a protobuf form.
-func FromWire(m *proto.RefusalCode) *Refusal {
+func FromProto(m *proto.RefusalCode) *Refusal {
 	return &Refusal{
 		Reason:    Reason(m.GetReason()),
 		Ran:       Ran(m.GetRan()),
--- a/internal/core/refuse/code_test.go
+++ b/internal/core/refuse/code_test.go
@@ -13,7 +13,7 @@
 	"umberladder/internal/core/seal"
 )
 
-func testKeyRing(t testing.TB) *seal.Ring {
+func testKeyRing(t testing.TB) *seal.KeyRing {
 	t.Helper()
 	r, err := seal.New([]seal.Secret{{ID: 1, Bytes: []byte("0123456789abcdef")}})
 	assert.NilError(t, err)
@@ -22,8 +22,8 @@
 
 func sample() *refuse.Refusal {
 	r := refuse.New(refuse.PredictedWait, "%d requests wait before this one", 41).
-		Under(refuse.Rule{Path: "/system/classes/batch/max-wait", Version: 12, Limit: 60, Observed: 75.5}).
-		After(16 * time.Second)
+		WithRule(refuse.Rule{Path: "/system/classes/batch/max-wait", Version: 12, Limit: 60, Observed: 75.5}).
+		WithRetryAfter(16 * time.Second)
 	r.Request, r.Workspace, r.VM = "r-1", "installers", "vm-1"
 	r.At = time.UnixMilli(1_800_000_000_123)
 	return r
--- a/internal/core/refuse/refusal.go
+++ b/internal/core/refuse/refusal.go
@@ -35,19 +35,19 @@
 }
 
 // WithRan sets whether the request ran.
-func (r *Refusal) With(ran Ran) *Refusal {
+func (r *Refusal) WithRan(ran Ran) *Refusal {
 	r.Ran = ran
 	return r
 }
 
 // WithRule sets the rule that caused the refusal.
-func (r *Refusal) Under(rule Rule) *Refusal {
+func (r *Refusal) WithRule(rule Rule) *Refusal {
 	r.Rule = rule
 	return r
 }
 
 // WithRetryAfter sets the time after which the caller should retry.
-func (r *Refusal) After(d time.Duration) *Refusal {
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
 }
--- a/internal/core/final/record.go
+++ b/internal/core/result/record.go
@@ -1,6 +1,6 @@
 // Package result defines the record of a finished request, from which logs, metrics and
 // the burn-rate report of service-level objectives are derived.
-package final
+package result
 
 import (
 	"time"
@@ -14,9 +14,9 @@
 
 // The outcomes.
 const (
-	Complete Outcome = iota // the caller has the complete response
-	Refused                 // the caller received a refusal
-	Left                    // the caller disconnected before the end
+	Complete  Outcome = iota // the caller has the complete response
+	Refused                  // the caller received a refusal
+	Abandoned                // the caller disconnected before the end
 )
 
 func (o Outcome) String() string {
@@ -33,15 +33,15 @@
 	Outcome     Outcome
 	Refusal     *refuse.Refusal // set if Outcome is Refused
 	Start       time.Time
-	Queued      time.Duration // time in the queue for an engine
-	First       time.Duration // time to the first token or to the response
+	QueueTime   time.Duration // time in the queue for an engine
+	TimeToFirst time.Duration // time to the first token or to the response
 	Total       time.Duration
 	Stall       time.Duration // time without progress beyond the expected token gap
 	Preemptions int
 	Resumes     int
 	Reruns      int
 	Tokens      int
-	Slow        int // tokens after a longer gap than expected
+	LateTokens  int // tokens after a longer gap than expected
 	Bytes       int
 }
 
--- a/internal/core/seal/ring.go
+++ b/internal/core/seal/ring.go
@@ -34,7 +34,7 @@
 }
 
 // KeyRing seals with its first secret and opens with any. It is immutable.
-type Ring struct {
+type KeyRing struct {
 	keys []key
 }
 
@@ -45,11 +45,11 @@
 }
 
 // New returns a key ring of one or two secrets with different identifiers.
-func New(secrets []Secret) (*Ring, error) {
+func New(secrets []Secret) (*KeyRing, error) {
 	if len(secrets) == 0 || len(secrets) > MaxSecrets {
 		return nil, trace.BadParameter("a key ring holds 1 or %d secrets, not %d", MaxSecrets, len(secrets))
 	}
-	r := &Ring{}
+	r := &KeyRing{}
 	for _, s := range secrets {
 		if r.keyByID(s.ID) != nil {
 			return nil, trace.BadParameter("two secrets share the identifier %d", s.ID)
@@ -83,7 +83,7 @@
 	return key{id: s.ID, aead: aead, macKey: mac}, trace.Wrap(err)
 }
 
-func (r *Ring) keyByID(id uint8) *key {
+func (r *KeyRing) keyByID(id uint8) *key {
 	for i := range r.keys {
 		if r.keys[i].id == id {
 			return &r.keys[i]
@@ -93,7 +93,7 @@
 }
 
 // SealToken encrypts data for a purpose and returns it as base64url text.
-func (r *Ring) Token(purpose string, data []byte) string {
+func (r *KeyRing) SealToken(purpose string, data []byte) string {
 	k := &r.keys[0]
 	size := k.aead.NonceSize()
 	out := make([]byte, 1+size, 1+size+len(data)+k.aead.Overhead())
@@ -105,7 +105,7 @@
 }
 
 // OpenToken decrypts a token that SealToken created for the same purpose.
-func (r *Ring) OpenToken(purpose, token string) ([]byte, error) {
+func (r *KeyRing) OpenToken(purpose, token string) ([]byte, error) {
 	raw, err := base64.RawURLEncoding.DecodeString(token)
 	if err != nil || len(raw) == 0 {
 		return nil, trace.Wrap(ErrForged)
@@ -123,7 +123,7 @@
 }
 
 // SealPacket appends a key identifier, an authentication code and data to dst.
-func (r *Ring) Packet(dst, data []byte) []byte {
+func (r *KeyRing) SealPacket(dst, data []byte) []byte {
 	k := &r.keys[0]
 	dst = append(dst, k.id)
 	dst = append(dst, k.authCode(data)...)
@@ -131,7 +131,7 @@
 }
 
 // OpenPacket verifies a packet and returns its data, a subslice of p.
-func (r *Ring) OpenPacket(p []byte) ([]byte, error) {
+func (r *KeyRing) OpenPacket(p []byte) ([]byte, error) {
 	if len(p) < 1+macSize {
 		return nil, trace.Wrap(ErrForged)
 	}
--- a/internal/core/seal/ring_test.go
+++ b/internal/core/seal/ring_test.go
@@ -15,7 +15,7 @@
 	return Secret{ID: id, Bytes: b}
 }
 
-func ring(t testing.TB, s ...Secret) *Ring {
+func ring(t testing.TB, s ...Secret) *KeyRing {
 	t.Helper()
 	r, err := New(s)
 	assert.NilError(t, err)
@@ -39,7 +39,7 @@
 func TestRotation(t *testing.T) {
 	old, both := ring(t, secret(1, 1)), ring(t, secret(2, 2), secret(1, 1))
 	next := ring(t, secret(2, 2))
-	token, packet := old.Token("p", []byte("x")), old.Packet(nil, []byte("x"))
+	token, packet := old.SealToken("p", []byte("x")), old.SealPacket(nil, []byte("x"))
 	t.Run("the second secret still opens", func(t *testing.T) {
 		data, err := both.OpenToken("p", token)
 		assert.NilError(t, err)
@@ -62,8 +62,8 @@
 
 func FuzzOpen(f *testing.F) {
 	r := ring(f, secret(1, 1))
-	good := r.Packet(nil, []byte("data"))
-	f.Add(string(good), r.Token("p", []byte("data")))
+	good := r.SealPacket(nil, []byte("data"))
+	f.Add(string(good), r.SealToken("p", []byte("data")))
 	f.Add("", "AQ")
 	f.Fuzz(func(t *testing.T, packet, token string) {
 		if _, err := r.OpenPacket([]byte(packet)); err == nil && packet != string(good) {
@@ -80,6 +80,6 @@
 	data, dst := make([]byte, 150), make([]byte, 0, 200)
 	b.ReportAllocs()
 	for b.Loop() {
-		dst = r.Packet(dst[:0], data)
+		dst = r.SealPacket(dst[:0], data)
 	}
 }
--- a/internal/core/token/cursor.go
+++ b/internal/core/token/cursor.go
@@ -7,10 +7,10 @@
 
 // The verdicts.
 const (
-	Accept    Verdict = iota // the next token: relay it
-	Duplicate                // already accepted: drop it
-	Gap                      // tokens are missing: resume at Next
-	Foreign                  // from another generation: an error of the server
+	Accept          Verdict = iota // the next token: relay it
+	Duplicate                      // already accepted: drop it
+	Gap                            // tokens are missing: resume at Next
+	WrongGeneration                // from another generation: an error of the server
 )
 
 func (v Verdict) String() string {
@@ -40,7 +40,7 @@
 func (c *Cursor) Offer(g ident.Generation, index uint64) Verdict {
 	switch {
 	case g != c.generation:
-		return Foreign
+		return WrongGeneration
 	case index < c.next:
 		return Duplicate
 	case index > c.next:
--- a/internal/core/token/cursor_test.go
+++ b/internal/core/token/cursor_test.go
@@ -23,7 +23,7 @@
 			case v == Accept:
 				accepted = append(accepted, i)
 			case g != "g":
-				assert.Equal(t, v, Foreign)
+				assert.Equal(t, v, WrongGeneration)
 			case i < uint64(len(accepted)):
 				assert.Equal(t, v, Duplicate)
 			default:
--- a/internal/core/awake/clock.go
+++ b/internal/core/uptime/clock.go
@@ -1,4 +1,4 @@
-package awake
+package uptime
 
 import (
 	"time"
--- a/internal/core/awake/doc.go
+++ b/internal/core/uptime/doc.go
@@ -3,4 +3,4 @@
 //
 // The monotonic clock of the Go runtime stops during a suspension, so ages measured with it
 // are too small afterwards, and a resumed VM would consider outdated settings fresh.
-package awake
+package uptime
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -12,7 +12,7 @@
 
 	"umberladder/internal/fake/cache"
 	"umberladder/internal/fake/prompt"
-	"umberladder/internal/fake/record"
+	"umberladder/internal/fake/runlog"
 )
 
 const (
@@ -24,24 +24,24 @@
 // Config holds the sizes and timings of an engine.
 type Config struct {
 	Name            string
-	Memory          int           // capacity in tokens, shared by the running streams
-	Batch           int           // maximum number of streams in one step
+	MemoryTokens    int           // capacity in tokens, shared by the running streams
+	MaxBatch        int           // maximum number of streams in one step
 	StepBase        time.Duration // duration of a step with an empty batch
-	StepStream      time.Duration // added to a step for each stream in the batch
+	StepPerStream   time.Duration // added to a step for each stream in the batch
 	PrefillPerToken time.Duration // time for each prompt token that is not in the cache
 	CacheEntries    int           // capacity of the prefix cache, in prefixes
 	ReportLag       time.Duration // age of the load reports
-	Fencing         bool          // refuse commands with a stale fencing number
+	CheckFencing    bool          // refuse commands with a stale fencing number
 }
 
 // DefaultConfig returns the configuration of a small engine.
 func DefaultConfig(name string) Config {
 	return Config{
 		Name:            name,
-		Memory:          6000,
-		Batch:           64,
+		MemoryTokens:    6000,
+		MaxBatch:        64,
 		StepBase:        4 * time.Millisecond,
-		StepStream:      100 * time.Microsecond,
+		StepPerStream:   100 * time.Microsecond,
 		PrefillPerToken: 20 * time.Microsecond,
 		CacheEntries:    64,
 		ReportLag:       200 * time.Millisecond,
@@ -72,7 +72,7 @@
 type Load struct {
 	Running, Waiting, MemoryUsed, MemorySize int
 	Draining                                 bool
-	At                                       time.Time
+	AsOf                                     time.Time
 	lastCacheEvent                           uint64 // sequence number of the newest cache event
 }
 
@@ -87,7 +87,7 @@
 	running     []*generation
 	waiting     []*generation
 	memoryUsed  int
-	runLog      *record.Record
+	runLog      *runlog.Log
 	counts      Counts
 	cache       *cache.Cache
 	maxFence    uint64
@@ -97,7 +97,7 @@
 
 type generation struct {
 	id            string
-	spec          prompt.Order
+	spec          prompt.Spec
 	runID         string
 	priority      int
 	promptTokens  int
@@ -117,7 +117,7 @@
 
 // New returns an engine that records the generations it starts in runLog. They
 // make progress only while Run is running.
-func New(cfg Config, runLog *record.Record) *Engine {
+func New(cfg Config, runLog *runlog.Log) *Engine {
 	e := &Engine{cfg: cfg, generations: map[string]*generation{}, runLog: runLog, cache: cache.New(cfg.CacheEntries)}
 	e.changed = sync.NewCond(&e.mu)
 	e.faults.Store(&Faults{})
@@ -128,7 +128,7 @@
 func (e *Engine) Name() string { return e.cfg.Name }
 
 // SetFaults replaces the injected faults.
-func (e *Engine) Fault(f Faults) {
+func (e *Engine) SetFaults(f Faults) {
 	if f.Draining && !e.faults.Load().Draining {
 		e.mu.Lock()
 		e.drainStart = time.Now()
@@ -169,7 +169,7 @@
 		if g.paused || now.Before(g.prefillDone) {
 			continue
 		}
-		if e.memoryUsed >= e.cfg.Memory && !e.preempt(g) {
+		if e.memoryUsed >= e.cfg.MemoryTokens && !e.preempt(g) {
 			continue
 		}
 		g.produced++
@@ -183,13 +183,13 @@
 	if len(e.running) == 0 {
 		return idleStepTime
 	}
-	return e.cfg.StepBase + time.Duration(len(e.running))*e.cfg.StepStream
+	return e.cfg.StepBase + time.Duration(len(e.running))*e.cfg.StepPerStream
 }
 
 func (e *Engine) admit(now time.Time) {
-	for len(e.waiting) > 0 && len(e.running) < e.cfg.Batch {
+	for len(e.waiting) > 0 && len(e.running) < e.cfg.MaxBatch {
 		g := e.waiting[0]
-		if e.memoryUsed+g.memory() >= e.cfg.Memory {
+		if e.memoryUsed+g.memory() >= e.cfg.MemoryTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
@@ -279,11 +279,11 @@
 }
 
 // LoadReport returns the published load report, which lags by Config.ReportLag.
-func (e *Engine) Report() Load {
+func (e *Engine) LoadReport() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.reports) == 0 {
-		return Load{MemorySize: e.cfg.Memory, At: time.Now()}
+		return Load{MemorySize: e.cfg.MemoryTokens, AsOf: time.Now()}
 	}
 	return e.reports[0]
 }
@@ -291,7 +291,7 @@
 // Generate runs a generation in process, without HTTP. It calls onToken with
 // the number of tokens produced so far whenever that number has grown, and
 // returns how often the generation was preempted.
-func (e *Engine) Follow(id, prompt string, priority int, onToken func(n int)) int {
+func (e *Engine) Generate(id, prompt string, priority int, onToken func(n int)) int {
 	g := newGeneration(id, prompt, priority)
 	if status, _ := e.submit(g); status != 0 {
 		return 0
@@ -328,12 +328,12 @@
 		Running:        len(e.running),
 		Waiting:        len(e.waiting),
 		MemoryUsed:     e.memoryUsed,
-		MemorySize:     e.cfg.Memory,
+		MemorySize:     e.cfg.MemoryTokens,
 		Draining:       e.faults.Load().Draining,
-		At:             now,
+		AsOf:           now,
 		lastCacheEvent: e.cache.LastSeq(),
 	})
-	for len(e.reports) > 1 && now.Sub(e.reports[1].At) >= e.cfg.ReportLag {
+	for len(e.reports) > 1 && now.Sub(e.reports[1].AsOf) >= e.cfg.ReportLag {
 		e.reports = e.reports[1:]
 	}
 }
--- a/internal/fake/engine/orders.go
+++ b/internal/fake/engine/orders.go
@@ -45,7 +45,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	fence := v.GetUint64("fence")
-	if e.cfg.Fencing && fence < e.maxFence {
+	if e.cfg.CheckFencing && fence < e.maxFence {
 		writeError(ctx, fasthttp.StatusConflict, false, fmt.Sprintf("fencing number %d is older than %d", fence, e.maxFence))
 		return
 	}
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -263,10 +263,10 @@
 }
 
 func (e *Engine) handleLoad(ctx *fasthttp.RequestCtx) {
-	l := e.Report()
+	l := e.LoadReport()
 	ctx.SetContentType("application/json")
 	fmt.Fprintf(ctx, `{"running":%d,"waiting":%d,"memory_used":%d,"memory_size":%d,"leaving":%t,"age_ms":%d}`,
-		l.Running, l.Waiting, l.MemoryUsed, l.MemorySize, l.Draining, time.Since(l.At).Milliseconds())
+		l.Running, l.Waiting, l.MemoryUsed, l.MemorySize, l.Draining, time.Since(l.AsOf).Milliseconds())
 }
 
 func (e *Engine) handleCounts(ctx *fasthttp.RequestCtx) {
@@ -285,7 +285,7 @@
 	if v.GetBool("die") {
 		os.Exit(dieExitCode)
 	}
-	e.Fault(Faults{
+	e.SetFaults(Faults{
 		Stall:           time.Duration(v.GetInt("stall_ms")) * time.Millisecond,
 		DropAfter:       v.GetInt("cut_after"),
 		Refuse:          v.GetBool("refuse"),
--- a/internal/fake/plain/plain.go
+++ b/internal/fake/plain/plain.go
@@ -15,32 +15,32 @@
 	"github.com/valyala/fastjson"
 
 	"umberladder/internal/fake/httpd"
-	"umberladder/internal/fake/record"
+	"umberladder/internal/fake/runlog"
 )
 
 // Faults are the failures that a test injects.
 type Faults struct {
-	Delay time.Duration // the call runs and its response is delayed by this much
-	Cut   bool          // the call runs and its connection is closed without a response
-	Error bool          // the call runs and fails with 500
+	Delay        time.Duration // the call runs and its response is delayed by this much
+	DropResponse bool          // the call runs and its connection is closed without a response
+	Error        bool          // the call runs and fails with 500
 }
 
 // Server is a fake plain server.
 type Server struct {
 	name   string
 	faults atomic.Pointer[Faults]
-	runLog *record.Record
+	runLog *runlog.Log
 }
 
 // New returns a server that records the calls it runs in runLog.
-func New(name string, runLog *record.Record) *Server {
+func New(name string, runLog *runlog.Log) *Server {
 	s := &Server{name: name, runLog: runLog}
 	s.faults.Store(&Faults{})
 	return s
 }
 
 // SetFaults replaces the injected faults.
-func (s *Server) Fault(f Faults) { s.faults.Store(&f) }
+func (s *Server) SetFaults(f Faults) { s.faults.Store(&f) }
 
 // Runs returns how often the call with the tag ran.
 func (s *Server) Runs(tag string) int { return s.runLog.Runs(tag) }
@@ -64,7 +64,7 @@
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	if f.Cut {
+	if f.DropResponse {
 		_ = ctx.Conn().Close()
 		return
 	}
@@ -82,9 +82,9 @@
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	s.Fault(Faults{
-		Delay: time.Duration(v.GetInt("late_ms")) * time.Millisecond,
-		Cut:   v.GetBool("cut"),
-		Error: v.GetBool("error"),
+	s.SetFaults(Faults{
+		Delay:        time.Duration(v.GetInt("late_ms")) * time.Millisecond,
+		DropResponse: v.GetBool("cut"),
+		Error:        v.GetBool("error"),
 	})
 }
--- a/internal/fake/prompt/order.go
+++ b/internal/fake/prompt/order.go
@@ -15,7 +15,7 @@
 
 // Spec is what a prompt specifies: the number of tokens, the seed of their
 // text, and the tag under which the generation is recorded.
-type Order struct {
+type Spec struct {
 	Tokens int
 	Seed   uint64
 	Tag    string
@@ -23,8 +23,8 @@
 
 // Parse reads the spec from a prompt. Words that are not part of a spec are
 // ignored.
-func Parse(prompt string) Order {
-	spec := Order{Tokens: defaultTokens}
+func Parse(prompt string) Spec {
+	spec := Spec{Tokens: defaultTokens}
 	for _, word := range strings.Fields(prompt) {
 		name, value, ok := strings.Cut(word, "=")
 		if !ok {
@@ -47,13 +47,13 @@
 }
 
 // Prompt returns the prompt that specifies s.
-func (s Order) Prompt() string {
+func (s Spec) Prompt() string {
 	return fmt.Sprintf("produce=%d seed=%d tag=%s", s.Tokens, s.Seed, s.Tag)
 }
 
 // Token returns the text of token i of a run. It consists of the index, a word
 // derived from the seed, and the run ID, which differs between runs.
-func (s Order) Token(i int, runID string) string {
+func (s Spec) Token(i int, runID string) string {
 	var b [24]byte
 	key := strconv.AppendUint(b[:0], s.Seed, 10)
 	key = append(key, '/')
@@ -63,7 +63,7 @@
 
 // CheckComplete returns an error unless text is the complete output for s from a
 // single run.
-func (s Order) CheckText(text string) error {
+func (s Spec) CheckComplete(text string) error {
 	words := strings.Fields(text)
 	if len(words) != s.Tokens {
 		return fmt.Errorf("got %d tokens, want %d", len(words), s.Tokens)
@@ -73,7 +73,7 @@
 
 // CheckPrefix returns an error unless words are the first tokens of the output
 // for s from a single run.
-func (s Order) CheckPrefix(words []string) error {
+func (s Spec) CheckPrefix(words []string) error {
 	runID := ""
 	for i, w := range words {
 		dot := strings.LastIndexByte(w, '.')
--- a/internal/fake/copier/copier.go
+++ b/internal/fake/proxy/copier.go
@@ -1,6 +1,6 @@
 // Package proxy implements a minimal proxy that copies an engine's responses to
 // its clients and does nothing else. It is the baseline for measurements.
-package copier
+package proxy
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"umberladder/internal/fake/httpd"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 )
 
 const (
@@ -24,12 +24,12 @@
 // Server forwards requests to one engine.
 type Server struct {
 	engine netip.AddrPort
-	dialer *link.Dialer
+	dialer *httpc.Dialer
 }
 
 // New returns a proxy for the engine at addr.
 func New(addr netip.AddrPort) *Server {
-	return &Server{engine: addr, dialer: link.New(netip.Addr{}, time.Second, idleTimeout, 1)}
+	return &Server{engine: addr, dialer: httpc.New(netip.Addr{}, time.Second, idleTimeout, 1)}
 }
 
 // Serve accepts connections on ln until ctx is done.
@@ -39,7 +39,7 @@
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	var resp fasthttp.Response
-	body, err := s.dialer.Open(context.Background(), s.engine, &ctx.Request, &resp, link.Options{Fresh: true, Body: maxBufferedBody})
+	body, err := s.dialer.DoStream(context.Background(), s.engine, &ctx.Request, &resp, httpc.Options{NewConn: true, MaxBody: maxBufferedBody})
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadGateway)
 		return
--- a/internal/fake/record/record.go
+++ b/internal/fake/runlog/record.go
@@ -1,6 +1,6 @@
 // Package runlog records what a fake server ran, so that a test can check the
 // system's statements against it. A log in a file outlives the fake's process.
-package record
+package runlog
 
 import (
 	"bufio"
@@ -13,18 +13,18 @@
 )
 
 // Log counts the runs of each tag. It is safe for concurrent use.
-type Record struct {
+type Log struct {
 	mu   sync.Mutex
 	runs map[string]int
 	file *os.File
 }
 
 // New returns an empty log that is kept in memory only.
-func New() *Record { return &Record{runs: map[string]int{}} }
+func New() *Log { return &Log{runs: map[string]int{}} }
 
 // Open returns a log that also appends each run to the file at path. If path is
 // empty, the log is kept in memory only.
-func Open(path string) (*Record, error) {
+func Open(path string) (*Log, error) {
 	l := New()
 	if path == "" {
 		return l, nil
@@ -38,7 +38,7 @@
 }
 
 // Add records one run of the tag. It is called before the run starts.
-func (l *Record) Add(tag string) error {
+func (l *Log) Add(tag string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[tag]++
@@ -50,14 +50,14 @@
 }
 
 // Runs returns how often the tag ran.
-func (l *Record) Runs(tag string) int {
+func (l *Log) Runs(tag string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[tag]
 }
 
 // All returns the number of runs of each tag.
-func (l *Record) All() map[string]int {
+func (l *Log) All() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.runs)
--- a/internal/fake/store/server.go
+++ b/internal/fake/store/server.go
@@ -30,10 +30,10 @@
 
 // Faults are the failures that a test injects.
 type Faults struct {
-	Down        bool          // every call gets 503
-	Hang        bool          // every call waits for hangTime, then its connection is closed
-	Delay       time.Duration // added to the duration of every call
-	LoseReplies float64       // fraction of writes whose reply is lost
+	Down           bool          // every call gets 503
+	Hang           bool          // every call waits for hangTime, then its connection is closed
+	Delay          time.Duration // added to the duration of every call
+	ReplyLossRatio float64       // fraction of writes whose reply is lost
 	// DownAfterWrite is how long the store is down after each successful write
 	// under /settings. The writer gets its reply, but no watcher sees the change
 	// before the outage ends.
@@ -68,10 +68,10 @@
 }
 
 // SetFaults replaces the injected faults.
-func (s *Server) Fault(f Faults) { s.faults.Store(&f) }
+func (s *Server) SetFaults(f Faults) { s.faults.Store(&f) }
 
 // Counts returns the numbers of calls received so far.
-func (s *Server) Count() Counts { return s.meter.snapshot() }
+func (s *Server) Counts() Counts { return s.meter.snapshot() }
 
 // Serve accepts connections on ln until ctx is done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
@@ -145,7 +145,7 @@
 // loseReply closes the connection of a write that has been handled, with the
 // probability Faults.ReplyLossRatio.
 func (s *Server) loseReply(ctx *fasthttp.RequestCtx) {
-	p := s.faults.Load().LoseReplies
+	p := s.faults.Load().ReplyLossRatio
 	if p <= 0 || ctx.IsGet() {
 		return
 	}
@@ -217,7 +217,7 @@
 func (s *Server) handleCalls(ctx *fasthttp.RequestCtx) {
 	var a fastjson.Arena
 	o, calls := a.NewObject(), a.NewObject()
-	c := s.Count()
+	c := s.Counts()
 	for name, n := range c.Calls {
 		calls.Set(name, a.NewNumberInt(n))
 	}
@@ -233,12 +233,12 @@
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	s.Fault(Faults{
+	s.SetFaults(Faults{
 		Down:           v.GetBool("down"),
 		Hang:           v.GetBool("hang"),
 		Delay:          time.Duration(v.GetInt("slow_ms")) * time.Millisecond,
 		DownAfterWrite: time.Duration(v.GetInt("drop_after_ms")) * time.Millisecond,
-		LoseReplies:    v.GetFloat64("lose_replies"),
+		ReplyLossRatio: v.GetFloat64("lose_replies"),
 	})
 }
 
--- a/internal/fake/roster/roster.go
+++ b/internal/fake/vmlist/roster.go
@@ -1,6 +1,6 @@
 // Package vmlist implements a fake of the platform's VM list, which shows live
 // and draining VMs with a delay.
-package roster
+package vmlist
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 
 // VM is an entry of the list.
 type VM struct {
-	Name     string
-	Address  string // address for calls from other VMs
-	Domain   string
-	Draining bool
+	Name          string
+	Address       string // address for calls from other VMs
+	FailureDomain string
+	Draining      bool
 }
 
 type change struct {
@@ -31,7 +31,7 @@
 }
 
 // List is a VM list that applies each change after a lag.
-type Roster struct {
+type List struct {
 	lag time.Duration
 
 	mu      sync.Mutex
@@ -40,32 +40,32 @@
 }
 
 // New returns an empty list without lag.
-func New() *Roster { return &Roster{} }
+func New() *List { return &List{} }
 
 // WithLag sets the lag of later changes and returns the list. It first applies
 // the earlier changes that are due, which without a lag are all of them.
-func (l *Roster) Lagging(lag time.Duration) *Roster {
+func (l *List) WithLag(lag time.Duration) *List {
 	l.VMs()
 	l.lag = lag
 	return l
 }
 
 // Set adds or changes a VM.
-func (l *Roster) Set(vm VM) { l.add(change{at: time.Now(), vm: vm}) }
+func (l *List) Set(vm VM) { l.add(change{at: time.Now(), vm: vm}) }
 
 // Remove deletes a VM from the list.
-func (l *Roster) Remove(name string) {
+func (l *List) Remove(name string) {
 	l.add(change{at: time.Now(), vm: VM{Name: name}, removed: true})
 }
 
-func (l *Roster) add(c change) {
+func (l *List) add(c change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changes = append(l.changes, c)
 }
 
 // VMs returns the VMs as they were one lag ago.
-func (l *Roster) VMs() []VM {
+func (l *List) VMs() []VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.changes) > 0 && time.Since(l.changes[0].at) >= l.lag {
@@ -75,7 +75,7 @@
 	return slices.Clone(l.vms)
 }
 
-func (l *Roster) apply(c change) {
+func (l *List) apply(c change) {
 	l.vms = slices.DeleteFunc(l.vms, func(v VM) bool { return v.Name == c.vm.Name })
 	if !c.removed {
 		l.vms = append(l.vms, c.vm)
@@ -84,11 +84,11 @@
 
 // Serve accepts connections on ln until ctx is done. GET /vms lists the VMs, PUT
 // /vms/<name> with a JSON body adds or changes one, DELETE /vms/<name> removes it.
-func (l *Roster) Serve(ctx context.Context, ln net.Listener) error {
+func (l *List) Serve(ctx context.Context, ln net.Listener) error {
 	return httpd.Serve(ctx, ln, "vm-list", l.handle)
 }
 
-func (l *Roster) handle(ctx *fasthttp.RequestCtx) {
+func (l *List) handle(ctx *fasthttp.RequestCtx) {
 	name := strings.TrimPrefix(string(ctx.Path()), "/vms/")
 	switch {
 	case ctx.IsPut():
@@ -98,10 +98,10 @@
 			return
 		}
 		l.Set(VM{
-			Name:     name,
-			Address:  string(v.GetStringBytes("address")),
-			Domain:   string(v.GetStringBytes("failure_domain")),
-			Draining: v.GetBool("leaving"),
+			Name:          name,
+			Address:       string(v.GetStringBytes("address")),
+			FailureDomain: string(v.GetStringBytes("failure_domain")),
+			Draining:      v.GetBool("leaving"),
 		})
 	case ctx.IsDelete():
 		l.Remove(name)
@@ -117,7 +117,7 @@
 		o := a.NewObject()
 		o.Set("name", a.NewString(vm.Name))
 		o.Set("address", a.NewString(vm.Address))
-		o.Set("failure_domain", a.NewString(vm.Domain))
+		o.Set("failure_domain", a.NewString(vm.FailureDomain))
 		if vm.Draining {
 			o.Set("leaving", a.NewTrue())
 		}
--- a/internal/load/drive/client.go
+++ b/internal/load/drive/client.go
@@ -213,7 +213,7 @@
 }
 
 // spec returns the prompt spec of this attempt.
-func (s *session) spec() prompt.Order {
+func (s *session) spec() prompt.Spec {
 	spec := s.request.Spec
 	spec.Tag = s.res.Tag
 	return spec
@@ -261,7 +261,7 @@
 func (s *session) checkText() {
 	text := strings.Join(s.chunks, "")
 	s.res.Tokens = len(strings.Fields(text))
-	if err := s.request.Spec.CheckText(text); err != nil {
+	if err := s.request.Spec.CheckComplete(text); err != nil {
 		s.finish(Wrong, err.Error())
 	}
 }
--- a/internal/load/drive/request.go
+++ b/internal/load/drive/request.go
@@ -22,7 +22,7 @@
 	Stream     bool
 	AtMostOnce bool
 	Keyed      bool
-	Spec       prompt.Order
+	Spec       prompt.Spec
 }
 
 // Mix describes the requests of a run.
@@ -68,7 +68,7 @@
 func (m Mix) draw(rng *rand.Rand) Request {
 	r := Request{Workspace: plan.Installers}
 	if rng.IntN(2) == 0 {
-		r.Workspace = plan.Faultdesk
+		r.Workspace = plan.FaultDesk
 	}
 	kind := rng.Float64()
 	switch {
@@ -80,7 +80,7 @@
 	case kind < m.Plain+m.Urgent:
 		r.Service, r.Urgent, r.Stream = plan.Questions, true, rng.IntN(2) == 0
 		r.Spec.Tokens = 1 + rng.IntN(maxShortTokens)
-	case r.Workspace == plan.Faultdesk && rng.IntN(4) == 0:
+	case r.Workspace == plan.FaultDesk && rng.IntN(4) == 0:
 		r.Service, r.AtMostOnce, r.Keyed = plan.Triage, true, true
 		r.Spec.Tokens = 1 + rng.IntN(maxShortTokens)
 	default:
--- a/internal/load/fault/injector.go
+++ b/internal/load/fault/injector.go
@@ -89,7 +89,7 @@
 }
 
 func (inj *Injector) randomPlain() plan.Endpoint {
-	return inj.Fleet.Plain[inj.Rand.IntN(len(inj.Fleet.Plain))]
+	return inj.Fleet.PlainServers[inj.Rand.IntN(len(inj.Fleet.PlainServers))]
 }
 
 func (inj *Injector) randomVM() plan.Endpoint {
--- a/internal/load/fault/kinds.go
+++ b/internal/load/fault/kinds.go
@@ -5,8 +5,8 @@
 	"syscall"
 	"time"
 
-	"umberladder/internal/load/gauge"
 	"umberladder/internal/load/plan"
+	"umberladder/internal/load/stats"
 )
 
 // Kind is one kind of fault.
@@ -127,7 +127,7 @@
 	n := inj.randomEngine()
 	kill := func() error {
 		// The engine's counters are lost when it is killed.
-		if late, err := gauge.LateRequests(context.Background(), n); err == nil {
+		if late, err := stats.LateRequests(context.Background(), n); err == nil {
 			inj.lateRequests.Add(int64(late))
 		}
 		return inj.signal(n.Name, syscall.SIGKILL)
--- a/internal/load/picker/picker.go
+++ b/internal/load/picker/picker.go
@@ -67,7 +67,7 @@
 		p.mu.Lock()
 		p.ready = ready
 		p.mu.Unlock()
-		retry.Pause(ctx, probeInterval)
+		retry.Sleep(ctx, probeInterval)
 	}
 	return nil
 }
--- a/internal/load/plan/files.go
+++ b/internal/load/plan/files.go
@@ -39,7 +39,7 @@
 	files := map[string]any{
 		"system.json":        f.systemSettings(),
 		Installers + ".json": f.workspaceSettings(Installers, f.installerServices()),
-		Faultdesk + ".json":  f.workspaceSettings(Faultdesk, f.faultDeskServices()),
+		FaultDesk + ".json":  f.workspaceSettings(FaultDesk, f.faultDeskServices()),
 	}
 	for i := range f.VMs {
 		files[f.VMs[i].Name+".json"] = f.vmSettings(i)
@@ -112,8 +112,8 @@
 	return []object{
 		{"name": Proposals, "kind": "model", "model": "drafter", "class": "standard", "objective": "stall-time"},
 		{"name": Questions, "kind": "model", "model": "drafter", "class": "urgent", "objective": "stall-time"},
-		{"name": Bookings, "kind": "plain", "servers": serverList(f.Plain), "class": "urgent", "at-most-once": true, "timeout": "5s"},
-		{"name": Lookups, "kind": "plain", "servers": serverList(f.Plain), "class": "urgent", "timeout": "5s"},
+		{"name": Bookings, "kind": "plain", "servers": serverList(f.PlainServers), "class": "urgent", "at-most-once": true, "timeout": "5s"},
+		{"name": Lookups, "kind": "plain", "servers": serverList(f.PlainServers), "class": "urgent", "timeout": "5s"},
 	}
 }
 
@@ -122,8 +122,8 @@
 		{"name": Proposals, "kind": "model", "model": "drafter", "class": "standard", "objective": "preemptions"},
 		{"name": Questions, "kind": "model", "model": "drafter", "class": "urgent", "objective": "preemptions"},
 		{"name": Triage, "kind": "model", "model": "drafter", "class": "batch", "at-most-once": true},
-		{"name": Bookings, "kind": "plain", "servers": serverList(f.Plain), "class": "urgent", "at-most-once": true, "timeout": "5s"},
-		{"name": Lookups, "kind": "plain", "servers": serverList(f.Plain), "class": "urgent", "timeout": "5s"},
+		{"name": Bookings, "kind": "plain", "servers": serverList(f.PlainServers), "class": "urgent", "at-most-once": true, "timeout": "5s"},
+		{"name": Lookups, "kind": "plain", "servers": serverList(f.PlainServers), "class": "urgent", "timeout": "5s"},
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	line("platform", "standin platform --store %s --vm-list %s --settings /system=%s --settings /workspaces/%s=%s --settings /workspaces/%s=%s%s",
 		f.Store, f.VMList, f.path("system.json"),
-		Installers, f.path(Installers+".json"), Faultdesk, f.path(Faultdesk+".json"), vms)
+		Installers, f.path(Installers+".json"), FaultDesk, f.path(FaultDesk+".json"), vms)
 	for i := 0; i < len(f.Engines); i += f.enginesPerProcess() {
 		addrs := ""
 		group := f.Engines[i:min(i+f.enginesPerProcess(), len(f.Engines))]
@@ -157,12 +157,12 @@
 			addrs += fmt.Sprintf(" --at %s=%s", e.Name, e.Address)
 		}
 		line(group[0].Name, "standin engine%s --memory %d --batch %d --step %s --records %s",
-			addrs, f.Profile.Memory, f.Profile.Batch, f.Profile.Step, f.path(RunLogDir))
+			addrs, f.Profile.EngineMemory, f.Profile.EngineBatch, f.Profile.EngineStep, f.path(RunLogDir))
 	}
 	if f.Proxy.IsValid() {
 		line("copy", "standin copy --at %s --engine %s", f.Proxy, f.Engines[0].Address)
 	}
-	for _, p := range f.Plain {
+	for _, p := range f.PlainServers {
 		line(p.Name, "standin plain --at %s=%s --records %s", p.Name, p.Address, f.path(RunLogDir))
 	}
 	for _, v := range f.VMs {
@@ -174,7 +174,7 @@
 // RunLogFiles returns the paths of the fake servers' run logs.
 func (f *Fleet) RunLogFiles() []string {
 	var out []string
-	for _, n := range append(append([]Endpoint{}, f.Engines...), f.Plain...) {
+	for _, n := range append(append([]Endpoint{}, f.Engines...), f.PlainServers...) {
 		out = append(out, filepath.Join(f.path(RunLogDir), n.Name+".runs"))
 	}
 	return out
--- a/internal/load/plan/fleet.go
+++ b/internal/load/plan/fleet.go
@@ -25,22 +25,22 @@
 // Profile describes a deployment: the number of failure domains and backend
 // servers, and the size of the engines.
 type Profile struct {
-	Name    string
-	Domains int
-	Engines int
-	Plain   int
-	Memory  int           // of an engine, in tokens
-	Batch   int           // largest batch of an engine, in streams
-	Step    time.Duration // time of one step of an engine
+	Name           string
+	FailureDomains int
+	Engines        int
+	PlainServers   int
+	EngineMemory   int           // of an engine, in tokens
+	EngineBatch    int           // largest batch of an engine, in streams
+	EngineStep     time.Duration // time of one step of an engine
 }
 
 // Profiles returns the known deployments: the two that the requirements describe,
 // with small engines, and a smaller one for demonstrations.
 func Profiles() []Profile {
 	return []Profile{
-		{Name: "demo", Domains: 3, Engines: 4, Plain: 2, Memory: 6000, Batch: 64, Step: 4 * time.Millisecond},
-		{Name: "cistern-row", Domains: 4, Engines: 12, Plain: 4, Memory: 6000, Batch: 64, Step: 4 * time.Millisecond},
-		{Name: "liinirike", Domains: 3, Engines: 14, Plain: 3, Memory: 6000, Batch: 64, Step: 4 * time.Millisecond},
+		{Name: "demo", FailureDomains: 3, Engines: 4, PlainServers: 2, EngineMemory: 6000, EngineBatch: 64, EngineStep: 4 * time.Millisecond},
+		{Name: "cistern-row", FailureDomains: 4, Engines: 12, PlainServers: 4, EngineMemory: 6000, EngineBatch: 64, EngineStep: 4 * time.Millisecond},
+		{Name: "liinirike", FailureDomains: 3, Engines: 14, PlainServers: 3, EngineMemory: 6000, EngineBatch: 64, EngineStep: 4 * time.Millisecond},
 	}
 }
 
@@ -64,19 +64,19 @@
 
 // Fleet is the layout of a fleet.
 type Fleet struct {
-	Dir       string
-	Profile   Profile
-	VMs       []Endpoint // VMs, addresses for callers
-	Operators []Endpoint // the same VMs, addresses for operators
-	Peers     []Endpoint // the same VMs, addresses for other VMs
-	Engines   []Endpoint
-	Plain     []Endpoint
-	Store     netip.AddrPort
-	VMList    netip.AddrPort
-	Proxy     netip.AddrPort // of the pass-through proxy for engine 1; zero: none
-	Placement string
-	Reserve   float64 // share of engine memory that is reserved for urgent calls
-	Verbose   bool    // VMs log every request
+	Dir          string
+	Profile      Profile
+	VMs          []Endpoint // VMs, addresses for callers
+	Operators    []Endpoint // the same VMs, addresses for operators
+	Peers        []Endpoint // the same VMs, addresses for other VMs
+	Engines      []Endpoint
+	PlainServers []Endpoint
+	Store        netip.AddrPort
+	VMList       netip.AddrPort
+	Proxy        netip.AddrPort // of the pass-through proxy for engine 1; zero: none
+	Placement    string
+	Reserve      float64 // share of engine memory that is reserved for urgent calls
+	Verbose      bool    // VMs log every request
 }
 
 // New lays out a fleet of numVMs VMs in the loopback network 127.net.0.0/16. The
@@ -93,7 +93,7 @@
 	}
 	f := &Fleet{Dir: dir, Profile: p, Store: addr(2, 1, storePort), VMList: addr(2, 1, vmListPort), Placement: "predicted"}
 	for i := range numVMs {
-		name, domain := fmt.Sprintf("vm-%d", i+1), failureDomain(i, p.Domains)
+		name, domain := fmt.Sprintf("vm-%d", i+1), failureDomain(i, p.FailureDomains)
 		f.VMs = append(f.VMs, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, callersPort)})
 		f.Operators = append(f.Operators, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, operatorsPort)})
 		f.Peers = append(f.Peers, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, peersPort)})
@@ -101,12 +101,12 @@
 	for i := range p.Engines {
 		f.Engines = append(f.Engines, Endpoint{
 			Name:    fmt.Sprintf("engine-%d", i+1),
-			Domain:  failureDomain(i, p.Domains),
+			Domain:  failureDomain(i, p.FailureDomains),
 			Address: addr(3+i/maxHosts, 1+i%maxHosts, enginePort),
 		})
 	}
-	for i := range p.Plain {
-		f.Plain = append(f.Plain, Endpoint{Name: fmt.Sprintf("plain-%d", i+1), Domain: failureDomain(i, p.Domains), Address: addr(200, i+1, plainPort)})
+	for i := range p.PlainServers {
+		f.PlainServers = append(f.PlainServers, Endpoint{Name: fmt.Sprintf("plain-%d", i+1), Domain: failureDomain(i, p.FailureDomains), Address: addr(200, i+1, plainPort)})
 	}
 	return f, nil
 }
@@ -122,7 +122,7 @@
 // Workspaces and services of every fleet.
 const (
 	Installers = "installers"
-	Faultdesk  = "fault-desk"
+	FaultDesk  = "fault-desk"
 
 	Proposals = "proposals" // long generations
 	Questions = "questions" // short urgent generations
--- a/internal/load/rivals/rivals.go
+++ b/internal/load/race/rivals.go
@@ -1,7 +1,7 @@
 // Package race runs operators that update settings concurrently through random
 // VMs, and checks on every VM that accepted changes come into force in time and
 // are never replaced by an older version.
-package rivals
+package race
 
 import (
 	"bytes"
@@ -99,7 +99,7 @@
 func (r *Runner) Run(ctx context.Context) *Report {
 	var g errgroup.Group
 	for i := range 4 {
-		workspace := []string{plan.Installers, plan.Faultdesk}[i%2]
+		workspace := []string{plan.Installers, plan.FaultDesk}[i%2]
 		rng := rand.New(rand.NewPCG(r.seed, uint64(i)))
 		g.Go(func() error {
 			r.runOperator(ctx, workspace, i, rng)
@@ -273,12 +273,12 @@
 func (r *Runner) pollHistories(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.readHistories(1)
-		retry.Pause(ctx, historyInterval)
+		retry.Sleep(ctx, historyInterval)
 	}
 }
 
 func (r *Runner) readHistories(tries int) {
-	for _, workspace := range []string{plan.Installers, plan.Faultdesk} {
+	for _, workspace := range []string{plan.Installers, plan.FaultDesk} {
 		if counts := r.changeCounts("/workspaces/"+workspace, plan.OperatorKey(workspace), tries); counts != nil {
 			r.locked(func() {
 				for id, n := range counts {
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -15,12 +15,12 @@
 	"github.com/gravitational/trace"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/fake/record"
+	"umberladder/internal/fake/runlog"
 	"umberladder/internal/load/drive"
 	"umberladder/internal/load/fault"
-	"umberladder/internal/load/gauge"
 	"umberladder/internal/load/plan"
-	"umberladder/internal/load/rivals"
+	"umberladder/internal/load/race"
+	"umberladder/internal/load/stats"
 	"umberladder/internal/policy/retry"
 )
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil //nolint:nilerr // the process is just being started again
 	}
-	retry.Pause(ctx, undo.After)
+	retry.Sleep(ctx, undo.After)
 	for range 20 {
 		if undo.Run() == nil {
 			return nil
@@ -95,7 +95,7 @@
 }
 
 func pause(ctx context.Context, inj *fault.Injector) {
-	retry.Pause(ctx, minPause+time.Duration(inj.Rand.Int64N(int64(maxPause-minPause))))
+	retry.Sleep(ctx, minPause+time.Duration(inj.Rand.Int64N(int64(maxPause-minPause))))
 }
 
 func repeatFault(k fault.Kind) func(context.Context, *fault.Injector) error {
@@ -133,7 +133,7 @@
 			if err := inj.Drain(vm); err != nil {
 				return err
 			}
-			retry.Pause(ctx, drainInterval)
+			retry.Sleep(ctx, drainInterval)
 		}
 	}
 	return nil
@@ -166,9 +166,9 @@
 	VMRemovals          int       `json:"vm-removals"` // how often a VM removed another from its membership list as dead
 	Store               StoreLoad `json:"store"`
 	// Violations counts the violated invariants in the VMs' logs.
-	Violations      int            `json:"violations"`
-	SettingsUpdates *rivals.Report `json:"race,omitempty"`
-	Passed          bool           `json:"held"`
+	Violations      int          `json:"violations"`
+	SettingsUpdates *race.Report `json:"race,omitempty"`
+	Passed          bool         `json:"held"`
 }
 
 // StoreLoad counts the calls to the platform's key-value store during a run,
@@ -181,7 +181,7 @@
 }
 
 // storeLoad returns the difference of the store's counters before and after a run.
-func storeLoad(before, after *gauge.StoreCalls, elapsed time.Duration) StoreLoad {
+func storeLoad(before, after *stats.StoreCalls, elapsed time.Duration) StoreLoad {
 	s := StoreLoad{PeakPerSecond: after.Peak, Refused: after.Refused - before.Refused}
 	busiest := 0
 	for name, n := range after.Calls {
@@ -197,7 +197,7 @@
 // between VMs, from the VMs' metrics.
 func (r *Result) readMetrics(ctx context.Context, f *plan.Fleet) {
 	for _, vm := range f.VMs {
-		metrics, err := gauge.Scrape(ctx, vm)
+		metrics, err := stats.Scrape(ctx, vm)
 		if err != nil {
 			continue // the VM is being restarted
 		}
@@ -227,7 +227,7 @@
 
 // updatesOK reports whether the settings updates, if there were any, violated no
 // guarantee. If no VM is killed or paused, they must also be in force in time.
-func (sc *Scenario) updatesOK(r *rivals.Report) bool {
+func (sc *Scenario) updatesOK(r *race.Report) bool {
 	if r == nil {
 		return true
 	}
@@ -244,11 +244,11 @@
 	res := &Result{Scenario: sc.Name, Seed: seed}
 	if sc.ConcurrentUpdates {
 		g.Go(func() error {
-			res.SettingsUpdates = rivals.New(f, seed).Run(faultsCtx)
+			res.SettingsUpdates = race.New(f, seed).Run(faultsCtx)
 			return nil
 		})
 	}
-	before, err := gauge.FetchStoreCalls(ctx, f.Store)
+	before, err := stats.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -257,7 +257,7 @@
 	if err := g.Wait(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	runs, err := record.Read(f.RunLogFiles())
+	runs, err := runlog.Read(f.RunLogFiles())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -266,7 +266,7 @@
 		res.ConnectionBreaks = run.ConnectionBreaks()
 	}
 	res.readMetrics(ctx, f)
-	after, err := gauge.FetchStoreCalls(ctx, f.Store)
+	after, err := stats.FetchStoreCalls(ctx, f.Store)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/load/soak/client.go
+++ b/internal/load/soak/client.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"umberladder/platform/standin"
+	"umberladder/platform/fake"
 )
 
 // call records one call as its client saw it.
@@ -36,7 +36,7 @@
 func (r *run) send(ctx context.Context, httpClient *http.Client, c *call, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout+time.Second)
 	defer cancel()
-	req, err := standin.NewRequest(ctx, addr, c.path, c.id, c.key, clientTimeout)
+	req, err := fake.NewRequest(ctx, addr, c.path, c.id, c.key, clientTimeout)
 	if err != nil {
 		c.violation = err.Error()
 		return
@@ -59,7 +59,7 @@
 		c.complete = err == nil
 		return
 	}
-	if !standin.Signed(resp, c.id) {
+	if !fake.Signed(resp, c.id) {
 		c.violation = "the response does not have the server's signature"
 	}
 	if strings.HasPrefix(c.path, "/stream/") {
@@ -92,7 +92,7 @@
 		}
 	}
 	c.complete = s.Err() == nil
-	if c.complete && last != standin.Events {
+	if c.complete && last != fake.StreamEvents {
 		c.violation = fmt.Sprintf("the stream ended without an error after event %d", last)
 	}
 }
--- a/internal/load/soak/fatal.go
+++ b/internal/load/soak/fatal.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"umberladder/platform/standin"
+	"umberladder/platform/fake"
 )
 
 const (
@@ -43,7 +43,7 @@
 		httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 		defer httpClient.CloseIdleConnections()
 		for n, v := range vms {
-			c := &call{id: fmt.Sprintf("s%d-f%d-%d", r.cfg.Seed, id, n), path: path, key: fmt.Sprintf("key-%d", numKeys-1), vm: v.name, body: standin.FatalBody}
+			c := &call{id: fmt.Sprintf("s%d-f%d-%d", r.cfg.Seed, id, n), path: path, key: fmt.Sprintf("key-%d", numKeys-1), vm: v.name, body: fake.FatalBody}
 			r.send(ctx, httpClient, c, v.callersAddr)
 			if ctx.Err() == nil {
 				r.addCall(c)
@@ -79,7 +79,7 @@
 	if b == nil || !r.addReplacement(ctx, b) {
 		return
 	}
-	b.server.Drain()
+	b.server.AnnounceDrain()
 	r.group.Go(func() error {
 		r.sleep(ctx, 2*drainBound)
 		b.server.Crash()
@@ -92,7 +92,7 @@
 // meanwhile.
 func (r *run) busyServer(context.Context) {
 	if b := r.pickServer(); b != nil {
-		b.server.Busy(time.Duration(500+r.rng.IntN(3000)) * time.Millisecond)
+		b.server.RejectFor(time.Duration(500+r.rng.IntN(3000)) * time.Millisecond)
 	}
 }
 
@@ -130,7 +130,7 @@
 // drainViolation returns a violation if the call ran at a server whose drain
 // announcement the same VM had forwarded in a response more than drainBound before
 // the call was sent. It ignores VMs that were stopped or paused in between.
-func (r *run) drainViolation(c *call, runs []standin.Run) string {
+func (r *run) drainViolation(c *call, runs []fake.Run) string {
 	for _, other := range r.calls {
 		if other.drainingServer == "" || other.vm != c.vm || c.sentAt.Sub(other.respondedAt) <= drainBound || r.wasStopped(c.vm, other.respondedAt, c.sentAt) {
 			continue
--- a/internal/load/soak/faults.go
+++ b/internal/load/soak/faults.go
@@ -156,7 +156,7 @@
 // restoreStore restores the store from an older backup copy. Then operators and
 // servers write their data again, and the entries of terminated servers expire.
 func (r *run) restoreStore(ctx context.Context) {
-	backupCopy := r.store.Copy()
+	backupCopy := r.store.Backup()
 	r.undoLater(ctx, func() {
 		var markRecovered []func()
 		for _, v := range r.vms {
@@ -204,7 +204,7 @@
 
 func (r *run) shedServer(context.Context) {
 	if b := r.pickServer(); b != nil {
-		b.server.Shed(1 + r.rng.IntN(5))
+		b.server.RejectNext(1 + r.rng.IntN(5))
 	}
 }
 
@@ -220,7 +220,7 @@
 	if b == nil || !r.addReplacement(ctx, b) {
 		return
 	}
-	b.server.Leave()
+	b.server.MarkDraining()
 	r.markRetired(b)
 	r.group.Go(func() error {
 		r.sleep(ctx, 4*time.Second)
--- a/internal/load/soak/soak.go
+++ b/internal/load/soak/soak.go
@@ -17,7 +17,7 @@
 	"github.com/gravitational/trace"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/platform/standin"
+	"umberladder/platform/fake"
 )
 
 const (
@@ -64,7 +64,7 @@
 
 // backend is a server behind a proxy.
 type backend struct {
-	server    *standin.Server
+	server    *fake.Server
 	proxy     *Proxy
 	ln        net.Listener
 	retiredAt time.Time // when its entry was set to draining, or removed
@@ -74,8 +74,8 @@
 type run struct {
 	cfg          Config
 	rng          *rand.Rand
-	store        *standin.Store
-	runLog       *standin.Ledger
+	store        *fake.Store
+	runLog       *fake.RunLog
 	vms          []*vm
 	storeProxies []*Proxy // by VM: the proxy between it and the store
 	group        errgroup.Group
@@ -94,7 +94,7 @@
 // Run runs one soak.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	r := &run{
-		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), store: standin.NewStore(), runLog: standin.NewLedger(),
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0)), store: fake.NewStore(), runLog: fake.NewRunLog(),
 		faults: make(map[string]int), revoked: make(map[string]time.Time), impairments: make(map[string][]span), stops: make(map[string][]time.Time),
 	}
 	ctx, cancel := context.WithTimeout(ctx, cfg.Duration)
@@ -121,11 +121,11 @@
 	r.group.Go(func() error { _ = r.store.Serve(ln); return nil })
 	r.writeNextSettings()
 	for n := range r.cfg.Servers {
-		if err := r.addServer(ctx, standin.Engines); err != nil {
+		if err := r.addServer(ctx, fake.EngineService); err != nil {
 			return err
 		}
 		if n%2 == 0 {
-			if err := r.addServer(ctx, standin.Plain); err != nil {
+			if err := r.addServer(ctx, fake.PlainService); err != nil {
 				return err
 			}
 		}
@@ -158,7 +158,7 @@
 		r.mu.Lock()
 		for _, b := range r.backends {
 			if !b.dead {
-				b.server.Enter()
+				b.server.Register()
 			}
 		}
 		r.mu.Unlock()
@@ -181,7 +181,7 @@
 			valid = append(valid, k)
 		}
 	}
-	r.store.Configure(r.version, valid, min(r.version*routesStep, r.cfg.Routes))
+	r.store.PutSettings(r.version, valid, min(r.version*routesStep, r.cfg.Routes))
 }
 
 func (r *run) addServer(ctx context.Context, service string) error {
@@ -196,11 +196,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nextID++
-	s := standin.NewServer(fmt.Sprintf("%s-%d", service, r.nextID), service, "a", p.Addr(), r.store, r.runLog)
+	s := fake.NewServer(fmt.Sprintf("%s-%d", service, r.nextID), service, "a", p.Addr(), r.store, r.runLog)
 	b := &backend{server: s, proxy: p, ln: ln}
 	s.OnFatal(func() { r.crashOnFatal(ctx, b) })
 	r.backends = append(r.backends, b)
-	s.Enter()
+	s.Register()
 	r.group.Go(func() error { _ = s.Serve(ln); return nil })
 	return nil
 }
@@ -296,7 +296,7 @@
 
 // retiredViolation returns a violation if the call ran at a server that had retired
 // more than drainBound before.
-func (r *run) retiredViolation(c *call, runs []standin.Run) string {
+func (r *run) retiredViolation(c *call, runs []fake.Run) string {
 	for _, run := range runs {
 		b := r.findBackend(run.Server)
 		if b != nil && !b.retiredAt.IsZero() && run.Start.Sub(b.retiredAt) > drainBound && c.sentAt.After(b.retiredAt) && r.wasHealthy(c.vm, run.Start) {
@@ -307,10 +307,10 @@
 }
 
 // responseViolation checks the response against the runs of the call.
-func (r *run) responseViolation(c *call, runs []standin.Run) string {
+func (r *run) responseViolation(c *call, runs []fake.Run) string {
 	newRuns := 0
 	for _, run := range runs {
-		if !run.GoesOn {
+		if !run.FromCopy {
 			newRuns++
 		}
 	}
--- a/internal/load/soak/soak_test.go
+++ b/internal/load/soak/soak_test.go
@@ -12,17 +12,17 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"umberladder/platform/standin"
+	"umberladder/platform/fake"
 )
 
 // TestResponseViolation checks that each violated guarantee is detected.
 func TestResponseViolation(t *testing.T) {
 	now := time.Now()
 	r := &run{revoked: map[string]time.Time{"gone": now.Add(-time.Minute)}}
-	ran := []standin.Run{{Server: "a"}}
+	ran := []fake.Run{{Server: "a"}}
 	for name, tc := range map[string]struct {
 		call call
-		runs []standin.Run
+		runs []fake.Run
 		want string
 	}{
 		"served":                {call: call{path: "/once/x", status: 200}, runs: ran},
@@ -30,7 +30,7 @@
 		"refused and run":       {call: call{path: "/once/x", status: 503}, runs: ran, want: "not run, but ran"},
 		"run twice":             {call: call{path: "/once/x", status: 200}, runs: append(ran, ran...), want: "ran 2 times"},
 		"repeatable, run twice": {call: call{path: "/get/x", status: 200}, runs: append(ran, ran...)},
-		"continued":             {call: call{path: "/stream/x", status: 200}, runs: append(ran, standin.Run{GoesOn: true})},
+		"continued":             {call: call{path: "/stream/x", status: 200}, runs: append(ran, fake.Run{FromCopy: true})},
 		"revoked key":           {call: call{path: "/get/x", key: "gone", sentAt: now, status: 200}, runs: ran, want: "revoked key"},
 		"denied, revoked key":   {call: call{path: "/get/x", key: "gone", sentAt: now, status: 401}},
 		"denied, valid key":     {call: call{path: "/get/x", key: "k", sentAt: now, status: 401}, want: "denied"},
@@ -56,7 +56,7 @@
 
 func TestReadStream(t *testing.T) {
 	complete := ""
-	for n := range standin.Events {
+	for n := range fake.StreamEvents {
 		complete += fmt.Sprintf("id: %d\ndata: r\n\n", n+1)
 	}
 	for name, tc := range map[string]struct{ stream, want string }{
@@ -151,7 +151,7 @@
 // crashing servers, and calls to servers that the VM knew to be draining.
 func TestFatalAndDrainViolations(t *testing.T) {
 	now := time.Now()
-	ledger := standin.NewLedger()
+	ledger := fake.NewRunLog()
 	r := &run{runLog: ledger, stops: map[string][]time.Time{"stopped": {now.Add(2 * time.Second)}}}
 	add := func(after time.Duration, c call) *call {
 		c.sentAt = now.Add(after)
@@ -160,17 +160,17 @@
 	}
 	for n := range maxFatalCrashes + maxLateFatalRuns {
 		id := fmt.Sprint("r", n)
-		ledger.Begin(id, &standin.Run{Server: id, Start: now})
+		ledger.RecordStart(id, &fake.Run{Server: id, Start: now})
 		add(time.Duration(n/maxFatalCrashes)*2*healthyTime, call{id: id, path: "/get/fatal", vm: "vm"})
 	}
 	assert.Equal(t, len(r.fatalViolations()), 0)
-	ledger.Begin("more", &standin.Run{Server: "x", Start: now})
+	ledger.RecordStart("more", &fake.Run{Server: "x", Start: now})
 	add(2*healthyTime, call{id: "more", path: "/get/fatal", vm: "vm"})
 	assert.Equal(t, len(r.fatalViolations()), 1)
 
 	add(0, call{vm: "vm", drainingServer: "s", respondedAt: now})
 	add(0, call{vm: "stopped", drainingServer: "s", respondedAt: now})
-	ran := []standin.Run{{Server: "s"}}
+	ran := []fake.Run{{Server: "s"}}
 	for vm, want := range map[string]bool{"vm": true, "stopped": false, "other": false} {
 		assert.Equal(t, r.drainViolation(add(2*drainBound, call{vm: vm}), ran) != "", want, vm)
 		assert.Equal(t, r.drainViolation(add(drainBound/2, call{vm: vm}), ran), "")
--- a/internal/load/gauge/proc.go
+++ b/internal/load/stats/proc.go
@@ -1,7 +1,7 @@
 // Package stats measures the resource use of the processes of a running fleet:
 // CPU time from the operating system, the VMs' metrics, and the counters of the
 // fake store and engines.
-package gauge
+package stats
 
 import (
 	"bufio"
--- a/internal/load/gauge/store.go
+++ b/internal/load/stats/store.go
@@ -1,4 +1,4 @@
-package gauge
+package stats
 
 import (
 	"context"
--- a/internal/load/trial/trial.go
+++ b/internal/load/trial/trial.go
@@ -20,7 +20,7 @@
 	"umberladder/internal/core/invar"
 	"umberladder/internal/fake/engine"
 	"umberladder/internal/fake/prompt"
-	"umberladder/internal/fake/record"
+	"umberladder/internal/fake/runlog"
 	"umberladder/internal/load/drive"
 	peer "umberladder/internal/peer/engine"
 	"umberladder/internal/policy/place"
@@ -108,7 +108,7 @@
 	rng      *rand.Rand
 	engines  map[ident.Server]*engine.Engine
 	pools    []*pool.Pool
-	checker  *invar.Book
+	checker  *invar.Checker
 	services map[bool]*config.Service
 	classes  map[bool]*config.Class
 	start    time.Time
@@ -126,7 +126,7 @@
 		cfg:        cfg,
 		rng:        rand.New(rand.NewPCG(cfg.Seed, 30)),
 		engines:    map[ident.Server]*engine.Engine{},
-		checker:    &invar.Book{},
+		checker:    &invar.Checker{},
 		start:      time.Now(),
 		result:     Result{Config: cfg},
 		gaps:       drive.NewHistogram(),
@@ -144,7 +144,7 @@
 	var servers []config.Server
 	for i := range cfg.Engines {
 		name := ident.Server(fmt.Sprintf("engine-%d", i+1))
-		r.engines[name] = engine.New(engine.DefaultConfig(string(name)), record.New())
+		r.engines[name] = engine.New(engine.DefaultConfig(string(name)), runlog.New())
 		servers = append(servers, config.Server{Name: name})
 	}
 	for range cfg.VMs {
@@ -162,15 +162,15 @@
 	rng := rand.New(rand.NewPCG(r.rng.Uint64(), 0))
 	r.mu.Unlock()
 	for ctx.Err() == nil {
-		load := e.Report()
-		p.Report(ident.Server(e.Name()), peer.Load{
+		load := e.LoadReport()
+		p.HandleReport(ident.Server(e.Name()), peer.Load{
 			Running:    load.Running,
 			Waiting:    load.Waiting,
 			MemoryUsed: load.MemoryUsed,
 			MemorySize: load.MemorySize,
-			At:         load.At,
+			AsOf:       load.AsOf,
 		}, time.Now())
-		retry.Pause(ctx, pollInterval/2+time.Duration(rng.Int64N(int64(pollInterval))))
+		retry.Sleep(ctx, pollInterval/2+time.Duration(rng.Int64N(int64(pollInterval))))
 	}
 	return nil
 }
@@ -182,7 +182,7 @@
 	for n := 0; time.Since(r.start) < r.cfg.Duration; n++ {
 		time.Sleep(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		urgent := rng.Float64() < urgentShare
-		spec := prompt.Order{Seed: rng.Uint64(), Tag: fmt.Sprint(n), Tokens: 1 + rng.IntN(maxUrgentTokens)}
+		spec := prompt.Spec{Seed: rng.Uint64(), Tag: fmt.Sprint(n), Tokens: 1 + rng.IntN(maxUrgentTokens)}
 		if !urgent {
 			spec.Tokens = min(maxTokens, max(1, int(medianTokens*math.Exp(lengthSigma*rng.NormFloat64()))))
 		}
@@ -195,9 +195,9 @@
 }
 
 // runRequest runs one generation from its arrival to its end.
-func (r *run) runRequest(p *pool.Pool, spec prompt.Order, urgent bool) {
+func (r *run) runRequest(p *pool.Pool, spec prompt.Spec, urgent bool) {
 	start := time.Now()
-	req := &pool.Ask{Service: r.services[urgent], Class: r.classes[urgent], Prompt: len(spec.Prompt())/4 + 1}
+	req := &pool.Request{Service: r.services[urgent], Class: r.classes[urgent], Prompt: len(spec.Prompt())/4 + 1}
 	if !urgent {
 		req.Reserve = r.cfg.Reserve
 	}
@@ -212,7 +212,7 @@
 		return
 	}
 	last, pace, stall, tokens := start, firstTokenPace, time.Duration(0), 0
-	preempted := r.engines[reservation.Server.Name].Follow(spec.Tag, spec.Prompt(), req.Class.Rank, func(produced int) {
+	preempted := r.engines[reservation.Server.Name].Generate(spec.Tag, spec.Prompt(), req.Class.Rank, func(produced int) {
 		gap := time.Since(last)
 		stall += stallTime(gap, pace)
 		if counted && tokens > 0 {
@@ -224,7 +224,7 @@
 		last, pace, tokens = time.Now(), tokenPace, produced
 		reservation.Progress(produced)
 	})
-	reservation.Release(pool.Whole, time.Now())
+	reservation.Release(pool.Completed, time.Now())
 	r.record(counted, func() {
 		r.result.Requests++
 		r.result.Complete++
--- a/internal/peer/caller/handler.go
+++ b/internal/peer/caller/handler.go
@@ -9,22 +9,22 @@
 )
 
 // GenerationRequest is a caller's request for a completion or chat completion.
-type Generation struct {
-	openai.Generation
+type GenerationRequest struct {
+	openai.Request
 	Key            string      // bearer key
 	Class          ident.Class // empty: the default class of the service
 	IdempotencyKey string
 }
 
 // ResumeRequest is a request to resume an interrupted stream.
-type Resume struct {
+type ResumeRequest struct {
 	Key    string // bearer key
 	Handle string // resume handle, from the header Umberladder-Resume
 	Next   uint64 // index of the first token to send
 }
 
 // PlainRequest is a caller's call to a plain service.
-type Plain struct {
+type PlainRequest struct {
 	Key            string // bearer key
 	Service        ident.Service
 	Method         string
@@ -35,7 +35,7 @@
 }
 
 // PlainResponse is the complete response of a plain service.
-type Answer struct {
+type PlainResponse struct {
 	Request     ident.Request
 	Status      int
 	ContentType string
@@ -58,13 +58,13 @@
 // Handler serves the requests of callers. Every refusal it returns has its
 // request identifier and time set.
 type Handler interface {
-	Stream(ctx context.Context, g Generation) (Stream, *refuse.Refusal)
-	Whole(ctx context.Context, g Generation) (openai.Whole, *refuse.Refusal)
-	Resume(ctx context.Context, r Resume) (Stream, *refuse.Refusal)
-	Plain(ctx context.Context, p Plain) (Answer, *refuse.Refusal)
+	Stream(ctx context.Context, g GenerationRequest) (Stream, *refuse.Refusal)
+	Generate(ctx context.Context, g GenerationRequest) (openai.Completion, *refuse.Refusal)
+	Resume(ctx context.Context, r ResumeRequest) (Stream, *refuse.Refusal)
+	Plain(ctx context.Context, p PlainRequest) (PlainResponse, *refuse.Refusal)
 	Services(key string) ([]ident.Service, *refuse.Refusal)
 	// RecordRefusal completes and records a refusal made while reading the request.
-	Refuse(r *refuse.Refusal) *refuse.Refusal
+	RecordRefusal(r *refuse.Refusal) *refuse.Refusal
 	// Code returns the code of a refusal. Explain returns the refusal of a code.
 	Code(r *refuse.Refusal) string
 	Explain(code string) (*refuse.Refusal, error)
--- a/internal/peer/caller/request.go
+++ b/internal/peer/caller/request.go
@@ -35,8 +35,8 @@
 
 // parseGeneration parses a request for a completion or, with chat, for a chat
 // completion.
-func parseGeneration(ctx *fasthttp.RequestCtx, chat bool) (Generation, *refuse.Refusal) {
-	g := Generation{Key: bearerKey(ctx)}
+func parseGeneration(ctx *fasthttp.RequestCtx, chat bool) (GenerationRequest, *refuse.Refusal) {
+	g := GenerationRequest{Key: bearerKey(ctx)}
 	class := string(ctx.Request.Header.Peek(headerClass))
 	if class != "" && ident.CheckName(class) != nil {
 		return g, badInput("the header %s must be a class name", headerClass)
@@ -46,7 +46,7 @@
 	if g.IdempotencyKey, r = idempotencyKey(ctx); r != nil {
 		return g, r
 	}
-	g.Generation, r = openai.Parse(ctx.PostBody(), chat)
+	g.Request, r = openai.Parse(ctx.PostBody(), chat)
 	return g, r
 }
 
--- a/internal/peer/caller/server.go
+++ b/internal/peer/caller/server.go
@@ -32,14 +32,14 @@
 
 // Config holds the limits on requests and connections, and the logger.
 type Config struct {
-	Body       int           // largest request body, in bytes
-	Header     int           // largest request line and header section, in bytes
-	Read       time.Duration // longest time for receiving one request
-	Idle       time.Duration // longest time between two requests
-	Stall      time.Duration // longest time that one write may block
-	MaxConns   int           // largest number of open connections
-	DrainDelay time.Duration // time from reporting not ready to closing the listener
-	Log        fasthttp.Logger
+	MaxBodyBytes   int           // largest request body, in bytes
+	MaxHeaderBytes int           // largest request line and header section, in bytes
+	ReadTimeout    time.Duration // longest time for receiving one request
+	IdleTimeout    time.Duration // longest time between two requests
+	WriteTimeout   time.Duration // longest time that one write may block
+	MaxConns       int           // largest number of open connections
+	DrainDelay     time.Duration // time from reporting not ready to closing the listener
+	Log            fasthttp.Logger
 }
 
 // Server is the HTTP server for callers. It passes requests to a Handler.
@@ -60,10 +60,10 @@
 		Handler:            s.handle,
 		ErrorHandler:       s.handleReadError,
 		Name:               "umberladder",
-		ReadTimeout:        cfg.Read,
-		IdleTimeout:        cfg.Idle,
-		ReadBufferSize:     cfg.Header,
-		MaxRequestBodySize: cfg.Body,
+		ReadTimeout:        cfg.ReadTimeout,
+		IdleTimeout:        cfg.IdleTimeout,
+		ReadBufferSize:     cfg.MaxHeaderBytes,
+		MaxRequestBodySize: cfg.MaxBodyBytes,
 		Concurrency:        cfg.MaxConns,
 		CloseOnShutdown:    true,
 		NoDefaultDate:      true,
@@ -74,7 +74,7 @@
 
 // Serve serves connections from ln until Shutdown is called.
 func (s *Server) Serve(ln net.Listener) error {
-	return trace.Wrap(s.http.Serve(&listener{Listener: ln, writeTimeout: s.cfg.Stall}))
+	return trace.Wrap(s.http.Serve(&listener{Listener: ln, writeTimeout: s.cfg.WriteTimeout}))
 }
 
 // Shutdown reports the VM as not ready, waits DrainDelay for the load balancer
@@ -120,7 +120,7 @@
 
 // reject responds with a refusal made before the request reached the handler.
 func (s *Server) reject(ctx *fasthttp.RequestCtx, r *refuse.Refusal) {
-	s.writeRefusal(ctx, s.handler.Refuse(r))
+	s.writeRefusal(ctx, s.handler.RecordRefusal(r))
 }
 
 func (s *Server) generate(ctx *fasthttp.RequestCtx, chat bool) {
@@ -146,15 +146,15 @@
 	s.stream(ctx, st)
 }
 
-func (s *Server) generateUnary(ctx *fasthttp.RequestCtx, g Generation) {
-	completion, refusal := s.handler.Whole(s.baseCtx, g)
+func (s *Server) generateUnary(ctx *fasthttp.RequestCtx, g GenerationRequest) {
+	completion, refusal := s.handler.Generate(s.baseCtx, g)
 	if refusal != nil {
 		s.writeRefusal(ctx, refusal)
 		return
 	}
 	ctx.Response.Header.Set(headerRequest, string(completion.Request))
 	ctx.SetContentType("application/json")
-	ctx.SetBody(completion.Encode(&g.Generation, time.Now()))
+	ctx.SetBody(completion.Encode(&g.Request, time.Now()))
 }
 
 func (s *Server) resume(ctx *fasthttp.RequestCtx, handle string) {
@@ -167,7 +167,7 @@
 		}
 		next = n + 1
 	}
-	st, refusal := s.handler.Resume(s.baseCtx, Resume{Key: bearerKey(ctx), Handle: handle, Next: next})
+	st, refusal := s.handler.Resume(s.baseCtx, ResumeRequest{Key: bearerKey(ctx), Handle: handle, Next: next})
 	if refusal != nil {
 		s.writeRefusal(ctx, refusal)
 		return
@@ -190,7 +190,7 @@
 	if !strings.HasPrefix(uri, "/") {
 		uri = "/" + uri
 	}
-	resp, refusal := s.handler.Plain(s.baseCtx, Plain{
+	resp, refusal := s.handler.Plain(s.baseCtx, PlainRequest{
 		Key:            bearerKey(ctx),
 		Service:        ident.Service(name),
 		Method:         string(ctx.Method()),
@@ -247,11 +247,11 @@
 	var timeout interface{ Timeout() bool }
 	switch {
 	case errors.As(err, &tooSmall):
-		s.reject(ctx, refuse.New(refuse.HeaderTooLarge, "the header section is over %d bytes", s.cfg.Header))
+		s.reject(ctx, refuse.New(refuse.HeaderTooLarge, "the header section is over %d bytes", s.cfg.MaxHeaderBytes))
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		s.reject(ctx, refuse.New(refuse.TooLarge, "the body is over %d bytes", s.cfg.Body))
+		s.reject(ctx, refuse.New(refuse.TooLarge, "the body is over %d bytes", s.cfg.MaxBodyBytes))
 	case errors.As(err, &timeout) && timeout.Timeout():
-		s.reject(ctx, refuse.New(refuse.CallerStalled, "the request was not sent whole within %s", s.cfg.Read))
+		s.reject(ctx, refuse.New(refuse.CallerStalled, "the request was not sent whole within %s", s.cfg.ReadTimeout))
 	default:
 		s.reject(ctx, badInput("the request is not valid HTTP"))
 	}
--- a/internal/peer/caller/stream.go
+++ b/internal/peer/caller/stream.go
@@ -48,7 +48,7 @@
 		switch {
 		case refusal != nil:
 			return c.write(s.errorEvent(refusal)) != nil
-		case t.Finish != "":
+		case t.FinishReason != "":
 			return c.write(c.encoder.Finish(t)) != nil
 		}
 		if c.write(c.encoder.Token(t)) != nil {
--- a/internal/peer/engine/client.go
+++ b/internal/peer/engine/client.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fastjson"
 
 	"umberladder/internal/core/ident"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 )
 
 const (
@@ -23,13 +23,13 @@
 )
 
 // StartRequest holds the parameters of a new generation.
-type Start struct {
-	Generation ident.Generation
-	Model      ident.Model
-	Prompt     string
-	MaxTokens  int           // zero: no limit
-	Priority   int           // 0 is the most urgent
-	Detach     time.Duration // how long the generation continues while no client reads it
+type StartRequest struct {
+	Generation    ident.Generation
+	Model         ident.Model
+	Prompt        string
+	MaxTokens     int           // zero: no limit
+	Priority      int           // 0 is the most urgent
+	DetachTimeout time.Duration // how long the generation continues while no client reads it
 }
 
 // Load is the load report of an engine. AsOf is the time the report describes,
@@ -39,20 +39,20 @@
 	Waiting    int
 	MemoryUsed int // tokens
 	MemorySize int // tokens
-	Leaving    bool
-	At         time.Time
+	Draining   bool
+	AsOf       time.Time
 }
 
 // Client calls engines. It is safe for concurrent use.
 type Client struct {
-	dialer *link.Dialer
+	dialer *httpc.Dialer
 }
 
 // New returns a client that uses the dialer.
-func New(dialer *link.Dialer) *Client { return &Client{dialer: dialer} }
+func New(dialer *httpc.Dialer) *Client { return &Client{dialer: dialer} }
 
 // Start starts a generation and returns its stream, beginning with token 0.
-func (c *Client) Start(ctx context.Context, addr netip.AddrPort, s Start) (*Stream, error) {
+func (c *Client) Start(ctx context.Context, addr netip.AddrPort, s StartRequest) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
@@ -63,14 +63,14 @@
 	return st, trace.Wrap(err)
 }
 
-func (s Start) encode() []byte {
+func (s StartRequest) encode() []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("id", a.NewString(string(s.Generation)))
 	o.Set("model", a.NewString(string(s.Model)))
 	o.Set("prompt", a.NewString(s.Prompt))
 	o.Set("priority", a.NewNumberInt(s.Priority))
-	o.Set("detach_ms", a.NewNumberInt(int(s.Detach.Milliseconds())))
+	o.Set("detach_ms", a.NewNumberInt(int(s.DetachTimeout.Milliseconds())))
 	if s.MaxTokens > 0 {
 		o.Set("max_tokens", a.NewNumberInt(s.MaxTokens))
 	}
@@ -94,7 +94,7 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(fasthttp.MethodDelete)
 	req.SetRequestURI(pathGenerations + "/" + string(g))
-	return trace.Wrap(c.dialer.Do(ctx, addr, req, resp, link.Options{Body: maxResponse}))
+	return trace.Wrap(c.dialer.Do(ctx, addr, req, resp, httpc.Options{MaxBody: maxResponse}))
 }
 
 // Load requests the load report of an engine.
@@ -104,26 +104,26 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI(pathLoad)
-	if err := c.dialer.Do(ctx, addr, req, resp, link.Options{Body: maxResponse}); err != nil {
+	if err := c.dialer.Do(ctx, addr, req, resp, httpc.Options{MaxBody: maxResponse}); err != nil {
 		return Load{}, trace.Wrap(err)
 	}
 	v, err := fastjson.ParseBytes(resp.Body())
 	if err != nil || resp.StatusCode() != fasthttp.StatusOK {
-		return Load{}, trace.Wrap(&Error{Fault: Invalid, Err: trace.BadParameter("load report with status %d", resp.StatusCode())})
+		return Load{}, trace.Wrap(&Error{Kind: Invalid, Err: trace.BadParameter("load report with status %d", resp.StatusCode())})
 	}
 	return Load{
 		Running:    v.GetInt("running"),
 		Waiting:    v.GetInt("waiting"),
 		MemoryUsed: v.GetInt("memory_used"),
 		MemorySize: v.GetInt("memory_size"),
-		Leaving:    v.GetBool("leaving"),
-		At:         time.Now().Add(-time.Duration(v.GetInt("age_ms")) * time.Millisecond),
+		Draining:   v.GetBool("leaving"),
+		AsOf:       time.Now().Add(-time.Duration(v.GetInt("age_ms")) * time.Millisecond),
 	}, nil
 }
 
 func (c *Client) openStream(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request) (*Stream, error) {
 	resp := &fasthttp.Response{}
-	body, err := c.dialer.Open(ctx, addr, req, resp, link.Options{Fresh: true, Body: maxResponse})
+	body, err := c.dialer.DoStream(ctx, addr, req, resp, httpc.Options{NewConn: true, MaxBody: maxResponse})
 	if err != nil {
 		return nil, linkError(err)
 	}
@@ -136,32 +136,32 @@
 
 // linkError classifies a failed exchange by whether the request may have run.
 func linkError(err error) *Error {
-	fault := Maybe
-	var le *link.Error
+	fault := OutcomeUnknown
+	var le *httpc.Error
 	if errors.As(err, &le) && le.Unsent() {
 		fault = Unsent
 	}
-	return &Error{Fault: fault, Err: err}
+	return &Error{Kind: fault, Err: err}
 }
 
 // responseError classifies a response other than 200 by the member "started".
 func responseError(resp *fasthttp.Response) *Error {
 	body, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxResponse))
 	if err != nil {
-		return &Error{Fault: Maybe, Err: err}
+		return &Error{Kind: OutcomeUnknown, Err: err}
 	}
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return &Error{Fault: Maybe, Err: trace.BadParameter("status %d without a JSON body that says whether the generation started", resp.StatusCode())}
+		return &Error{Kind: OutcomeUnknown, Err: trace.BadParameter("status %d without a JSON body that says whether the generation started", resp.StatusCode())}
 	}
-	e := &Error{Fault: Maybe, Err: trace.BadParameter("status %d: %s", resp.StatusCode(), v.GetStringBytes("error"))}
+	e := &Error{Kind: OutcomeUnknown, Err: trace.BadParameter("status %d: %s", resp.StatusCode(), v.GetStringBytes("error"))}
 	started := v.Get("started")
 	if started == nil || started.Type() != fastjson.TypeFalse {
 		return e
 	}
-	e.Fault = Refused
+	e.Kind = Refused
 	if resp.StatusCode() == fasthttp.StatusNotFound {
-		e.Fault = Unknown
+		e.Kind = NotFound
 	}
 	if s, err := strconv.Atoi(string(resp.Header.Peek("Retry-After"))); err == nil {
 		e.RetryAfter = time.Duration(s) * time.Second
--- a/internal/peer/engine/stream.go
+++ b/internal/peer/engine/stream.go
@@ -9,27 +9,27 @@
 	"github.com/valyala/fastjson"
 
 	"umberladder/internal/core/ident"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 )
 
 // EventKind is the kind of an Event.
-type Kind uint8
+type EventKind uint8
 
 // The kinds of events.
 const (
-	Token   Kind = iota // one token
-	Paused              // the engine preempted the generation: its memory was reclaimed
-	Resumed             // the generation has memory again
-	Done                // the generation is complete
+	Token   EventKind = iota // one token
+	Paused                   // the engine preempted the generation: its memory was reclaimed
+	Resumed                  // the generation has memory again
+	Done                     // the generation is complete
 )
 
 // Event is one event of a stream.
 type Event struct {
-	Kind       Kind
-	Generation ident.Generation
-	Index      uint64 // Token: its index; Done: the number of tokens
-	Text       string
-	Finish     string // Done: "stop" or "length"
+	Kind         EventKind
+	Generation   ident.Generation
+	Index        uint64 // Token: its index; Done: the number of tokens
+	Text         string
+	FinishReason string // Done: "stop" or "length"
 }
 
 // Stream is a connection that receives the events of a running generation.
@@ -63,16 +63,16 @@
 }
 
 func streamError(err error) *Error {
-	if link.Timeout(err) {
-		return &Error{Fault: Silent, Err: err}
+	if httpc.IsTimeout(err) {
+		return &Error{Kind: Timeout, Err: err}
 	}
-	return &Error{Fault: Broken, Err: err}
+	return &Error{Kind: Interrupted, Err: err}
 }
 
 func (s *Stream) decode(raw sse.Event) (Event, error) {
 	v, err := s.parser.Parse(raw.Data)
 	if err != nil {
-		return Event{}, &Error{Fault: Invalid, Err: err}
+		return Event{}, &Error{Kind: Invalid, Err: err}
 	}
 	ev := Event{Generation: ident.Generation(v.GetStringBytes("id"))}
 	switch raw.Type {
@@ -86,9 +86,9 @@
 	case "done":
 		ev.Kind = Done
 		ev.Index = v.GetUint64("tokens")
-		ev.Finish = string(v.GetStringBytes("finish"))
+		ev.FinishReason = string(v.GetStringBytes("finish"))
 	default:
-		return Event{}, &Error{Fault: Invalid, Err: trace.BadParameter("unknown event type %q", raw.Type)}
+		return Event{}, &Error{Kind: Invalid, Err: trace.BadParameter("unknown event type %q", raw.Type)}
 	}
 	return ev, nil
 }
--- a/internal/peer/front/front_test.go
+++ b/internal/peer/front/front_test.go
@@ -18,9 +18,9 @@
 	"umberladder/internal/test/check"
 )
 
-var limits = Limits{Header: 4096, Body: 1000, HeaderTime: 300 * time.Millisecond, Idle: 300 * time.Millisecond}
+var limits = Limits{MaxHeaderBytes: 4096, MaxBodyBytes: 1000, HeaderTimeout: 300 * time.Millisecond, IdleTimeout: 300 * time.Millisecond}
 
-var statuses = map[Fault]int{Malformed: 400, HeaderTooLarge: 431, BodyTooLarge: 413, TooSlow: 408}
+var statuses = map[ErrorKind]int{Malformed: 400, HeaderTooLarge: 431, BodyTooLarge: 413, RequestTimeout: 408}
 
 // startServer serves a handler on a loopback port and returns a function that
 // connects to it.
@@ -28,7 +28,9 @@
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	reject := func(w *Reply, f Fault, detail string) { _ = w.Whole(statuses[f], nil, []byte(detail)) }
+	reject := func(w *ResponseWriter, f ErrorKind, detail string) {
+		_ = w.WriteResponse(statuses[f], nil, []byte(detail))
+	}
 	s := New(h, reject, func() Limits { return limits }, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	var g errgroup.Group
@@ -49,8 +51,8 @@
 }
 
 // echo responds with the parts of the request.
-func echo(_ context.Context, r *Request, w *Reply) {
-	_ = w.Whole(200, []call.Field{{Name: "X-Own", Value: "1"}}, fmt.Appendf(nil, "%s %s %s %q %d", r.Method, r.Target, r.Host, r.Body, len(r.Fields)))
+func echo(_ context.Context, r *Request, w *ResponseWriter) {
+	_ = w.WriteResponse(200, []call.Field{{Name: "X-Own", Value: "1"}}, fmt.Appendf(nil, "%s %s %s %q %d", r.Method, r.Target, r.Host, r.Body, len(r.Fields)))
 }
 
 // send writes raw bytes and returns everything received until the connection is
@@ -111,7 +113,7 @@
 // client closes its connection during the request.
 func TestClientDisconnect(t *testing.T) {
 	elapsed := make(chan time.Duration, 1)
-	_, dial := startServer(t, func(ctx context.Context, _ *Request, w *Reply) {
+	_, dial := startServer(t, func(ctx context.Context, _ *Request, w *ResponseWriter) {
 		start := time.Now()
 		<-ctx.Done()
 		elapsed <- time.Since(start)
@@ -125,15 +127,15 @@
 }
 
 func TestChunkedResponse(t *testing.T) {
-	_, dial := startServer(t, func(_ context.Context, r *Request, w *Reply) {
-		_ = w.Start(200, nil)
-		_ = w.Piece([]byte("one"))
+	_, dial := startServer(t, func(_ context.Context, r *Request, w *ResponseWriter) {
+		_ = w.WriteHeader(200, nil)
+		_ = w.WriteChunk([]byte("one"))
 		if r.Path == "/cut/" {
 			w.Abort()
 			return
 		}
-		_ = w.Piece([]byte("two"))
-		_ = w.End()
+		_ = w.WriteChunk([]byte("two"))
+		_ = w.Finish()
 	})
 	complete := send(t, dial(), "GET /all/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	assert.Assert(t, strings.HasSuffix(complete, "3\r\none\r\n3\r\ntwo\r\n0\r\n\r\n"), "%q", complete)
@@ -160,5 +162,5 @@
 		_, err = idle.Read(make([]byte, 100))
 	}
 	assert.ErrorIs(t, err, io.EOF)
-	check.Within(t, time.Second, "both connections are closed", func() bool { return s.Open() == 0 })
+	check.Eventually(t, time.Second, "both connections are closed", func() bool { return s.OpenConns() == 0 })
 }
--- a/internal/peer/front/reply.go
+++ b/internal/peer/front/reply.go
@@ -12,11 +12,11 @@
 )
 
 // ErrStarted is returned when a response is started a second time.
-var ErrEnded = errors.New("front: the response has already started")
+var ErrStarted = errors.New("front: the response has already started")
 
 // ResponseWriter writes the response to one request, either complete with
 // WriteResponse or in chunks with WriteHeader, WriteChunk and Finish.
-type Reply struct {
+type ResponseWriter struct {
 	c          *conn
 	closeAfter bool         // the connection is closed after the response
 	draining   *atomic.Bool // if set, the connection is closed after every response
@@ -27,11 +27,11 @@
 	chunked    io.WriteCloser
 }
 
-func newReply(c *conn) *Reply { return &Reply{c: c} }
+func newReply(c *conn) *ResponseWriter { return &ResponseWriter{c: c} }
 
 // writeContinue sends the interim response 100 (Continue), which asks the
 // client to send the request body.
-func (w *Reply) writeContinue() error {
+func (w *ResponseWriter) writeContinue() error {
 	if _, err := w.c.w.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
 	}
@@ -39,12 +39,12 @@
 }
 
 // Started reports whether any part of the response was written.
-func (w *Reply) Begun() bool { return w.started }
+func (w *ResponseWriter) Started() bool { return w.started }
 
 // WriteResponse writes a complete response.
-func (w *Reply) Whole(status int, fields []call.Field, body []byte) error {
+func (w *ResponseWriter) WriteResponse(status int, fields []call.Field, body []byte) error {
 	if w.started {
-		return ErrEnded
+		return ErrStarted
 	}
 	w.started = true
 	var h fasthttp.ResponseHeader
@@ -70,9 +70,9 @@
 func omitsBody(status int) bool { return status == 204 || status == 304 }
 
 // WriteHeader starts a chunked response.
-func (w *Reply) Start(status int, fields []call.Field) error {
+func (w *ResponseWriter) WriteHeader(status int, fields []call.Field) error {
 	if w.started {
-		return ErrEnded
+		return ErrStarted
 	}
 	w.started = true
 	var h fasthttp.ResponseHeader
@@ -86,7 +86,7 @@
 }
 
 // WriteChunk writes one chunk of a chunked response and flushes it.
-func (w *Reply) Piece(p []byte) error {
+func (w *ResponseWriter) WriteChunk(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
@@ -95,7 +95,7 @@
 }
 
 // Finish writes the last chunk of a chunked response.
-func (w *Reply) End() error {
+func (w *ResponseWriter) Finish() error {
 	err := w.chunked.Close()
 	if err == nil {
 		_, err = w.c.w.WriteString("\r\n")
@@ -105,12 +105,12 @@
 
 // Abort closes the connection, so that the client detects that the response is
 // incomplete.
-func (w *Reply) Abort() {
+func (w *ResponseWriter) Abort() {
 	w.broken = true
 	w.c.close()
 }
 
-func (w *Reply) prepareHeader(h *fasthttp.ResponseHeader, status int, fields []call.Field) {
+func (w *ResponseWriter) prepareHeader(h *fasthttp.ResponseHeader, status int, fields []call.Field) {
 	h.DisableNormalizing()
 	h.SetNoDefaultContentType(true)
 	h.SetStatusCode(status)
@@ -125,7 +125,7 @@
 	}
 }
 
-func (w *Reply) flush(err error, complete bool) error {
+func (w *ResponseWriter) flush(err error, complete bool) error {
 	if err == nil {
 		err = w.c.w.Flush()
 	}
@@ -139,4 +139,4 @@
 
 // reusable reports whether the connection can serve another request: the
 // response is complete, no write failed and the connection is not to be closed.
-func (w *Reply) reusable() bool { return w.complete && !w.broken && !w.closeAfter }
+func (w *ResponseWriter) reusable() bool { return w.complete && !w.broken && !w.closeAfter }
--- a/internal/peer/front/request.go
+++ b/internal/peer/front/request.go
@@ -39,28 +39,28 @@
 }
 
 // ErrorKind classifies a failure to read a request.
-type Fault uint8
+type ErrorKind uint8
 
 // The kinds of read errors.
 const (
-	Malformed Fault = iota
+	Malformed ErrorKind = iota
 	HeaderTooLarge
 	BodyTooLarge
-	TooSlow
-	Gone // the client closed the connection and can't receive a response
+	RequestTimeout
+	ClientClosed // the client closed the connection and can't receive a response
 )
 
 type readError struct {
-	Fault
+	ErrorKind
 	err error
 }
 
 func (e *readError) Error() string { return e.err.Error() }
 
-func (e *readError) canRespond() bool { return e.Fault != Gone }
+func (e *readError) canRespond() bool { return e.ErrorKind != ClientClosed }
 
-func newReadError(kind Fault, format string, args ...any) *readError {
-	return &readError{Fault: kind, err: fmt.Errorf(format, args...)}
+func newReadError(kind ErrorKind, format string, args ...any) *readError {
+	return &readError{ErrorKind: kind, err: fmt.Errorf(format, args...)}
 }
 
 // classifyReadError converts an error from reading the named part of a request.
@@ -71,11 +71,11 @@
 	case errors.As(err, &small):
 		return newReadError(HeaderTooLarge, "the header section is too large")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return newReadError(TooSlow, "%s did not come whole in time", what)
+		return newReadError(RequestTimeout, "%s did not come whole in time", what)
 	case errors.As(err, &nothing), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return newReadError(Gone, "the client closed the connection while sending %s", what)
+		return newReadError(ClientClosed, "the client closed the connection while sending %s", what)
 	case isNetError(err):
-		return newReadError(Gone, "%s: %w", what, err)
+		return newReadError(ClientClosed, "%s: %w", what, err)
 	default:
 		return newReadError(Malformed, "%s: %w", what, err)
 	}
@@ -106,8 +106,8 @@
 	closeAfter        bool
 }
 
-func readRequest(c *conn, limits Limits, w *Reply) (*Request, *readError) {
-	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTime))
+func readRequest(c *conn, limits Limits, w *ResponseWriter) (*Request, *readError) {
+	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
 	var h fasthttp.RequestHeader
 	h.DisableSpecialHeader()
 	h.DisableNormalizing()
@@ -123,12 +123,12 @@
 	if rerr := r.parseTarget(); rerr != nil {
 		return nil, rerr
 	}
-	if f.length > limits.Body {
-		return nil, newReadError(BodyTooLarge, "the body of %d bytes is over the limit of %d", f.length, limits.Body)
+	if f.length > limits.MaxBodyBytes {
+		return nil, newReadError(BodyTooLarge, "the body of %d bytes is over the limit of %d", f.length, limits.MaxBodyBytes)
 	}
 	if f.expectContinue && (f.chunked || f.length > 0) {
 		if err := w.writeContinue(); err != nil {
-			return nil, newReadError(Gone, "the client disconnected before sending the body: %w", err)
+			return nil, newReadError(ClientClosed, "the client disconnected before sending the body: %w", err)
 		}
 	}
 	if rerr := r.readBody(c, f, limits); rerr != nil {
@@ -221,10 +221,10 @@
 }
 
 func (r *Request) readBody(c *conn, f framing, limits Limits) *readError {
-	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTime + limits.Idle))
+	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout + limits.IdleTimeout))
 	switch {
 	case f.chunked:
-		return r.readChunks(c, limits.Body)
+		return r.readChunks(c, limits.MaxBodyBytes)
 	case f.length > 0:
 		r.Body = make([]byte, f.length)
 		if _, err := io.ReadFull(c.r, r.Body); err != nil {
--- a/internal/peer/front/server.go
+++ b/internal/peer/front/server.go
@@ -32,24 +32,24 @@
 
 // Limits bounds the size of a request and the time a client has to send it.
 type Limits struct {
-	Header     int // bytes
-	Body       int // bytes
-	HeaderTime time.Duration
-	Idle       time.Duration
+	MaxHeaderBytes int // bytes
+	MaxBodyBytes   int // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Handler responds to one request. The context is canceled when the client
 // disconnects.
-type Handler func(ctx context.Context, r *Request, w *Reply)
+type Handler func(ctx context.Context, r *Request, w *ResponseWriter)
 
 // ErrorHandler responds to a request that can't be read. The connection is
 // closed afterwards.
-type Rejector func(w *Reply, kind Fault, detail string)
+type ErrorHandler func(w *ResponseWriter, kind ErrorKind, detail string)
 
 // Server serves the connections of one listener.
 type Server struct {
 	handle      Handler
-	handleError Rejector
+	handleError ErrorHandler
 	limits      func() Limits
 	log         *zap.Logger
 	group       errgroup.Group
@@ -60,7 +60,7 @@
 }
 
 // New returns a server. It calls limits for each request.
-func New(handle Handler, handleError Rejector, limits func() Limits, log *zap.Logger) *Server {
+func New(handle Handler, handleError ErrorHandler, limits func() Limits, log *zap.Logger) *Server {
 	return &Server{handle: handle, handleError: handleError, limits: limits, log: log}
 }
 
@@ -90,7 +90,7 @@
 }
 
 // OpenConns returns the number of open connections.
-func (s *Server) Open() int64 { return s.openConns.Load() }
+func (s *Server) OpenConns() int64 { return s.openConns.Load() }
 
 // Drain closes each connection after its next response.
 func (s *Server) Drain() { s.draining.Store(true) }
@@ -120,14 +120,14 @@
 	if !s.waitForRequest(c, limits, first) {
 		return false
 	}
-	c.growReadBuffer(limits.Header)
+	c.growReadBuffer(limits.MaxHeaderBytes)
 	w := newReply(c)
 	r, rerr := readRequest(c, limits, w)
 	if rerr != nil {
 		s.log.Info("request not readable", zap.Stringer("client", c.remote), zap.String("fault", rerr.Error()))
 		if rerr.canRespond() {
 			w.closeAfter = true
-			s.handleError(w, rerr.Fault, rerr.Error())
+			s.handleError(w, rerr.ErrorKind, rerr.Error())
 			c.linger()
 		}
 		return false
@@ -149,9 +149,9 @@
 	if c.r.Buffered() > 0 {
 		return true
 	}
-	wait := limits.Idle + idleMargin
+	wait := limits.IdleTimeout + idleMargin
 	if first {
-		wait = max(wait, limits.HeaderTime)
+		wait = max(wait, limits.HeaderTimeout)
 	}
 	s.idle.add(c)
 	defer s.idle.remove(c)
--- a/internal/peer/gossip/findings_test.go
+++ b/internal/peer/gossip/findings_test.go
@@ -28,7 +28,7 @@
 func countQuarantined(list []*node) int {
 	n := 0
 	for _, v := range list {
-		if _, ok := v.poison.Until(fatalRequest, time.Now()); ok {
+		if _, ok := v.poison.QuarantinedUntil(fatalRequest, time.Now()); ok {
 			n++
 		}
 	}
@@ -151,7 +151,7 @@
 		}
 		time.Sleep(2 * maxLearnTime)
 		for _, v := range list {
-			assert.Equal(t, v.poison.Len(time.Now()), 20)
+			assert.Equal(t, v.poison.QuarantinedCount(time.Now()), 20)
 			v.bytes.Store(0)
 			v.received.Store(0)
 		}
--- a/internal/peer/gossip/freeze_test.go
+++ b/internal/peer/gossip/freeze_test.go
@@ -22,7 +22,7 @@
 		selectVMs func(f *fleet) []ident.VM
 		duration  time.Duration
 	}{
-		"a hub, for less than the peer timeout": {selectVMs: firstHub, duration: hubs.Silence / 2},
+		"a hub, for less than the peer timeout": {selectVMs: firstHub, duration: hubs.PeerTimeout / 2},
 		"a hub":                                 {selectVMs: firstHub, duration: 3 * time.Second},
 		"a hub, for 20 s":                       {selectVMs: firstHub, duration: 20 * time.Second},
 		"all hubs":                              {selectVMs: func(f *fleet) []ident.VM { return hubsOf(f.all[0]) }, duration: 3 * time.Second},
@@ -63,7 +63,7 @@
 func watchers(f *fleet) []ident.VM {
 	var out []ident.VM
 	for _, v := range f.all {
-		if v.hubs.Asks(time.Now()) {
+		if v.hubs.ShouldWatch(time.Now()) {
 			out = append(out, v.self.VM)
 		}
 	}
--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -12,7 +12,7 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/peer/wire"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/state/hubs"
 )
 
@@ -27,31 +27,31 @@
 
 // Delegate provides the contents of the messages that this VM sends, and handles those
 // that it receives.
-type Local interface {
+type Delegate interface {
 	// FillReport fills in this VM's own state.
-	Report(m *wire.State, now time.Time)
+	FillReport(m *wire.Message, now time.Time)
 	// FillResponse fills in this hub's response to a VM that reports to it.
-	Answer(m *wire.State, to ident.VM, now time.Time)
+	FillResponse(m *wire.Message, to ident.VM, now time.Time)
 	// HandleReport merges another VM's report.
-	Hear(m *wire.State, from netip.AddrPort, now time.Time)
+	HandleReport(m *wire.Message, from netip.AddrPort, now time.Time)
 	// HandleResponse merges a hub's response.
-	Learn(m *wire.State, from netip.AddrPort, now time.Time)
+	HandleResponse(m *wire.Message, from netip.AddrPort, now time.Time)
 	// Clock returns this VM's time, which is sent in a report as its request time.
 	Clock() uint64
 	// VersionReply returns the reply to a report with the given request time.
-	Reply(ask uint64) *wire.Reply
+	VersionReply(ask uint64) *wire.VersionReply
 	// HandlePlacementRequest handles a placement request of another VM, and responds to
 	// it by reply.
-	Seat(a homes.Ask, reply func(homes.Answer))
+	HandlePlacementRequest(a coord.Request, reply func(coord.Response))
 	// HandlePlacementResponse handles the response to a placement request of this VM.
-	Seated(a homes.Answer)
+	HandlePlacementResponse(a coord.Response)
 	// StateChanged returns a channel that receives a value when there is a change to
 	// announce to all VMs.
-	Dirty() <-chan struct{}
+	StateChanged() <-chan struct{}
 	// LoadsChanged returns a channel that receives a value when this VM's loads change.
-	Moved() <-chan struct{}
+	LoadsChanged() <-chan struct{}
 	// Coordinators returns the addresses of the VMs that decide placement by the loads.
-	Homes() []netip.AddrPort
+	Coordinators() []netip.AddrPort
 }
 
 // Kind is the kind of a message.
@@ -62,7 +62,7 @@
 	Reports    Kind = iota // a VM's own state, to hubs and coordinators
 	Responses              // of hubs, to reports and unsolicited
 	Placements             // placement requests and responses
-	Kinds
+	NumKinds
 )
 
 // String returns the kind's name, as metrics have it.
@@ -82,21 +82,21 @@
 }
 
 // Agent sends and receives one VM's messages.
-type Gossip struct {
+type Agent struct {
 	vm       ident.VM
 	boot     uint64
 	seq      uint64
 	conn     udpConn
-	delegate Local
-	hubs     *hubs.Hubs
+	delegate Delegate
+	hubs     *hubs.Tracker
 	sendNow  chan struct{} // has an element if a report is to be sent at once
-	sent     [Kinds]struct{ messages, bytes atomic.Uint64 }
+	sent     [NumKinds]struct{ messages, bytes atomic.Uint64 }
 	log      *zap.Logger
 }
 
 // New returns an agent that listens at addr. The boot number must rise with each start
 // of the VM.
-func New(vm ident.VM, boot uint64, addr netip.AddrPort, delegate Local, h *hubs.Hubs, log *zap.Logger) (*Gossip, error) {
+func New(vm ident.VM, boot uint64, addr netip.AddrPort, delegate Delegate, h *hubs.Tracker, log *zap.Logger) (*Agent, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -105,18 +105,18 @@
 }
 
 // newAgent returns an agent that uses c.
-func newAgent(c udpConn, vm ident.VM, boot uint64, delegate Local, h *hubs.Hubs, log *zap.Logger) *Gossip {
-	return &Gossip{vm: vm, boot: boot, conn: c, delegate: delegate, hubs: h, sendNow: make(chan struct{}, 1), log: log}
+func newAgent(c udpConn, vm ident.VM, boot uint64, delegate Delegate, h *hubs.Tracker, log *zap.Logger) *Agent {
+	return &Agent{vm: vm, boot: boot, conn: c, delegate: delegate, hubs: h, sendNow: make(chan struct{}, 1), log: log}
 }
 
 // Sent returns the messages of a kind that were sent since the start.
-func (g *Gossip) Sent(k Kind) Traffic {
+func (g *Agent) Sent(k Kind) Traffic {
 	return Traffic{Messages: g.sent[k].messages.Load(), Bytes: g.sent[k].bytes.Load()}
 }
 
 // RunSender sends reports, and announcements of changes, until ctx ends. It then closes
 // the socket.
-func (g *Gossip) Send(ctx context.Context) {
+func (g *Agent) RunSender(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
@@ -127,12 +127,12 @@
 			return
 		case <-t.C:
 			n = g.sendReports(time.Now(), false)
-			t.Reset(g.hubs.Next(time.Now()))
+			t.Reset(g.hubs.NextReport(time.Now()))
 		case <-g.sendNow:
 			n = g.sendReports(time.Now(), true)
-		case <-g.delegate.Dirty():
+		case <-g.delegate.StateChanged():
 			n = g.announce(time.Now())
-		case <-g.delegate.Moved():
+		case <-g.delegate.LoadsChanged():
 			n = g.sendLoads(time.Now())
 		}
 		select {
@@ -143,7 +143,7 @@
 }
 
 // ReportNow has RunSender report to the hubs without waiting for the report interval.
-func (g *Gossip) Beat() {
+func (g *Agent) ReportNow() {
 	select {
 	case g.sendNow <- struct{}{}:
 	default:
@@ -151,16 +151,16 @@
 }
 
 // newReport returns a message with this VM's own state.
-func (g *Gossip) newReport(now time.Time) *wire.State {
+func (g *Agent) newReport(now time.Time) *wire.Message {
 	g.seq++
-	m := &wire.State{VM: g.vm, Boot: g.boot, Seq: g.seq}
-	g.delegate.Report(m, now)
+	m := &wire.Message{VM: g.vm, Boot: g.boot, Seq: g.seq}
+	g.delegate.FillReport(m, now)
 	return m
 }
 
 // sendReports reports to the hubs, to all or only to those that are due, and requests
 // their responses. It returns the number of hubs.
-func (g *Gossip) sendReports(now time.Time, all bool) int {
+func (g *Agent) sendReports(now time.Time, all bool) int {
 	targets := g.hubs.Targets(now, all)
 	if len(targets) == 0 {
 		return 0
@@ -168,7 +168,7 @@
 	m := g.newReport(now)
 	for _, c := range targets {
 		m.RequestTime = g.delegate.Clock()
-		m.CandidateDigest = g.hubs.Named(c.VM)
+		m.CandidateDigest = g.hubs.CandidateDigest(c.VM)
 		g.write(Reports, m, c.Addr)
 	}
 	return len(targets)
@@ -176,21 +176,21 @@
 
 // announce sends this VM's state to the hubs and, if this VM is a hub, to all VMs that
 // report to it. It returns the number of receivers.
-func (g *Gossip) announce(now time.Time) int {
+func (g *Agent) announce(now time.Time) int {
 	n := g.sendReports(now, true)
 	reporters := g.hubs.Reporters(now)
-	digest := hubs.Digest(g.hubs.Names(now)) // leaves out the candidates; VMs get new ones with the next response
+	digest := hubs.Digest(g.hubs.LiveCandidates(now)) // leaves out the candidates; VMs get new ones with the next response
 	for _, c := range reporters {
-		g.respond(c.VM, c.Addr, &wire.State{VM: g.vm, Boot: g.boot}, digest, now)
+		g.respond(c.VM, c.Addr, &wire.Message{VM: g.vm, Boot: g.boot}, digest, now)
 	}
 	return n + len(reporters)
 }
 
 // sendLoads reports this VM's loads to the coordinators. It returns their number.
-func (g *Gossip) sendLoads(now time.Time) int {
+func (g *Agent) sendLoads(now time.Time) int {
 	m := g.newReport(now)
-	m.News = nil
-	list := g.delegate.Homes()
+	m.ServerUpdate = nil
+	list := g.delegate.Coordinators()
 	for _, addr := range list {
 		g.write(Reports, m, addr)
 	}
@@ -199,18 +199,18 @@
 
 // respond sends the combined state of all VMs to a VM that reports to this one. It
 // leaves out the candidates if the digest shows that the VM has the current ones.
-func (g *Gossip) respond(to ident.VM, addr netip.AddrPort, m *wire.State, digest uint64, now time.Time) {
-	names := g.hubs.Names(now)
-	m.Hub = &wire.Hub{Digest: hubs.Digest(names)}
-	if digest != m.Hub.Digest {
-		m.Hub.Names = names
+func (g *Agent) respond(to ident.VM, addr netip.AddrPort, m *wire.Message, digest uint64, now time.Time) {
+	names := g.hubs.LiveCandidates(now)
+	m.Hub = &wire.HubResponse{CandidateDigest: hubs.Digest(names)}
+	if digest != m.Hub.CandidateDigest {
+		m.Hub.Candidates = names
 	}
-	g.delegate.Answer(m, to, now)
+	g.delegate.FillResponse(m, to, now)
 	g.write(Responses, m, addr)
 }
 
 // write sends a message, in parts if it is too large for one datagram.
-func (g *Gossip) write(k Kind, m *wire.State, to netip.AddrPort) {
+func (g *Agent) write(k Kind, m *wire.Message, to netip.AddrPort) {
 	for _, b := range m.EncodeParts(maxDatagram) {
 		if _, err := g.conn.WriteToUDPAddrPort(b, to); err != nil {
 			g.log.Debug("message not sent", zap.Stringer("kind", k), zap.Stringer("to", to), zap.Error(err))
@@ -222,30 +222,30 @@
 }
 
 // SendRequest sends a placement request to another VM.
-func (g *Gossip) Ask(to netip.AddrPort, req homes.Ask) {
-	g.write(Placements, &wire.State{VM: g.vm, PlacementRequest: &req}, to)
+func (g *Agent) SendRequest(to netip.AddrPort, req coord.Request) {
+	g.write(Placements, &wire.Message{VM: g.vm, PlacementRequest: &req}, to)
 }
 
 // handle passes a message to the delegate's method for its kind.
-func (g *Gossip) handle(m *wire.State, from netip.AddrPort) {
+func (g *Agent) handle(m *wire.Message, from netip.AddrPort) {
 	switch {
 	case m.VM == g.vm:
 	case m.PlacementRequest != nil:
-		g.delegate.Seat(*m.PlacementRequest, func(a homes.Answer) { g.write(Placements, &wire.State{VM: g.vm, PlacementResponse: &a}, from) })
+		g.delegate.HandlePlacementRequest(*m.PlacementRequest, func(a coord.Response) { g.write(Placements, &wire.Message{VM: g.vm, PlacementResponse: &a}, from) })
 	case m.PlacementResponse != nil:
-		g.delegate.Seated(*m.PlacementResponse)
+		g.delegate.HandlePlacementResponse(*m.PlacementResponse)
 	case m.Hub != nil:
-		g.delegate.Learn(m, from, time.Now())
+		g.delegate.HandleResponse(m, from, time.Now())
 	default:
-		g.delegate.Hear(m, from, time.Now())
+		g.delegate.HandleReport(m, from, time.Now())
 		if m.RequestTime != 0 {
-			g.respond(m.VM, from, &wire.State{VM: g.vm, Boot: g.boot, Reply: g.delegate.Reply(m.RequestTime)}, m.CandidateDigest, time.Now())
+			g.respond(m.VM, from, &wire.Message{VM: g.vm, Boot: g.boot, Reply: g.delegate.VersionReply(m.RequestTime)}, m.CandidateDigest, time.Now())
 		}
 	}
 }
 
 // RunReceiver handles messages until the socket is closed.
-func (g *Gossip) Receive(ctx context.Context) {
+func (g *Agent) RunReceiver(ctx context.Context) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -23,12 +23,12 @@
 	"umberladder/internal/peer/wire"
 	"umberladder/internal/policy/poison"
 	"umberladder/internal/policy/retry"
-	"umberladder/internal/route/homes"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/state/follow"
+	"umberladder/internal/state/hubreg"
 	"umberladder/internal/state/hubs"
-	"umberladder/internal/state/names"
+	"umberladder/internal/state/srvtab"
 	_ "umberladder/internal/test/check" // fixes the seed
 )
 
@@ -60,8 +60,8 @@
 	nodes       map[netip.AddrPort]*node
 	partitioned func(a, b *node) bool // nil: all VMs reach one another
 	registered  map[ident.VM]netip.AddrPort
-	quarantined []poison.Entry // quarantined requests in the store
-	storeDown   bool           // no VM reaches the store
+	quarantined []poison.Quarantine // quarantined requests in the store
+	storeDown   bool                // no VM reaches the store
 	seeds       []netip.AddrPort
 	calls       int // to the store: fresh reads, and writes
 	// registry holds the servers' entries; nil if the VMs do not follow servers.
@@ -77,12 +77,12 @@
 type node struct {
 	net              *network
 	self             hubs.Candidate
-	hubs             *hubs.Hubs
-	gossip           *Gossip
-	registrar        *names.Keeper
-	poison           *poison.Book
-	table            *backs.Table    // nil if the VM does not follow servers
-	servers          *follow.Servers // nil if the VM does not follow servers
+	hubs             *hubs.Tracker
+	gossip           *Agent
+	registrar        *hubreg.Registrar
+	poison           *poison.Detector
+	table            *srvtab.Table          // nil if the VM does not follow servers
+	servers          *follow.ServerFollower // nil if the VM does not follow servers
 	boot             uint64
 	stop             context.CancelFunc
 	inbox            chan datagram
@@ -165,7 +165,7 @@
 		case <-ctx.Done():
 			return
 		case p := <-v.outbox:
-			retry.Pause(ctx, time.Until(p.at))
+			retry.Sleep(ctx, time.Until(p.at))
 			select {
 			case p.to <- p.datagram:
 			default: // the receiver's buffer is full
@@ -181,83 +181,83 @@
 }
 
 // localLoads are the loads that each VM reports.
-var localLoads = map[ident.Server]seats.Load{
-	"i-0123456789@1700000000000": {Seats: 1, Tokens: 3300, Backlog: 2000},
-	"i-9876543210@1700000000000": {Seats: 2, Tokens: 6600},
+var localLoads = map[ident.Server]alloc.Load{
+	"i-0123456789@1700000000000": {Calls: 1, Tokens: 3300, Backlog: 2000},
+	"i-9876543210@1700000000000": {Calls: 2, Tokens: 6600},
 }
 
-func (v *node) Report(m *wire.State, now time.Time) {
+func (v *node) FillReport(m *wire.Message, now time.Time) {
 	m.Loads = localLoads
-	m.Sent = map[ident.Service]retry.Sent{"engines": {First: 12}, "plain": {First: 8, Again: 1}}
+	m.Attempts = map[ident.Service]retry.Attempts{"engines": {First: 12}, "plain": {First: 8, Retries: 1}}
 	m.Findings = v.poison.Report(now)
 	v.fillCommon(m, now)
-	if m.Store.Asks {
+	if m.Store.Watching {
 		v.addServerUpdate(m, now)
 	}
 }
 
 // addServerUpdate adds the VM's recent server changes to a message.
-func (v *node) addServerUpdate(m *wire.State, now time.Time) {
+func (v *node) addServerUpdate(m *wire.Message, now time.Time) {
 	if v.servers == nil {
 		return
 	}
-	if n, ok := v.servers.News(now); ok {
-		m.News = &n
+	if n, ok := v.servers.RecentChanges(now); ok {
+		m.ServerUpdate = &n
 	}
 }
 
 // receiveServers applies the server changes in another VM's message. With forward,
 // servers reported as retired are announced to other VMs.
-func (v *node) receiveServers(m *wire.State, forward bool, now time.Time) {
+func (v *node) receiveServers(m *wire.Message, forward bool, now time.Time) {
 	if v.servers == nil {
 		return
 	}
-	if m.News != nil {
-		v.servers.Learn(*m.News, now)
+	if m.ServerUpdate != nil {
+		v.servers.ApplyUpdate(*m.ServerUpdate, now)
 	}
-	v.table.Receive(m.Leaving, forward)
+	v.table.ApplyRetired(m.Retired, forward)
 }
 
-func (v *node) fillCommon(m *wire.State, now time.Time) {
-	m.Verdicts = v.poison.Digest(now)
-	m.Version, m.Capacity, m.Domain = v.version.Load(), v.hubs.Own().Capacity, v.self.Domain
-	m.Store = hubs.StoreStatus{Asks: v.hubs.Asks(now), Age: 300 * time.Millisecond}
+func (v *node) fillCommon(m *wire.Message, now time.Time) {
+	m.QuarantineDigest = v.poison.Digest(now)
+	m.SettingsVersion, m.Capacity, m.Domain = v.version.Load(), v.hubs.Self().Capacity, v.self.Domain
+	m.Store = hubs.StoreStatus{Watching: v.hubs.ShouldWatch(now), Age: 300 * time.Millisecond}
 	if v.storeUnreachable.Load() {
 		m.Store.Age = time.Minute
 	}
 	if v.servers != nil {
-		m.Leaving = v.table.Leaving(now)
+		m.Retired = v.table.RetiredToAnnounce(now)
 		m.Store.Age = v.servers.Age()
 	}
 }
 
-func (v *node) Answer(m *wire.State, to ident.VM, now time.Time) {
-	m.Hub.Known, m.Hub.Heard = 100, 100
-	m.Hub.Rest = map[ident.Service]retry.Sent{"engines": {First: 1700}, "plain": {First: 2200, Again: 120}}
-	m.Findings = v.poison.Answer(to, now)
+func (v *node) FillResponse(m *wire.Message, to ident.VM, now time.Time) {
+	m.Hub.Known, m.Hub.Reporting = 100, 100
+	m.Hub.PeerAttempts = map[ident.Service]retry.Attempts{"engines": {First: 1700}, "plain": {First: 2200, Retries: 120}}
+	m.Findings = v.poison.Response(to, now)
 	v.fillCommon(m, now)
 	v.addServerUpdate(m, now)
 }
 
-func (v *node) processReport(m *wire.State, from netip.AddrPort) hubs.Report {
-	if m.Version > v.version.Load() {
-		v.version.Store(m.Version)
+func (v *node) processReport(m *wire.Message, from netip.AddrPort) hubs.Report {
+	if m.SettingsVersion > v.version.Load() {
+		v.version.Store(m.SettingsVersion)
 	}
 	return hubs.Report{Candidate: hubs.Candidate{VM: m.VM, Addr: from, Capacity: m.Capacity, Domain: m.Domain}, StoreStatus: m.Store}
 }
 
-func (v *node) Hear(m *wire.State, from netip.AddrPort, now time.Time) {
-	v.hubs.Reported(v.processReport(m, from), now)
-	v.poison.Reported(m.VM, m.Verdicts)
+func (v *node) HandleReport(m *wire.Message, from netip.AddrPort, now time.Time) {
+	v.hubs.HandleReport(v.processReport(m, from), now)
+	v.poison.HandleReport(m.VM, m.QuarantineDigest)
 	v.poison.Merge(m.Findings, now)
 	v.receiveServers(m, true, now)
 }
 
-func (v *node) Learn(m *wire.State, from netip.AddrPort, now time.Time) {
-	if v.hubs.Answered(v.processReport(m, from), m.Hub.Names, m.Hub.Digest, now) {
-		v.gossip.Beat()
+func (v *node) HandleResponse(m *wire.Message, from netip.AddrPort, now time.Time) {
+	if v.hubs.HandleResponse(v.processReport(m, from), m.Hub.Candidates, m.Hub.CandidateDigest, now) {
+		v.gossip.ReportNow()
 	}
-	v.poison.HubAnswered(m.VM, m.Boot, m.Verdicts, now)
+	v.poison.HandleResponse(m.VM, m.Boot, m.QuarantineDigest, now)
 	v.poison.Merge(m.Findings, now)
 	v.receiveServers(m, false, now)
 }
@@ -265,8 +265,8 @@
 // onQuarantineChange reports the VM's own findings at once. A hub also announces its
 // quarantine decisions.
 func (v *node) onQuarantineChange(c poison.Change) {
-	v.gossip.Beat()
-	if c.Empty() || !v.hubs.Hub(time.Now()) {
+	v.gossip.ReportNow()
+	if c.Empty() || !v.hubs.IsHub(time.Now()) {
 		return
 	}
 	v.registrar.Wake()
@@ -276,16 +276,18 @@
 	}
 }
 
-func (v *node) Clock() uint64                            { return 1 }
-func (v *node) Reply(ask uint64) *wire.Reply             { return &wire.Reply{Ask: ask, Version: v.version.Load()} }
-func (v *node) Seat(homes.Ask, func(homes.Answer))       {}
-func (v *node) Seated(homes.Answer)                      {}
-func (v *node) Dirty() <-chan struct{}                   { return v.changed }
-func (v *node) Moved() <-chan struct{}                   { return nil }
-func (v *node) Homes() []netip.AddrPort                  { return nil }
-func (v *node) Renew(context.Context, names.Lease) error { return nil }
+func (v *node) Clock() uint64 { return 1 }
+func (v *node) VersionReply(ask uint64) *wire.VersionReply {
+	return &wire.VersionReply{RequestTime: ask, Version: v.version.Load()}
+}
+func (v *node) HandlePlacementRequest(coord.Request, func(coord.Response)) {}
+func (v *node) HandlePlacementResponse(coord.Response)                     {}
+func (v *node) StateChanged() <-chan struct{}                              { return v.changed }
+func (v *node) LoadsChanged() <-chan struct{}                              { return nil }
+func (v *node) Coordinators() []netip.AddrPort                             { return nil }
+func (v *node) Renew(context.Context, hubreg.Lease) error                  { return nil }
 
-func (v *node) Announce(_ context.Context, vm ident.VM, addr netip.AddrPort, _ time.Duration) (names.Lease, error) {
+func (v *node) Register(_ context.Context, vm ident.VM, addr netip.AddrPort, _ time.Duration) (hubreg.Lease, error) {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	v.net.calls += 2
@@ -294,7 +296,7 @@
 }
 
 // Quarantine implements hubreg.Registry.
-func (v *node) Quarantine(_ context.Context, e poison.Entry) error {
+func (v *node) Quarantine(_ context.Context, e poison.Quarantine) error {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	if v.storeUnreachable.Load() || v.net.storeDown {
@@ -307,13 +309,13 @@
 
 // Read implements hubreg.Registry. It counts only fresh reads: others may return data that
 // is 1 s old, and cost the store nothing.
-func (v *node) Read(_ context.Context, fresh bool) (names.Records, error) {
+func (v *node) Read(_ context.Context, fresh bool) (hubreg.Records, error) {
 	v.waitWhileFrozen()
 	time.Sleep(4 * time.Millisecond)
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	if v.storeUnreachable.Load() || v.net.storeDown {
-		return names.Records{}, fmt.Errorf("store unreachable")
+		return hubreg.Records{}, fmt.Errorf("store unreachable")
 	}
 	if fresh {
 		v.net.calls++
@@ -322,7 +324,7 @@
 	for name, addr := range v.net.registered {
 		out[name] = addr
 	}
-	return names.Records{VMs: out, Quarantined: slices.Clone(v.net.quarantined)}, nil
+	return hubreg.Records{VMs: out, Quarantined: slices.Clone(v.net.quarantined)}, nil
 }
 
 // fleet is a set of VMs on a network.
@@ -370,8 +372,8 @@
 
 // domainOf returns the failure domain of a VM. It depends on the hash by which candidates
 // of the same capacity are ordered, so that the first ones are in the same domain.
-func domainOf(vm ident.VM) ident.Domain {
-	return ident.Domain(fmt.Sprint(xxhash.Sum64String(string(vm)) / (math.MaxUint64 / domains)))
+func domainOf(vm ident.VM) ident.FailureDomain {
+	return ident.FailureDomain(fmt.Sprint(xxhash.Sum64String(string(vm)) / (math.MaxUint64 / domains)))
 }
 
 // startDelay returns a random delay of a VM's start.
@@ -398,8 +400,8 @@
 	v.version.Store(0)
 	v.boot++
 	v.gossip = newAgent(v, v.self.VM, v.boot, v, v.hubs, zap.NewNop())
-	v.poison = poison.New(poison.Config{Crashes: 3, Time: 10 * time.Minute}, v.onQuarantineChange)
-	v.registrar = names.New(v.self, time.Now().Add(after), v.hubs, v, v.poison, v.gossip.Beat, zap.NewNop())
+	v.poison = poison.New(poison.Config{CrashLimit: 3, Duration: 10 * time.Minute}, v.onQuarantineChange)
+	v.registrar = hubreg.New(v.self, time.Now().Add(after), v.hubs, v, v.poison, v.gossip.ReportNow, zap.NewNop())
 	registrar := v.registrar
 	if f.registry != nil {
 		v.initServers(f.registry)
@@ -407,14 +409,14 @@
 	f.mu.Lock()
 	f.nodes[v.self.Addr] = v
 	f.mu.Unlock()
-	loops := []func(context.Context){registrar.Run, v.gossip.Send, v.gossip.Receive, v.deliver}
+	loops := []func(context.Context){registrar.Run, v.gossip.RunSender, v.gossip.RunReceiver, v.deliver}
 	if f.registry != nil {
 		loops = append(loops, v.servers.Run, v.servers.Expire)
 	}
 	v.group = &errgroup.Group{}
 	for _, run := range loops {
 		v.group.Go(func() error {
-			retry.Pause(ctx, after)
+			retry.Sleep(ctx, after)
 			run(ctx)
 			return nil
 		})
@@ -441,7 +443,7 @@
 // hubsOf returns the VMs that v considers to be hubs.
 func hubsOf(v *node) []ident.VM {
 	var out []ident.VM
-	for _, r := range v.hubs.Order("s", hubs.Count, time.Now()) {
+	for _, r := range v.hubs.CoordinatorOrder("s", hubs.Count, time.Now()) {
 		out = append(out, r.VM)
 	}
 	return out
@@ -458,7 +460,7 @@
 	assert.Equal(t, len(hubsOf(list[0])), hubs.Count, what)
 	watching := 0
 	for _, v := range list {
-		if v.hubs.Asks(time.Now()) {
+		if v.hubs.ShouldWatch(time.Now()) {
 			watching++
 		}
 	}
@@ -471,7 +473,7 @@
 	t.Helper()
 	start := time.Now()
 	for _, v := range f.up() {
-		if v.hubs.Asks(start) {
+		if v.hubs.ShouldWatch(start) {
 			v.version.Store(version)
 			v.changed <- struct{}{}
 			break
@@ -513,7 +515,7 @@
 						killed = append(killed, v)
 					}
 				}
-				time.Sleep(2*hubs.Silence + hubs.Beat)
+				time.Sleep(2*hubs.PeerTimeout + hubs.ReportInterval)
 				f.assertAgreed(t, name)
 				f.measureSpread(t, 1)
 				for _, v := range killed {
@@ -553,13 +555,13 @@
 			for _, v := range f.all[vms/3 : 2*vms/3] {
 				f.kill(v)
 			}
-			time.Sleep(hubs.Beat)
+			time.Sleep(hubs.ReportInterval)
 			for _, v := range f.all[vms/3 : 2*vms/3] {
 				f.start(v, 0)
 			}
 			time.Sleep(time.Second)
 			for _, v := range f.up() {
-				assert.Assert(t, v.hubs.Heard(time.Now()) > 0, "%s has no live peers a second after the start", v.self.VM)
+				assert.Assert(t, v.hubs.LivePeers(time.Now()) > 0, "%s has no live peers a second after the start", v.self.VM)
 			}
 			time.Sleep(maxAgreeTime - time.Second)
 			f.assertAgreed(t, "after the start")
@@ -578,7 +580,7 @@
 			time.Sleep(8 * time.Second)
 			watching := 0
 			for _, v := range f.all {
-				if v.hubs.Asks(time.Now()) {
+				if v.hubs.ShouldWatch(time.Now()) {
 					watching++
 				}
 			}
@@ -600,7 +602,7 @@
 			time.Sleep(6 * time.Second)
 			watching := 0
 			for _, v := range f.all {
-				if !v.storeUnreachable.Load() && v.hubs.Asks(time.Now()) {
+				if !v.storeUnreachable.Load() && v.hubs.ShouldWatch(time.Now()) {
 					watching++
 				}
 			}
@@ -619,11 +621,11 @@
 					f.kill(v)
 				}
 			}
-			time.Sleep(hubs.Silence)
+			time.Sleep(hubs.PeerTimeout)
 			for _, v := range f.up() {
-				assert.Assert(t, v.hubs.Heard(time.Now()) > 0, "%s has no live hub", v.self.VM)
+				assert.Assert(t, v.hubs.LivePeers(time.Now()) > 0, "%s has no live hub", v.self.VM)
 			}
-			time.Sleep(hubs.Silence + hubs.Beat)
+			time.Sleep(hubs.PeerTimeout + hubs.ReportInterval)
 			f.assertAgreed(t, "after the loss")
 			f.measureSpread(t, 1)
 		})
@@ -664,7 +666,7 @@
 					continue
 				}
 				maxRate = max(maxRate, rate)
-				assert.Assert(t, v.sent.Load() <= (hubs.Count+1)*int64(duration/hubs.Beat), "%d messages", v.sent.Load())
+				assert.Assert(t, v.sent.Load() <= (hubs.Count+1)*int64(duration/hubs.ReportInterval), "%d messages", v.sent.Load())
 			}
 			assert.Assert(t, maxRate <= maxControlRate, "%d B/s", maxRate)
 			assert.Assert(t, maxHubRate <= linkBytesPerSecond/4, "%d B/s at a hub", maxHubRate)
--- a/internal/peer/gossip/lapse_test.go
+++ b/internal/peer/gossip/lapse_test.go
@@ -14,11 +14,11 @@
 	"go.uber.org/zap"
 	"gotest.tools/v3/assert"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/ident"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/state/follow"
 	"umberladder/internal/state/hubs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -40,18 +40,18 @@
 
 	mu      sync.Mutex
 	rev     follow.Revision
-	entries map[ident.Server]backs.Entry
+	entries map[ident.Server]srvtab.Entry
 	log     []follow.Change
 	changed chan struct{}
 }
 
 func newRegistry() *registry {
-	return &registry{rev: 1, entries: make(map[ident.Server]backs.Entry)}
+	return &registry{rev: 1, entries: make(map[ident.Server]srvtab.Entry)}
 }
 
-func serverEntry(n int) backs.Entry {
+func serverEntry(n int) srvtab.Entry {
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(n)}), 8000)
-	return backs.Entry{ID: ident.Server(fmt.Sprintf("i-%d@1700000000000", n)), Service: "engines", Addr: addr, Slots: 1}
+	return srvtab.Entry{ID: ident.Server(fmt.Sprintf("i-%d@1700000000000", n)), Service: "engines", Addr: addr, Slots: 1}
 }
 
 func (r *registry) record(c follow.Change) {
@@ -61,7 +61,7 @@
 	c.Rev = r.rev
 	if c.Gone {
 		delete(r.entries, c.Entry.ID)
-		c.Entry = backs.Entry{ID: ident.NewServer(c.Entry.ID.Name(), time.Time{})}
+		c.Entry = srvtab.Entry{ID: ident.NewServer(c.Entry.ID.Name(), time.Time{})}
 	} else {
 		r.entries[c.Entry.ID] = c.Entry
 	}
@@ -72,8 +72,8 @@
 	r.changed = make(chan struct{})
 }
 
-func (r *registry) put(e backs.Entry)    { r.record(follow.Change{Entry: e}) }
-func (r *registry) remove(e backs.Entry) { r.record(follow.Change{Entry: e, Gone: true}) }
+func (r *registry) put(e srvtab.Entry)    { r.record(follow.Change{Entry: e}) }
+func (r *registry) remove(e srvtab.Entry) { r.record(follow.Change{Entry: e, Gone: true}) }
 
 // registryClient is a VM's connection to the registry. It implements
 // follow.ServerSource.
@@ -94,7 +94,7 @@
 }
 
 // Servers implements follow.ServerSource.
-func (c registryClient) Servers(context.Context) ([]backs.Entry, follow.Revision, error) {
+func (c registryClient) Servers(context.Context) ([]srvtab.Entry, follow.Revision, error) {
 	if err := c.call(); err != nil {
 		return nil, 0, err
 	}
@@ -128,37 +128,37 @@
 
 // initServers creates the VM's server table and the follower that updates it.
 func (v *node) initServers(r *registry) {
-	clock := func() awake.Instant { return awake.Instant(time.Now().UnixNano()) }
+	clock := func() uptime.Instant { return uptime.Instant(time.Now().UnixNano()) }
 	announce := func() {
-		if now := time.Now(); v.hubs.Asks(now) || v.hubs.Hub(now) {
+		if now := time.Now(); v.hubs.ShouldWatch(now) || v.hubs.IsHub(now) {
 			select {
 			case v.changed <- struct{}{}:
 			default:
 			}
 		}
 	}
-	v.table = backs.NewTable(announce)
-	v.servers = follow.NewServers(registryClient{registry: r, vm: v}, v.table, clock,
-		func() bool { return !v.hubs.Asks(time.Now()) },
-		func() bool { return v.hubs.First(time.Now()) },
-		func() bool { return v.hubs.Lead(time.Now()) },
+	v.table = srvtab.NewTable(announce)
+	v.servers = follow.NewServerFollower(registryClient{registry: r, vm: v}, v.table, clock,
+		func() bool { return !v.hubs.ShouldWatch(time.Now()) },
+		func() bool { return v.hubs.ProbesStore(time.Now()) },
+		func() bool { return v.hubs.LeadsWatch(time.Now()) },
 		announce, v.fetchFromHub, zap.NewNop())
 }
 
 // fetchFromHub returns the full server list of the first hub that has one.
-func (v *node) fetchFromHub(context.Context) (follow.News, error) {
-	for _, addr := range v.hubs.Addresses(time.Now()) {
+func (v *node) fetchFromHub(context.Context) (follow.Update, error) {
+	for _, addr := range v.hubs.HubAddrs(time.Now()) {
 		v.net.mu.Lock()
 		hub := v.net.nodes[addr]
 		v.net.mu.Unlock()
 		if hub == nil || hub.servers == nil {
 			continue
 		}
-		if n, ok := hub.servers.All(); ok {
+		if n, ok := hub.servers.Snapshot(); ok {
 			return n, nil
 		}
 	}
-	return follow.News{}, follow.ErrNobody
+	return follow.Update{}, follow.ErrNoPeer
 }
 
 // minUsable returns the smallest number of usable servers at any running VM.
@@ -235,7 +235,7 @@
 			assert.Assert(t, f.minUsable() >= serverCount-1, "%d of %d servers are usable", f.minUsable(), serverCount)
 			time.Sleep(100 * time.Millisecond)
 		}
-		time.Sleep(2 * hubs.Beat)
+		time.Sleep(2 * hubs.ReportInterval)
 		assert.Equal(t, f.minUsable(), serverCount-1, "the server that did not write its entry again is removed")
 		r.remove(serverEntry(0))
 		time.Sleep(maxSpreadTime)
--- a/internal/peer/link/dialer.go
+++ b/internal/peer/httpc/dialer.go
@@ -1,4 +1,4 @@
-package link
+package httpc
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 
 // Options are the options of one request.
 type Options struct {
-	Fresh bool          // dial a new connection, since a failure of a stale one would look like a lost response
-	Body  int           // maximum size of a response body that is read as a whole, in bytes
-	Idle  time.Duration // maximum time without data; zero: that of the dialer
+	NewConn     bool          // dial a new connection, since a failure of a stale one would look like a lost response
+	MaxBody     int           // maximum size of a response body that is read as a whole, in bytes
+	IdleTimeout time.Duration // maximum time without data; zero: that of the dialer
 }
 
 // Dialer sends requests over connections that it opens and reuses. It is safe
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	err = resp.ReadLimitBody(c.r, o.Body)
+	err = resp.ReadLimitBody(c.r, o.MaxBody)
 	if !stop() || err != nil {
 		_ = c.Close()
 		return &Error{Stage: Read, Written: c.written, Err: cause(ctx, err)}
@@ -59,13 +59,13 @@
 
 // DoStream sends req and reads the header of the response into resp. The body
 // is read from the returned stream, which the caller must close.
-func (d *Dialer) Open(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request, resp *fasthttp.Response, o Options) (io.ReadCloser, error) {
+func (d *Dialer) DoStream(ctx context.Context, addr netip.AddrPort, req *fasthttp.Request, resp *fasthttp.Response, o Options) (io.ReadCloser, error) {
 	c, stop, err := d.send(ctx, addr, req, o)
 	if err != nil {
 		return nil, err
 	}
 	resp.StreamBody = true
-	if err := resp.ReadLimitBody(c.r, o.Body); err != nil {
+	if err := resp.ReadLimitBody(c.r, o.MaxBody); err != nil {
 		stop()
 		_ = c.Close()
 		return nil, &Error{Stage: Read, Written: c.written, Err: cause(ctx, err)}
@@ -95,11 +95,11 @@
 }
 
 func (d *Dialer) get(ctx context.Context, addr netip.AddrPort, o Options) (*conn, error) {
-	idleTimeout := o.Idle
+	idleTimeout := o.IdleTimeout
 	if idleTimeout <= 0 {
 		idleTimeout = d.idleTimeout
 	}
-	if !o.Fresh {
+	if !o.NewConn {
 		if c := d.takeIdle(addr); c != nil {
 			c.idleTimeout = idleTimeout
 			c.written = 0
@@ -123,7 +123,7 @@
 
 // RefusesConnections reports whether connections to addr are refused. It opens a
 // connection to find out, and closes it at once.
-func (d *Dialer) Refused(ctx context.Context, addr netip.AddrPort) bool {
+func (d *Dialer) RefusesConnections(ctx context.Context, addr netip.AddrPort) bool {
 	c, err := d.dial(ctx, addr)
 	if err == nil {
 		_ = c.Close()
@@ -180,7 +180,7 @@
 }
 
 // IsTimeout reports whether err was caused by a deadline.
-func Timeout(err error) bool {
+func IsTimeout(err error) bool {
 	// The codec's own timeout error does not implement net.Error.
 	var n interface{ Timeout() bool }
 	return errors.As(err, &n) && n.Timeout()
--- a/internal/peer/link/doc.go
+++ b/internal/peer/httpc/doc.go
@@ -5,4 +5,4 @@
 // Here a connection serves one request at a time. It is reused only after the
 // complete response was read, and is closed in every other case, so that a late
 // response cannot be taken for that of a later request. No request is retried.
-package link
+package httpc
--- a/internal/peer/link/error.go
+++ b/internal/peer/httpc/error.go
@@ -1,4 +1,4 @@
-package link
+package httpc
 
 import (
 	"fmt"
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/httpc/link_test.go
@@ -1,4 +1,4 @@
-package link
+package httpc
 
 import (
 	"bufio"
@@ -61,7 +61,7 @@
 	var req fasthttp.Request
 	var resp fasthttp.Response
 	req.SetRequestURI(path)
-	o.Body = 1 << 20
+	o.MaxBody = 1 << 20
 	err := d.Do(context.Background(), addr, &req, &resp, o)
 	return string(resp.Body()), err
 }
@@ -86,7 +86,7 @@
 	d := newDialer()
 	for range 3 {
 		_, err := do(d, addr, "/slow", Options{})
-		assert.Assert(t, Timeout(err), "%v", err)
+		assert.Assert(t, IsTimeout(err), "%v", err)
 		time.Sleep(150 * time.Millisecond)
 		body, err := do(d, addr, "/fast", Options{})
 		assert.NilError(t, err)
@@ -137,7 +137,7 @@
 		assert.NilError(t, err)
 	}
 	assert.Equal(t, len(conns), 1, "an idle connection is reused")
-	_, err := do(d, addr, "/", Options{Fresh: true})
+	_, err := do(d, addr, "/", Options{NewConn: true})
 	assert.NilError(t, err)
 	assert.Equal(t, len(conns), 2, "a new connection is dialled")
 }
@@ -177,7 +177,7 @@
 		defer cancel()
 		var req fasthttp.Request
 		var resp fasthttp.Response
-		err := newDialer().Do(ctx, addr, &req, &resp, Options{Body: 10})
+		err := newDialer().Do(ctx, addr, &req, &resp, Options{MaxBody: 10})
 		assert.Assert(t, errors.Is(err, context.DeadlineExceeded), "%v", err)
 	})
 }
--- a/internal/peer/link/raw.go
+++ b/internal/peer/httpc/raw.go
@@ -1,4 +1,4 @@
-package link
+package httpc
 
 import (
 	"context"
@@ -22,15 +22,15 @@
 
 // Response is the response to one request. The caller must close its body,
 // which closes the connection.
-type Answer struct {
+type Response struct {
 	Header fasthttp.ResponseHeader
 	Body   io.ReadCloser // ends with io.EOF only if the body is complete
 }
 
 // DoRaw sends a request with the given header and body unchanged, over a new
 // connection, and reads the header of the response.
-func (d *Dialer) Send(ctx context.Context, addr netip.AddrPort, head *fasthttp.RequestHeader, body []byte, o Options) (*Answer, error) {
-	o.Fresh = true
+func (d *Dialer) DoRaw(ctx context.Context, addr netip.AddrPort, head *fasthttp.RequestHeader, body []byte, o Options) (*Response, error) {
+	o.NewConn = true
 	c, err := d.get(ctx, addr, o)
 	if err != nil {
 		return nil, &Error{Stage: Connect, Err: cause(ctx, err)}
@@ -47,7 +47,7 @@
 	return resp, nil
 }
 
-func (c *conn) roundTrip(head *fasthttp.RequestHeader, body []byte) (*Answer, *Error) {
+func (c *conn) roundTrip(head *fasthttp.RequestHeader, body []byte) (*Response, *Error) {
 	_, err := c.w.Write(head.Header())
 	if err == nil {
 		_, err = c.w.Write(body)
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, &Error{Stage: Write, Written: c.written, Err: err}
 	}
-	resp := &Answer{}
+	resp := &Response{}
 	if err := c.readHead(&resp.Header); err != nil {
 		return nil, &Error{Stage: Read, Written: c.written, Err: err}
 	}
--- a/internal/peer/link/raw_test.go
+++ b/internal/peer/httpc/raw_test.go
@@ -1,4 +1,4 @@
-package link
+package httpc
 
 import (
 	"bufio"
@@ -44,7 +44,7 @@
 			h.SetMethod("GET")
 			h.SetRequestURI("/")
 			h.SetHost("h")
-			resp, err := newDialer().Send(context.Background(), addr, h, nil, Options{})
+			resp, err := newDialer().DoRaw(context.Background(), addr, h, nil, Options{})
 			assert.NilError(t, err)
 			var got []byte
 			if tc.reset {
@@ -78,7 +78,7 @@
 	h.Add("Host", "h")
 	h.Add("x-lower", "1")
 	h.Add("Content-Length", "3")
-	resp, err := newDialer().Send(context.Background(), addr, h, []byte("abc"), Options{})
+	resp, err := newDialer().DoRaw(context.Background(), addr, h, []byte("abc"), Options{})
 	assert.NilError(t, err)
 	assert.NilError(t, resp.Body.Close())
 	assert.Equal(t, <-got, "POST /a//b/../c?x=%2F&y HTTP/1.1\r\nHost: h\r\nx-lower: 1\r\nContent-Length: 3\r\n\r\nabc")
--- a/internal/peer/nodes/codec.go
+++ b/internal/peer/nodes/codec.go
@@ -35,7 +35,7 @@
 	return member.Member{
 		Name:        ident.VM(w.GetName()),
 		Address:     addr,
-		Domain:      ident.Domain(w.GetDomain()),
+		Domain:      ident.FailureDomain(w.GetDomain()),
 		Incarnation: w.GetIncarnation(),
 		State:       member.State(w.GetState()),
 	}, nil
@@ -48,8 +48,8 @@
 		Sequence:         p.Sequence,
 		From:             encodeMember(&p.From),
 		Target:           string(p.Target),
-		SettingsRevision: p.Mark.Revision,
-		SettingsAhead:    p.Mark.Ahead,
+		SettingsRevision: p.SettingsVersion.Revision,
+		SettingsAhead:    p.SettingsVersion.Ahead,
 	}
 	for i := range p.Updates {
 		w.Updates = append(w.Updates, encodeMember(&p.Updates[i]))
@@ -64,7 +64,7 @@
 	if err := pb.Unmarshal(data, &w); err != nil {
 		return member.Packet{}, trace.Wrap(err)
 	}
-	if w.GetKind() > uint32(member.Announced) {
+	if w.GetKind() > uint32(member.Announcement) {
 		return member.Packet{}, trace.BadParameter("invalid packet kind %d", w.GetKind())
 	}
 	from, err := decodeMember(w.GetFrom())
@@ -72,11 +72,11 @@
 		return member.Packet{}, trace.Wrap(err)
 	}
 	p := member.Packet{
-		Kind:     member.Kind(w.GetKind()),
-		Sequence: w.GetSequence(),
-		From:     from,
-		Target:   ident.VM(w.GetTarget()),
-		Mark:     member.Mark{Revision: w.GetSettingsRevision(), Ahead: w.GetSettingsAhead()},
+		Kind:            member.Kind(w.GetKind()),
+		Sequence:        w.GetSequence(),
+		From:            from,
+		Target:          ident.VM(w.GetTarget()),
+		SettingsVersion: member.SettingsVersion{Revision: w.GetSettingsRevision(), Ahead: w.GetSettingsAhead()},
 	}
 	for _, u := range w.GetUpdates() {
 		m, err := decodeMember(u)
--- a/internal/peer/nodes/rpc.go
+++ b/internal/peer/nodes/rpc.go
@@ -33,7 +33,7 @@
 
 // ClientPool holds the twirp clients for other VMs. It is safe for concurrent
 // use.
-type Clients struct {
+type ClientPool struct {
 	http *http.Client
 
 	mu      sync.Mutex
@@ -41,7 +41,7 @@
 }
 
 // NewClientPool returns a pool of clients that seal their calls with ring.
-func NewClients(ring *seal.Ring, timeout time.Duration) *Clients {
+func NewClientPool(ring *seal.KeyRing, timeout time.Duration) *ClientPool {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: timeout}).DialContext,
 		MaxIdleConnsPerHost: maxIdleConns,
@@ -49,11 +49,11 @@
 		DisableCompression:  true,
 	}
 	c := &http.Client{Transport: &sealTransport{ring: ring, next: t}, Timeout: timeout}
-	return &Clients{http: c, clients: map[netip.AddrPort]proto.Nodes{}}
+	return &ClientPool{http: c, clients: map[netip.AddrPort]proto.Nodes{}}
 }
 
 // To returns the client of the VM at addr.
-func (c *Clients) To(addr netip.AddrPort) proto.Nodes {
+func (c *ClientPool) To(addr netip.AddrPort) proto.Nodes {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.clients[addr]
@@ -66,7 +66,7 @@
 
 // sealTransport is an http.RoundTripper that seals each call.
 type sealTransport struct {
-	ring *seal.Ring
+	ring *seal.KeyRing
 	next http.RoundTripper
 }
 
@@ -80,13 +80,13 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	// With GetBody set, net/http could retry the call by itself.
 	r.GetBody = nil
-	sealed := s.ring.Packet(nil, sealedBytes(r.URL.Path, body))
+	sealed := s.ring.SealPacket(nil, sealedBytes(r.URL.Path, body))
 	r.Header.Set(sealHeader, base64.StdEncoding.EncodeToString(sealed[:seal.Overhead]))
 	return s.next.RoundTrip(r)
 }
 
 // Serve serves other VMs' calls on ln until ctx ends.
-func Serve(ctx context.Context, ln net.Listener, ring *seal.Ring, traffic *Traffic, n proto.Nodes) error {
+func Serve(ctx context.Context, ln net.Listener, ring *seal.KeyRing, traffic *Traffic, n proto.Nodes) error {
 	s := &http.Server{
 		Handler:           requireSeal(ring, traffic, proto.NewNodesServer(n)),
 		ReadHeaderTimeout: headerTimeout,
@@ -94,7 +94,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
-	err := s.Serve(&countingListener{Listener: ln, bytes: &traffic.Calls})
+	err := s.Serve(&countingListener{Listener: ln, bytes: &traffic.CallBytes})
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -134,7 +134,7 @@
 
 // requireSeal passes calls on to next if they are sealed with a key of the ring,
 // and rejects and counts all others.
-func requireSeal(ring *seal.Ring, traffic *Traffic, next http.Handler) http.Handler {
+func requireSeal(ring *seal.KeyRing, traffic *Traffic, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallSize))
 		if err != nil {
--- a/internal/peer/nodes/server.go
+++ b/internal/peer/nodes/server.go
@@ -9,23 +9,23 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/peer/proto"
-	"umberladder/internal/route/gate"
+	"umberladder/internal/route/limits"
 	"umberladder/internal/state/config"
-	"umberladder/internal/state/keeper"
 	"umberladder/internal/state/member"
+	"umberladder/internal/state/shards"
 	"umberladder/internal/state/term"
 )
 
 // Claimer manages claims for other VMs.
 type Claimer interface {
-	Claim(shard int, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer)
+	Claim(shard int, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer)
 	Finish(shard int, key string, r ident.Request, ran bool, response *proto.Answer)
 	Accept(ctx context.Context, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error)
 }
 
 // DocumentSource provides the settings documents that other VMs lack.
 type DocumentSource interface {
-	Newer(after uint64) (docs []config.Document, upTo uint64)
+	DocumentsAfter(after uint64) (docs []config.Document, upTo uint64)
 }
 
 // Coordinator places generations on engines for other VMs and keeps their
@@ -39,7 +39,7 @@
 // usage at this VM.
 type Reporter interface {
 	Report() []byte
-	Usage(w ident.Workspace) (gate.Usage, bool)
+	Usage(w ident.Workspace) (limits.Usage, bool)
 }
 
 // Server serves other VMs' calls. It implements proto.Nodes.
@@ -57,7 +57,7 @@
 
 // Pull implements proto.Nodes.
 func (s *Server) Pull(_ context.Context, r *proto.PullRequest) (*proto.PullReply, error) {
-	docs, upTo := s.docs.Newer(r.GetRevision())
+	docs, upTo := s.docs.DocumentsAfter(r.GetRevision())
 	reply := &proto.PullReply{Revision: upTo}
 	for _, d := range docs {
 		reply.Documents = append(reply.Documents, &proto.Document{Path: d.Path, Version: d.Version, Body: d.Body})
@@ -68,8 +68,8 @@
 // Claim implements proto.Nodes.
 func (s *Server) Claim(_ context.Context, r *proto.ClaimRequest) (*proto.ClaimReply, error) {
 	slash := strings.LastIndexByte(r.GetKey(), '/')
-	created, ok := ident.Minted(r.GetKey()[slash+1:])
-	if !ok || r.GetShard() >= keeper.Shards || len(r.GetFingerprint()) != 32 {
+	created, ok := ident.UUIDTime(r.GetKey()[slash+1:])
+	if !ok || r.GetShard() >= shards.Count || len(r.GetFingerprint()) != 32 {
 		return nil, twirp.NewError(twirp.InvalidArgument, "not a claim")
 	}
 	v, response := s.claims.Claim(int(r.GetShard()), r.GetKey(), created, [32]byte(r.GetFingerprint()), ident.Request(r.GetRequest()))
@@ -123,16 +123,16 @@
 }
 
 // Client calls other VMs.
-type Peers struct {
-	clients *Clients
+type Client struct {
+	clients *ClientPool
 }
 
 // NewClient returns a client that uses the connections of c.
-func NewPeers(c *Clients) *Peers { return &Peers{clients: c} }
+func NewClient(c *ClientPool) *Client { return &Client{clients: c} }
 
 // Pull fetches the documents of another VM that are newer than a revision, and
 // returns them with the revision up to which they are complete.
-func (p *Peers) Pull(ctx context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
+func (p *Client) Pull(ctx context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
 	reply, err := p.clients.To(from.Address).Pull(ctx, &proto.PullRequest{Revision: after})
 	if err != nil {
 		return nil, 0, callError(from, err)
@@ -145,7 +145,7 @@
 }
 
 // Claim requests a claim on a key from the holder of its shard.
-func (p *Peers) Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
+func (p *Client) Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer, error) {
 	reply, err := p.clients.To(to.Address).Claim(ctx, &proto.ClaimRequest{
 		Shard:       uint32(shard),
 		Key:         key,
@@ -155,11 +155,11 @@
 	if err != nil {
 		return term.NotHolder, nil, callError(to, err)
 	}
-	return term.Verdict(reply.GetVerdict()), reply.GetAnswer(), nil
+	return term.Decision(reply.GetVerdict()), reply.GetAnswer(), nil
 }
 
 // Finish reports the end of a request to the holder of a shard.
-func (p *Peers) Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error {
+func (p *Client) Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error {
 	_, err := p.clients.To(to.Address).Finish(ctx, &proto.FinishRequest{
 		Shard:   uint32(shard),
 		Key:     key,
@@ -172,7 +172,7 @@
 
 // Handover hands a shard's term over to its next holder, and reports whether
 // that accepted it.
-func (p *Peers) Handover(ctx context.Context, to member.Member, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
+func (p *Client) Handover(ctx context.Context, to member.Member, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
 	reply, err := p.clients.To(to.Address).Handover(ctx, &proto.HandoverRequest{
 		Shard:       uint32(shard),
 		Revision:    revision,
@@ -186,7 +186,7 @@
 }
 
 // Burn fetches another VM's report on service-level burn.
-func (p *Peers) Burn(ctx context.Context, from member.Member) ([]byte, error) {
+func (p *Client) Burn(ctx context.Context, from member.Member) ([]byte, error) {
 	reply, err := p.clients.To(from.Address).Burn(ctx, &proto.BurnRequest{})
 	if err != nil {
 		return nil, callError(from, err)
@@ -195,12 +195,12 @@
 }
 
 // Usage fetches a workspace's usage at another VM.
-func (p *Peers) Usage(ctx context.Context, from member.Member, w ident.Workspace) (gate.Usage, error) {
+func (p *Client) Usage(ctx context.Context, from member.Member, w ident.Workspace) (limits.Usage, error) {
 	reply, err := p.clients.To(from.Address).Usage(ctx, &proto.UsageRequest{Workspace: string(w)})
 	if err != nil {
-		return gate.Usage{}, callError(from, err)
+		return limits.Usage{}, callError(from, err)
 	}
-	return gate.Usage{
+	return limits.Usage{
 		Open:       int(reply.GetOpen()),
 		OpenShare:  int(reply.GetOpenShare()),
 		TokensLeft: reply.GetTokensLeft(),
@@ -210,14 +210,14 @@
 }
 
 // Seat requests a reservation from a model's coordinator.
-func (p *Peers) Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error) {
+func (p *Client) Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error) {
 	reply, err := p.clients.To(to.Address).Seat(ctx, ask)
 	return reply, callError(to, err)
 }
 
 // News reports the state of generations with a reservation to a model's
 // coordinator.
-func (p *Peers) News(ctx context.Context, to member.Member, news *proto.SeatNews) error {
+func (p *Client) News(ctx context.Context, to member.Member, news *proto.SeatNews) error {
 	_, err := p.clients.To(to.Address).News(ctx, news)
 	return callError(to, err)
 }
--- a/internal/peer/nodes/socket.go
+++ b/internal/peer/nodes/socket.go
@@ -18,21 +18,21 @@
 
 // Traffic counts the datagrams and calls that a VM sent and received.
 type Traffic struct {
-	Sent, Received           atomic.Uint64 // bytes of datagrams, without IP and UDP headers
-	SentCount, ReceivedCount atomic.Uint64
-	Forged                   atomic.Uint64 // messages dropped: not sealed with a key of the ring, or not decoded
-	Calls                    atomic.Uint64 // bytes of calls served, in both directions, with HTTP headers
+	SentBytes, ReceivedBytes     atomic.Uint64 // bytes of datagrams, without IP and UDP headers
+	SentPackets, ReceivedPackets atomic.Uint64
+	Forged                       atomic.Uint64 // messages dropped: not sealed with a key of the ring, or not decoded
+	CallBytes                    atomic.Uint64 // bytes of calls served, in both directions, with HTTP headers
 }
 
 // Socket sends and receives sealed datagrams.
 type Socket struct {
 	conn    *net.UDPConn
-	ring    *seal.Ring
+	ring    *seal.KeyRing
 	traffic *Traffic
 }
 
 // Listen opens a UDP socket at addr.
-func Listen(addr netip.AddrPort, ring *seal.Ring, traffic *Traffic) (*Socket, error) {
+func Listen(addr netip.AddrPort, ring *seal.KeyRing, traffic *Traffic) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -46,9 +46,9 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	sealed := s.ring.Packet(nil, data)
-	s.traffic.Sent.Add(uint64(len(sealed)))
-	s.traffic.SentCount.Add(1)
+	sealed := s.ring.SealPacket(nil, data)
+	s.traffic.SentBytes.Add(uint64(len(sealed)))
+	s.traffic.SentPackets.Add(1)
 	_, err = s.conn.WriteToUDPAddrPort(sealed, to)
 	return trace.Wrap(err)
 }
@@ -66,8 +66,8 @@
 		if err != nil {
 			continue // for example an ICMP error for a datagram sent before
 		}
-		s.traffic.Received.Add(uint64(n))
-		s.traffic.ReceivedCount.Add(1)
+		s.traffic.ReceivedBytes.Add(uint64(n))
+		s.traffic.ReceivedPackets.Add(1)
 		p, err := s.open(buf[:n])
 		if err != nil {
 			s.traffic.Forged.Add(1)
--- a/internal/peer/openai/encode.go
+++ b/internal/peer/openai/encode.go
@@ -11,26 +11,26 @@
 
 // Token is one token of a stream, or the end of the stream.
 type Token struct {
-	Index  uint64
-	Text   string
-	Finish string // only at the end: "stop" or "length"
+	Index        uint64
+	Text         string
+	FinishReason string // only at the end: "stop" or "length"
 }
 
 // Completion is the complete result of a generation.
-type Whole struct {
-	Request      ident.Request
-	Text         string
-	Finish       string
-	PromptTokens int
-	Tokens       int
+type Completion struct {
+	Request          ident.Request
+	Text             string
+	FinishReason     string
+	PromptTokens     int
+	CompletionTokens int
 }
 
 // Encode returns the body of the unary response to g.
-func (w *Whole) Encode(g *Generation, now time.Time) []byte {
+func (w *Completion) Encode(g *Request, now time.Time) []byte {
 	var a fastjson.Arena
 	o, choice, usage := a.NewObject(), a.NewObject(), a.NewObject()
 	choice.Set("index", a.NewNumberInt(0))
-	choice.Set("finish_reason", a.NewString(w.Finish))
+	choice.Set("finish_reason", a.NewString(w.FinishReason))
 	if g.Chat {
 		m := a.NewObject()
 		m.Set("role", a.NewString("assistant"))
@@ -50,8 +50,8 @@
 	list.SetArrayItem(0, choice)
 	o.Set("choices", list)
 	usage.Set("prompt_tokens", a.NewNumberInt(w.PromptTokens))
-	usage.Set("completion_tokens", a.NewNumberInt(w.Tokens))
-	usage.Set("total_tokens", a.NewNumberInt(w.PromptTokens+w.Tokens))
+	usage.Set("completion_tokens", a.NewNumberInt(w.CompletionTokens))
+	usage.Set("total_tokens", a.NewNumberInt(w.PromptTokens+w.CompletionTokens))
 	o.Set("usage", usage)
 	return o.MarshalTo(nil)
 }
@@ -118,7 +118,7 @@
 func (e *Encoder) Finish(t Token) []byte {
 	e.arena.Reset()
 	b := append(e.buf[:0], e.finishHead...)
-	b = e.arena.NewString(t.Finish).MarshalTo(b)
+	b = e.arena.NewString(t.FinishReason).MarshalTo(b)
 	e.buf = append(b, e.finishTail...)
 	return e.buf
 }
--- a/internal/peer/openai/parse.go
+++ b/internal/peer/openai/parse.go
@@ -14,7 +14,7 @@
 const MaxTokens = 1_000_000
 
 // Request is a parsed request for a completion or chat completion.
-type Generation struct {
+type Request struct {
 	Service   ident.Service // the member "model"
 	Prompt    string
 	MaxTokens int // zero: the caller sets no limit
@@ -28,8 +28,8 @@
 
 // Parse parses the body of a request for a completion or, with chat, for a chat
 // completion. A refusal names the invalid member.
-func Parse(body []byte, chat bool) (Generation, *refuse.Refusal) {
-	g := Generation{Chat: chat}
+func Parse(body []byte, chat bool) (Request, *refuse.Refusal) {
+	g := Request{Chat: chat}
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return g, badInput("the body is not valid JSON: %.120s", err)
@@ -40,7 +40,7 @@
 	return g, g.decode(v)
 }
 
-func (g *Generation) decode(v *fastjson.Value) *refuse.Refusal {
+func (g *Request) decode(v *fastjson.Value) *refuse.Refusal {
 	model := v.Get("model")
 	if model == nil || model.Type() != fastjson.TypeString || ident.CheckName(string(model.GetStringBytes())) != nil {
 		return badInput("model: want the name of a service, as a string")
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (g *Generation) decodeMaxTokens(v *fastjson.Value) *refuse.Refusal {
+func (g *Request) decodeMaxTokens(v *fastjson.Value) *refuse.Refusal {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		m := v.Get(name)
 		if m == nil || m.Type() == fastjson.TypeNull {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (g *Generation) decodePrompt(v *fastjson.Value) *refuse.Refusal {
+func (g *Request) decodePrompt(v *fastjson.Value) *refuse.Refusal {
 	if g.Chat {
 		return g.decodeMessages(v.Get("messages"))
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (g *Generation) decodeMessages(m *fastjson.Value) *refuse.Refusal {
+func (g *Request) decodeMessages(m *fastjson.Value) *refuse.Refusal {
 	if m == nil || m.Type() != fastjson.TypeArray || len(m.GetArray()) == 0 {
 		return badInput("messages: want a list of at least one message")
 	}
--- a/internal/peer/oper/auth.go
+++ b/internal/peer/oper/auth.go
@@ -34,7 +34,7 @@
 	if matchesAny(h, s.operators) || snap.System != nil && matchesAny(h, snap.System.Operators) {
 		return principal{isSystem: true, historyName: "system-operator"}, true
 	}
-	for _, w := range snap.All() {
+	for _, w := range snap.AllWorkspaces() {
 		if matchesAny(h, w.Operators) {
 			return principal{workspace: w.Name, historyName: "operator-of-" + string(w.Name)}, true
 		}
--- a/internal/peer/oper/server.go
+++ b/internal/peer/oper/server.go
@@ -13,9 +13,9 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/peer/store"
-	"umberladder/internal/state/amend"
 	"umberladder/internal/state/config"
-	"umberladder/internal/state/spread"
+	"umberladder/internal/state/edit"
+	"umberladder/internal/state/syncer"
 )
 
 const (
@@ -37,36 +37,36 @@
 }
 
 // Editor applies operators' changes of settings and reports on them.
-type Amender interface {
-	Apply(ctx context.Context, c amend.Change) (amend.Result, error)
-	Read(ctx context.Context, path string) (*spread.Value, uint64, error)
-	Ask(ctx context.Context, path, id string, baseVersion uint64) amend.Status
+type Editor interface {
+	Apply(ctx context.Context, c edit.Change) (edit.Result, error)
+	Read(ctx context.Context, path string) (*syncer.Value, uint64, error)
+	ChangeStatus(ctx context.Context, path, id string, baseVersion uint64) edit.Status
 }
 
 // VM provides the status, reports and draining of this VM.
-type Node interface {
+type VM interface {
 	Status(a *fastjson.Arena) *fastjson.Value
 	// BurnReport returns the burn report as JSON, for this VM or merged over all
 	// VMs. If workspace is not empty, it covers only that workspace.
-	Burn(ctx context.Context, merged bool, workspace ident.Workspace) ([]byte, error)
+	BurnReport(ctx context.Context, merged bool, workspace ident.Workspace) ([]byte, error)
 	// WorkspaceUsage returns the usage of a workspace on each VM, or nil if there
 	// is no such workspace.
-	Workspace(ctx context.Context, a *fastjson.Arena, name ident.Workspace) *fastjson.Value
+	WorkspaceUsage(ctx context.Context, a *fastjson.Arena, name ident.Workspace) *fastjson.Value
 	Drain()
 }
 
 // Server is the HTTP server for operators.
 type Server struct {
 	settings  Settings
-	editor    Amender
-	vm        Node
+	editor    Editor
+	vm        VM
 	operators []config.KeyHash // from the configuration file of the VM
 	http      *fasthttp.Server
 }
 
 // New returns a server. The keys in operators grant access to everything, also
 // before any settings have been loaded.
-func New(settings Settings, editor Amender, vm Node, operators []config.KeyHash, log fasthttp.Logger) *Server {
+func New(settings Settings, editor Editor, vm VM, operators []config.KeyHash, log fasthttp.Logger) *Server {
 	s := &Server{settings: settings, editor: editor, vm: vm, operators: operators}
 	s.http = &fasthttp.Server{
 		Handler:            s.handle,
@@ -124,7 +124,7 @@
 // reported as not found, so that its existence is not disclosed.
 func authorizePath(ctx *fasthttp.RequestCtx, p *principal, path string) bool {
 	if path != config.SystemPath {
-		if _, err := config.WorkspaceOf(path); err != nil {
+		if _, err := config.WorkspaceFromPath(path); err != nil {
 			writeProblem(ctx, fasthttp.StatusBadRequest, "bad-input", trace.UserMessage(err))
 			return false
 		}
@@ -148,7 +148,7 @@
 	c, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var a fastjson.Arena
-	v := s.vm.Workspace(c, &a, name)
+	v := s.vm.WorkspaceUsage(c, &a, name)
 	if v == nil {
 		writeProblem(ctx, fasthttp.StatusNotFound, "not-found", "there is no workspace "+string(name))
 		return
@@ -159,7 +159,7 @@
 func (s *Server) burnReport(ctx *fasthttp.RequestCtx, p *principal) {
 	c, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	data, err := s.vm.Burn(c, ctx.QueryArgs().GetBool("merged"), p.workspace)
+	data, err := s.vm.BurnReport(c, ctx.QueryArgs().GetBool("merged"), p.workspace)
 	if err != nil {
 		writeProblem(ctx, fasthttp.StatusInternalServerError, "report", trace.UserMessage(err))
 		return
@@ -206,21 +206,21 @@
 	var field *config.FieldError
 	status, slug := fasthttp.StatusServiceUnavailable, "store-down"
 	var addDetails func(o *fastjson.Value)
-	switch c, conflict := amend.IsConflict(err); {
+	switch c, conflict := edit.IsConflict(err); {
 	case conflict:
 		status, slug = fasthttp.StatusPreconditionFailed, "conflict"
 		addDetails = func(o *fastjson.Value) {
 			o.Set("version", a.NewNumberInt(int(c.Version)))
 			o.Set("by", a.NewString(c.By))
 		}
-	case amend.IsUnknown(err):
+	case edit.IsUnknown(err):
 		status, slug = fasthttp.StatusGatewayTimeout, "unknown"
 	case errors.As(err, &field):
 		status, slug = fasthttp.StatusUnprocessableEntity, "invalid-document"
 		addDetails = func(o *fastjson.Value) { o.Set("path", a.NewString(field.Path)) }
 	case trace.IsBadParameter(err):
 		status, slug = fasthttp.StatusBadRequest, "bad-input"
-	case store.Is(err, store.Budget):
+	case store.Is(err, store.BudgetExhausted):
 		slug = "store-budget"
 	}
 	if status == fasthttp.StatusServiceUnavailable {
--- a/internal/peer/oper/settings.go
+++ b/internal/peer/oper/settings.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fastjson"
 
-	"umberladder/internal/state/amend"
+	"umberladder/internal/state/edit"
 )
 
 const (
@@ -36,14 +36,14 @@
 	for i, path := range paths {
 		o := a.NewObject()
 		o.Set("path", a.NewString(path))
-		o.Set("version", Number(&a, snap.Documents[path].Version))
+		o.Set("version", JSONUint(&a, snap.Documents[path].Version))
 		list.SetArrayItem(i, o)
 	}
 	writeJSON(ctx, list)
 }
 
 // JSONUint returns an unsigned integer as a JSON number.
-func Number(a *fastjson.Arena, n uint64) *fastjson.Value {
+func JSONUint(a *fastjson.Arena, n uint64) *fastjson.Value {
 	return a.NewNumberString(strconv.FormatUint(n, 10))
 }
 
@@ -87,13 +87,13 @@
 		writeProblem(ctx, fasthttp.StatusBadRequest, "bad-input", "the body is empty; use DELETE to delete a document")
 		return
 	}
-	c := amend.Change{
-		ID:     string(ctx.Request.Header.Peek(headerChange)),
-		By:     operatorName(ctx, p),
-		Path:   path,
-		Want:   version,
-		Body:   body,
-		DryRun: ctx.QueryArgs().GetBool("dry-run"),
+	c := edit.Change{
+		ID:          string(ctx.Request.Header.Peek(headerChange)),
+		By:          operatorName(ctx, p),
+		Path:        path,
+		BaseVersion: version,
+		Body:        body,
+		DryRun:      ctx.QueryArgs().GetBool("dry-run"),
 	}
 	if c.ID == "" {
 		c.ID = uuid.Must(uuid.NewV7()).String()
@@ -109,9 +109,9 @@
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("path", a.NewString(path))
-	o.Set("version", Number(&a, res.Version))
+	o.Set("version", JSONUint(&a, res.Version))
 	o.Set("change", a.NewString(c.ID))
-	o.Set("dry-run", Bool(&a, c.DryRun))
+	o.Set("dry-run", JSONBool(&a, c.DryRun))
 	o.Set("diff", stringArray(&a, res.Diff))
 	o.Set("warnings", stringArray(&a, res.Warnings))
 	writeJSON(ctx, o)
@@ -154,12 +154,12 @@
 		e.Set("change", a.NewString(c.ID))
 		e.Set("by", a.NewString(c.By))
 		e.Set("at", a.NewString(c.At.UTC().Format(time.RFC3339Nano)))
-		e.Set("delete", Bool(&a, c.Delete))
+		e.Set("delete", JSONBool(&a, c.Delete))
 		e.Set("diff", stringArray(&a, c.Diff))
 		list.SetArrayItem(i, e)
 	}
 	o.Set("path", a.NewString(path))
-	o.Set("version", Number(&a, version))
+	o.Set("version", JSONUint(&a, version))
 	o.Set("changes", list)
 	writeJSON(ctx, o)
 }
@@ -181,7 +181,7 @@
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("change", a.NewString(id))
-	o.Set("status", a.NewString(s.editor.Ask(call, path, id, from).String()))
+	o.Set("status", a.NewString(s.editor.ChangeStatus(call, path, id, from).String()))
 	writeJSON(ctx, o)
 }
 
@@ -194,7 +194,7 @@
 }
 
 // JSONBool returns b as a JSON boolean.
-func Bool(a *fastjson.Arena, b bool) *fastjson.Value {
+func JSONBool(a *fastjson.Arena, b bool) *fastjson.Value {
 	if b {
 		return a.NewTrue()
 	}
--- a/internal/peer/plain/client.go
+++ b/internal/peer/plain/client.go
@@ -9,23 +9,23 @@
 
 	"github.com/valyala/fasthttp"
 
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 )
 
 // ErrorKind classifies a failed call by whether it may have run.
-type Fault uint8
+type ErrorKind uint8
 
 // The kinds of errors.
 const (
-	Unsent Fault = iota // nothing was written: the call can't have run
-	Maybe               // the call was written, but no complete response was received
-	Silent              // the call was written, but the timeout expired
+	Unsent         ErrorKind = iota // nothing was written: the call can't have run
+	OutcomeUnknown                  // the call was written, but no complete response was received
+	Timeout                         // the call was written, but the timeout expired
 )
 
 // Error describes a failed call.
 type Error struct {
-	Fault Fault
-	Err   error
+	Kind ErrorKind
+	Err  error
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("plain call: %v", e.Err) }
@@ -39,18 +39,18 @@
 	ContentType string
 	Body        []byte
 	Headers     [][2]string
-	Repeatable  bool
+	Retryable   bool
 	Timeout     time.Duration
 }
 
 // RequestIDHeader is the header that carries the request identifier. A server
 // may return it in its response, so that a response to another request can be
 // detected.
-const EchoHeader = "Umberladder-Request"
+const RequestIDHeader = "Umberladder-Request"
 
 // Response is a complete response.
-type Answer struct {
-	Echo        string // value of RequestIDHeader
+type Response struct {
+	RequestID   string // value of RequestIDHeader
 	Status      int
 	ContentType string
 	Body        []byte
@@ -58,16 +58,16 @@
 
 // Client calls plain servers. It is safe for concurrent use.
 type Client struct {
-	dialer  *link.Dialer
+	dialer  *httpc.Dialer
 	maxBody int
 }
 
 // New returns a client that accepts response bodies of up to maxBody bytes.
-func New(dialer *link.Dialer, maxBody int) *Client { return &Client{dialer: dialer, maxBody: maxBody} }
+func New(dialer *httpc.Dialer, maxBody int) *Client { return &Client{dialer: dialer, maxBody: maxBody} }
 
 // Do sends the call and returns the complete response. Its error is always an
 // *Error.
-func (c *Client) Do(ctx context.Context, addr netip.AddrPort, call Call) (Answer, error) {
+func (c *Client) Do(ctx context.Context, addr netip.AddrPort, call Call) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
 	req := fasthttp.AcquireRequest()
@@ -75,16 +75,16 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	call.writeTo(req)
-	err := c.dialer.Do(ctx, addr, req, resp, link.Options{
-		Fresh: !call.Repeatable,
-		Body:  c.maxBody,
-		Idle:  call.Timeout,
+	err := c.dialer.Do(ctx, addr, req, resp, httpc.Options{
+		NewConn:     !call.Retryable,
+		MaxBody:     c.maxBody,
+		IdleTimeout: call.Timeout,
 	})
 	if err != nil {
-		return Answer{}, newError(ctx, err)
+		return Response{}, newError(ctx, err)
 	}
-	return Answer{
-		Echo:        string(resp.Header.Peek(EchoHeader)),
+	return Response{
+		RequestID:   string(resp.Header.Peek(RequestIDHeader)),
 		Status:      resp.StatusCode(),
 		ContentType: string(resp.Header.ContentType()),
 		Body:        append([]byte(nil), resp.Body()...),
@@ -104,13 +104,13 @@
 }
 
 func newError(ctx context.Context, err error) *Error {
-	var le *link.Error
+	var le *httpc.Error
 	switch {
 	case errors.As(err, &le) && le.Unsent():
-		return &Error{Fault: Unsent, Err: err}
-	case ctx.Err() != nil || link.Timeout(err):
-		return &Error{Fault: Silent, Err: err}
+		return &Error{Kind: Unsent, Err: err}
+	case ctx.Err() != nil || httpc.IsTimeout(err):
+		return &Error{Kind: Timeout, Err: err}
 	default:
-		return &Error{Fault: Maybe, Err: err}
+		return &Error{Kind: OutcomeUnknown, Err: err}
 	}
 }
--- a/internal/peer/share/client.go
+++ b/internal/peer/share/client.go
@@ -12,7 +12,7 @@
 	"github.com/gravitational/trace"
 	"github.com/valyala/fasthttp"
 
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 	"umberladder/internal/peer/wire"
 	"umberladder/internal/state/follow"
 	"umberladder/internal/state/routes"
@@ -42,13 +42,13 @@
 
 // Client fetches settings and server lists from other VMs. It is safe for concurrent use.
 type Client struct {
-	dialer *link.Dialer
+	dialer *httpc.Dialer
 	self   netip.AddrPort
 }
 
 // NewClient returns a client that dials with d. The address self is where this VM's own
 // Server listens.
-func NewClient(d *link.Dialer, self netip.AddrPort) *Client { return &Client{dialer: d, self: self} }
+func NewClient(d *httpc.Dialer, self netip.AddrPort) *Client { return &Client{dialer: d, self: self} }
 
 func (c *Client) get(ctx context.Context, from netip.AddrPort, path string) (*fasthttp.Response, error) {
 	var req fasthttp.Request
@@ -56,7 +56,7 @@
 	req.Header.SetMethod(fasthttp.MethodGet)
 	req.SetRequestURI("http://" + from.String() + path)
 	req.Header.Set(headerFrom, c.self.String())
-	if err := c.dialer.Do(ctx, from, &req, resp, link.Options{Body: maxResponseSize, Idle: idleTimeout}); err != nil {
+	if err := c.dialer.Do(ctx, from, &req, resp, httpc.Options{MaxBody: maxResponseSize, IdleTimeout: idleTimeout}); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	switch code := resp.StatusCode(); code {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return Settings{}, err
 	}
-	return Settings{Packed: resp.Body(), Version: version, Age: age}, nil
+	return Settings{Compressed: resp.Body(), Version: version, Age: age}, nil
 }
 
 // parseAge returns the age in the response's header.
@@ -118,22 +118,22 @@
 }
 
 // Servers fetches the complete server list of another VM.
-func (c *Client) Servers(ctx context.Context, from netip.AddrPort) (follow.News, error) {
+func (c *Client) Servers(ctx context.Context, from netip.AddrPort) (follow.Update, error) {
 	resp, err := c.get(ctx, from, pathServers)
 	if err != nil {
-		return follow.News{}, err
+		return follow.Update{}, err
 	}
 	age, err := parseAge(resp)
 	if err != nil {
-		return follow.News{}, err
+		return follow.Update{}, err
 	}
-	_, data, err := routes.Unpack(resp.Body())
+	_, data, err := routes.Decompress(resp.Body())
 	if err != nil {
-		return follow.News{}, trace.Wrap(err)
+		return follow.Update{}, trace.Wrap(err)
 	}
 	n, err := wire.DecodeServerUpdate(data)
 	if err != nil {
-		return follow.News{}, trace.Wrap(err)
+		return follow.Update{}, trace.Wrap(err)
 	}
 	n.Age = age
 	return *n, nil
--- a/internal/peer/share/server.go
+++ b/internal/peer/share/server.go
@@ -33,9 +33,9 @@
 
 // Settings is one version of the settings, as written by the operators.
 type Settings struct {
-	Packed  []byte // compressed by routes.Document
-	Version uint64
-	Age     time.Duration // time since it was last known to be the newest version
+	Compressed []byte // compressed by routes.Document
+	Version    uint64
+	Age        time.Duration // time since it was last known to be the newest version
 }
 
 // Source provides the data that a VM serves to other VMs.
@@ -44,7 +44,7 @@
 	Settings() (Settings, bool)
 	// Servers returns the complete server list, or false if the VM is not sure that its
 	// list is complete.
-	Servers() (follow.News, bool)
+	Servers() (follow.Update, bool)
 }
 
 // Server serves a VM's settings and server list to other VMs.
@@ -71,13 +71,13 @@
 
 // encode returns n encoded and compressed. It reuses the last result for the same
 // revision within cacheTime.
-func (c *cachedList) encode(n *follow.News, now time.Time) ([]byte, error) {
+func (c *cachedList) encode(n *follow.Update, now time.Time) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rev == n.Rev && now.Sub(c.at) < cacheTime {
 		return c.body, nil
 	}
-	body, err := routes.NewDocument(wire.EncodeServerUpdate(n)).Packed()
+	body, err := routes.NewDocument(wire.EncodeServerUpdate(n)).Compressed()
 	if err == nil {
 		c.rev, c.at, c.body = n.Rev, now, body
 	}
@@ -133,12 +133,12 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	if !s.admit(ctx, &s.settings, set.Version, len(set.Packed)) {
+	if !s.admit(ctx, &s.settings, set.Version, len(set.Compressed)) {
 		return
 	}
 	ctx.Response.Header.Set(headerVersion, strconv.FormatUint(set.Version, 10))
 	ctx.Response.Header.Set(headerAge, strconv.FormatInt(int64(set.Age), 10))
-	ctx.SetBody(set.Packed)
+	ctx.SetBody(set.Compressed)
 }
 
 func (s *Server) sendServers(ctx *fasthttp.RequestCtx) {
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -16,9 +16,9 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"umberladder/internal/peer/link"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/peer/httpc"
 	"umberladder/internal/state/follow"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -31,7 +31,7 @@
 // fakeSource is a Source whose data is set by the test; nil means none.
 type fakeSource struct {
 	settings *Settings
-	update   *follow.News
+	update   *follow.Update
 }
 
 func (s *fakeSource) Settings() (Settings, bool) {
@@ -41,9 +41,9 @@
 	return *s.settings, true
 }
 
-func (s *fakeSource) Servers() (follow.News, bool) {
+func (s *fakeSource) Servers() (follow.Update, bool) {
 	if s.update == nil {
-		return follow.News{}, false
+		return follow.Update{}, false
 	}
 	return *s.update, true
 }
@@ -60,7 +60,7 @@
 		cancel()
 		assert.NilError(t, g.Wait())
 	})
-	return netip.MustParseAddrPort(ln.Addr().String()), NewClient(link.New(netip.Addr{}, time.Second, time.Minute, 0), clientAddr)
+	return netip.MustParseAddrPort(ln.Addr().String()), NewClient(httpc.New(netip.Addr{}, time.Second, time.Minute, 0), clientAddr)
 }
 
 // clientAddr is the address that the tests' client gives as its own.
@@ -78,7 +78,7 @@
 	})
 	t.Run("settings, and then newer ones", func(t *testing.T) {
 		for version := range uint64(3) {
-			want := Settings{Packed: []byte(strings.Repeat("route ", int(1000*(version+1)))), Version: version, Age: time.Duration(version) * time.Second}
+			want := Settings{Compressed: []byte(strings.Repeat("route ", int(1000*(version+1)))), Version: version, Age: time.Duration(version) * time.Second}
 			src.settings = &want
 			got, err := c.Settings(ctx, addr, version)
 			assert.NilError(t, err)
@@ -88,9 +88,9 @@
 		}
 	})
 	t.Run("servers", func(t *testing.T) {
-		want := follow.News{Rev: 7, Changes: []follow.Change{
-			{Rev: 7, Entry: backs.Entry{ID: "a", Service: "s", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Domain: "d", Slots: 3}},
-			{Rev: 7, Entry: backs.Entry{ID: "b", Service: "s", Addr: netip.MustParseAddrPort("10.0.0.2:80"), Domain: "d", Slots: 3, Leaving: true}},
+		want := follow.Update{Rev: 7, Changes: []follow.Change{
+			{Rev: 7, Entry: srvtab.Entry{ID: "a", Service: "s", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Domain: "d", Slots: 3}},
+			{Rev: 7, Entry: srvtab.Entry{ID: "b", Service: "s", Addr: netip.MustParseAddrPort("10.0.0.2:80"), Domain: "d", Slots: 3, Leaving: true}},
 		}}
 		src.update = &want
 		got, err := c.Servers(ctx, addr)
@@ -102,7 +102,7 @@
 		}
 	})
 	t.Run("settings larger than the send quota", func(t *testing.T) {
-		src.settings = &Settings{Packed: make([]byte, int(2*quotaBytes)), Version: 9}
+		src.settings = &Settings{Compressed: make([]byte, int(2*quotaBytes)), Version: 9}
 		_, err := c.Settings(ctx, addr, 9)
 		assert.NilError(t, err, "settings of any size are sent to one VM")
 		alternativesFor := func(c *Client) []netip.AddrPort {
@@ -176,7 +176,7 @@
 			var g errgroup.Group
 			for i := 1; i < n; i++ {
 				g.Go(func() error {
-					_, err := Take(t.Context(), []netip.AddrPort{addr(0)}, func(ctx context.Context, from netip.AddrPort) (struct{}, error) {
+					_, err := Fetch(t.Context(), []netip.AddrPort{addr(0)}, func(ctx context.Context, from netip.AddrPort) (struct{}, error) {
 						return f.fetch(ctx, from, addr(i))
 					})
 					return err
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestTake checks which VM is tried after a failure, and when Fetch gives up.
-func TestTake(t *testing.T) {
+// TestFetch checks which VM is tried after a failure, and when Fetch gives up.
+func TestFetch(t *testing.T) {
 	a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 	errUnreachable := errors.New("no connection")
 	for name, tc := range map[string]struct {
@@ -207,7 +207,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				_, err := Take(t.Context(), []netip.AddrPort{a}, func(_ context.Context, from netip.AddrPort) (struct{}, error) {
+				_, err := Fetch(t.Context(), []netip.AddrPort{a}, func(_ context.Context, from netip.AddrPort) (struct{}, error) {
 					return struct{}{}, tc.responses[from]
 				})
 				assert.ErrorIs(t, err, tc.want)
--- a/internal/peer/share/take.go
+++ b/internal/peer/share/take.go
@@ -24,7 +24,7 @@
 // Fetch calls fetch for one VM after the other until it succeeds, starting with those in
 // initial, which must not be empty. It adds the alternatives that a busy VM lists, so
 // that data of one VM spreads to all VMs although its link serves only a few at a time.
-func Take[T any](ctx context.Context, initial []netip.AddrPort, fetch func(ctx context.Context, from netip.AddrPort) (T, error)) (T, error) {
+func Fetch[T any](ctx context.Context, initial []netip.AddrPort, fetch func(ctx context.Context, from netip.AddrPort) (T, error)) (T, error) {
 	candidates := slices.Clone(initial)
 	end := time.Now().Add(fetchTimeout)
 	for pause := minPause; ; pause = min(2*pause, maxPause) {
@@ -37,7 +37,7 @@
 		if len(candidates) == 0 || ctx.Err() != nil || time.Now().After(end) {
 			return v, err
 		}
-		retry.Pause(ctx, pause/2+rand.N(pause))
+		retry.Sleep(ctx, pause/2+rand.N(pause))
 	}
 }
 
--- a/internal/peer/store/client.go
+++ b/internal/peer/store/client.go
@@ -16,7 +16,7 @@
 	"github.com/valyala/fastjson"
 	"golang.org/x/time/rate"
 
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 )
 
 const (
@@ -25,35 +25,35 @@
 )
 
 // ErrorKind classifies a failed call.
-type Fault uint8
+type ErrorKind uint8
 
 // The kinds of errors.
 const (
-	Down     Fault = iota // the call had no effect: not sent, refused, or the store is unavailable
-	Conflict              // the compare-and-swap found another revision
-	Missing               // no such value or lease
-	Unknown               // a write was sent but its response was lost: it may have taken effect
-	Budget                // the call budget of this VM is exhausted: nothing was sent
+	Unavailable     ErrorKind = iota // the call had no effect: not sent, refused, or the store is unavailable
+	Conflict                         // the compare-and-swap found another revision
+	NotFound                         // no such value or lease
+	OutcomeUnknown                   // a write was sent but its response was lost: it may have taken effect
+	BudgetExhausted                  // the call budget of this VM is exhausted: nothing was sent
 )
 
-func (f Fault) String() string {
+func (f ErrorKind) String() string {
 	return [...]string{"down", "conflict", "missing", "unknown", "budget"}[f]
 }
 
 // Error describes a failed call.
 type Error struct {
-	Fault Fault
-	Err   error
+	Kind ErrorKind
+	Err  error
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("store %s: %v", e.Fault, e.Err) }
+func (e *Error) Error() string { return fmt.Sprintf("store %s: %v", e.Kind, e.Err) }
 
 func (e *Error) Unwrap() error { return e.Err }
 
 // Is reports whether err is or wraps an *Error of the kind.
-func Is(err error, f Fault) bool {
+func Is(err error, f ErrorKind) bool {
 	var e *Error
-	return errors.As(err, &e) && e.Fault == f
+	return errors.As(err, &e) && e.Kind == f
 }
 
 // Item is a stored value. Value is empty if the item is deleted.
@@ -67,13 +67,13 @@
 // Lease is a granted lease. StoreTime is the time of the store's clock when the
 // lease was granted or renewed.
 type Lease struct {
-	ID  uint64
-	Now time.Time
+	ID        uint64
+	StoreTime time.Time
 }
 
 // Client calls the store. It is safe for concurrent use.
 type Client struct {
-	dialer *link.Dialer
+	dialer *httpc.Dialer
 	addr   netip.AddrPort
 	name   string
 	budget *rate.Limiter
@@ -83,7 +83,7 @@
 // New returns a client for the store at addr that makes at most perSecond calls
 // per second, in bursts of up to burst calls. The name is sent to the store with
 // each call.
-func New(dialer *link.Dialer, addr netip.AddrPort, name string, perSecond float64, burst int) *Client {
+func New(dialer *httpc.Dialer, addr netip.AddrPort, name string, perSecond float64, burst int) *Client {
 	return &Client{
 		dialer: dialer,
 		addr:   addr,
@@ -126,13 +126,13 @@
 	}
 	v, err := fastjson.ParseBytes(resp.Body())
 	if err != nil {
-		return nil, 0, trace.Wrap(&Error{Fault: Down, Err: err})
+		return nil, 0, trace.Wrap(&Error{Kind: Unavailable, Err: err})
 	}
 	var out []Item
 	for _, it := range v.GetArray("items") {
 		value, err := base64.StdEncoding.DecodeString(string(it.GetStringBytes("value")))
 		if err != nil {
-			return nil, 0, trace.Wrap(&Error{Fault: Down, Err: err})
+			return nil, 0, trace.Wrap(&Error{Kind: Unavailable, Err: err})
 		}
 		out = append(out, Item{
 			Path:     string(it.GetStringBytes("path")),
@@ -190,14 +190,14 @@
 	}
 	v, err := fastjson.ParseBytes(resp.Body())
 	if err != nil {
-		return Lease{}, trace.Wrap(&Error{Fault: Unknown, Err: err})
+		return Lease{}, trace.Wrap(&Error{Kind: OutcomeUnknown, Err: err})
 	}
-	return Lease{ID: v.GetUint64("lease"), Now: time.UnixMilli(v.GetInt64("now_ms"))}, nil
+	return Lease{ID: v.GetUint64("lease"), StoreTime: time.UnixMilli(v.GetInt64("now_ms"))}, nil
 }
 
 func (c *Client) do(ctx context.Context, method, uri string, body []byte, resp *fasthttp.Response, idle time.Duration) error {
 	if !c.budget.Allow() {
-		return &Error{Fault: Budget, Err: trace.LimitExceeded("the store's call budget of %g/s is used up", c.budget.Limit())}
+		return &Error{Kind: BudgetExhausted, Err: trace.LimitExceeded("the store's call budget of %g/s is used up", c.budget.Limit())}
 	}
 	c.calls.Add(1)
 	req := fasthttp.AcquireRequest()
@@ -207,7 +207,7 @@
 	req.Header.Set("Caller", c.name)
 	req.SetBodyRaw(body)
 	isRead := method == fasthttp.MethodGet
-	err := c.dialer.Do(ctx, c.addr, req, resp, link.Options{Fresh: !isRead, Body: maxResponse, Idle: idle})
+	err := c.dialer.Do(ctx, c.addr, req, resp, httpc.Options{NewConn: !isRead, MaxBody: maxResponse, IdleTimeout: idle})
 	if err != nil {
 		return transportError(err, isRead)
 	}
@@ -217,11 +217,11 @@
 // transportError classifies a call without a response. A read has no effect, and
 // neither has a write of which nothing was sent.
 func transportError(err error, isRead bool) *Error {
-	var le *link.Error
+	var le *httpc.Error
 	if isRead || errors.As(err, &le) && le.Unsent() {
-		return &Error{Fault: Down, Err: err}
+		return &Error{Kind: Unavailable, Err: err}
 	}
-	return &Error{Fault: Unknown, Err: err}
+	return &Error{Kind: OutcomeUnknown, Err: err}
 }
 
 // statusError classifies a response by its status.
@@ -231,20 +231,20 @@
 	case status == fasthttp.StatusOK:
 		return nil
 	case status == fasthttp.StatusNotFound:
-		return &Error{Fault: Missing, Err: err}
+		return &Error{Kind: NotFound, Err: err}
 	case status == fasthttp.StatusPreconditionFailed:
-		return &Error{Fault: Conflict, Err: err}
+		return &Error{Kind: Conflict, Err: err}
 	case status == fasthttp.StatusTooManyRequests, status == fasthttp.StatusServiceUnavailable, isRead:
-		return &Error{Fault: Down, Err: err}
+		return &Error{Kind: Unavailable, Err: err}
 	default:
-		return &Error{Fault: Unknown, Err: err}
+		return &Error{Kind: OutcomeUnknown, Err: err}
 	}
 }
 
 func revisionOf(resp *fasthttp.Response) (uint64, error) {
 	n, err := strconv.ParseUint(string(resp.Header.Peek("Revision")), 10, 64)
 	if err != nil {
-		return 0, &Error{Fault: Unknown, Err: trace.BadParameter("the reply has no revision")}
+		return 0, &Error{Kind: OutcomeUnknown, Err: trace.BadParameter("the reply has no revision")}
 	}
 	return n, nil
 }
--- a/internal/peer/store/client_test.go
+++ b/internal/peer/store/client_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	fake "umberladder/internal/fake/store"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 	"umberladder/internal/peer/store"
 )
 
@@ -27,7 +27,7 @@
 		cancel()
 		assert.NilError(t, g.Wait())
 	})
-	d := link.New(netip.Addr{}, time.Second, 500*time.Millisecond, 2)
+	d := httpc.New(netip.Addr{}, time.Second, 500*time.Millisecond, 2)
 	return s, store.New(d, ln.Addr().(*net.TCPAddr).AddrPort(), "test", perSecond, burst)
 }
 
@@ -35,7 +35,7 @@
 	ctx := context.Background()
 	_, c := startStore(t, 1000, 1000)
 	_, err := c.Get(ctx, "/a")
-	assert.Assert(t, store.Is(err, store.Missing), "%v", err)
+	assert.Assert(t, store.Is(err, store.NotFound), "%v", err)
 	rev, err := c.Put(ctx, "/a", []byte("1"), 0, 0)
 	assert.NilError(t, err)
 	_, err = c.Put(ctx, "/a", []byte("2"), 0, 0)
@@ -60,12 +60,12 @@
 	assert.NilError(t, err)
 	renewed, err := c.Renew(ctx, l.ID)
 	assert.NilError(t, err)
-	assert.Assert(t, !renewed.Now.Before(l.Now))
+	assert.Assert(t, !renewed.StoreTime.Before(l.StoreTime))
 	time.Sleep(250 * time.Millisecond)
 	_, err = c.Renew(ctx, l.ID)
-	assert.Assert(t, store.Is(err, store.Missing), "%v", err)
+	assert.Assert(t, store.Is(err, store.NotFound), "%v", err)
 	_, err = c.Get(ctx, "/held")
-	assert.Assert(t, store.Is(err, store.Missing), "the value is deleted when its lease expires")
+	assert.Assert(t, store.Is(err, store.NotFound), "the value is deleted when its lease expires")
 }
 
 func TestWatch(t *testing.T) {
@@ -95,15 +95,15 @@
 	s, c := startStore(t, 1000, 1000)
 	for name, tc := range map[string]struct {
 		faults      fake.Faults
-		read, write store.Fault
+		read, write store.ErrorKind
 	}{
-		"down":           {fake.Faults{Down: true}, store.Down, store.Down},
-		"hanging":        {fake.Faults{Hang: true}, store.Down, store.Unknown},
-		"losing-replies": {fake.Faults{LoseReplies: 1}, store.Missing, store.Unknown},
+		"down":           {fake.Faults{Down: true}, store.Unavailable, store.Unavailable},
+		"hanging":        {fake.Faults{Hang: true}, store.Unavailable, store.OutcomeUnknown},
+		"losing-replies": {fake.Faults{ReplyLossRatio: 1}, store.NotFound, store.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s.Fault(tc.faults)
-			defer s.Fault(fake.Faults{})
+			s.SetFaults(tc.faults)
+			defer s.SetFaults(fake.Faults{})
 			_, err := c.Get(ctx, "/none")
 			assert.Assert(t, store.Is(err, tc.read), "%v", err)
 			_, err = c.Put(ctx, "/"+name, []byte("v"), 0, 0)
@@ -119,11 +119,11 @@
 	s, c := startStore(t, 1, 3)
 	refused := 0
 	for range 10 {
-		if _, err := c.Get(context.Background(), "/x"); store.Is(err, store.Budget) {
+		if _, err := c.Get(context.Background(), "/x"); store.Is(err, store.BudgetExhausted) {
 			refused++
 		}
 	}
 	assert.Equal(t, refused, 7)
-	assert.Equal(t, s.Count().Calls["test"], 3)
+	assert.Equal(t, s.Counts().Calls["test"], 3)
 	assert.Equal(t, c.Calls(), uint64(3))
 }
--- a/internal/peer/vmlist/client.go
+++ b/internal/peer/vmlist/client.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fastjson"
 
 	"umberladder/internal/core/ident"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 	"umberladder/internal/state/member"
 )
 
@@ -22,18 +22,18 @@
 type VM struct {
 	Name     ident.VM
 	Address  netip.AddrPort // where other VMs reach it by UDP and TCP
-	Domain   ident.Domain
+	Domain   ident.FailureDomain
 	Draining bool
 }
 
 // Client reads the list. It is safe for concurrent use.
 type Client struct {
-	dialer *link.Dialer
+	dialer *httpc.Dialer
 	addr   netip.AddrPort
 }
 
 // New returns a client for the list service at addr.
-func New(dialer *link.Dialer, addr netip.AddrPort) *Client {
+func New(dialer *httpc.Dialer, addr netip.AddrPort) *Client {
 	return &Client{dialer: dialer, addr: addr}
 }
 
@@ -59,7 +59,7 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("/vms")
-	if err := c.dialer.Do(ctx, c.addr, req, resp, link.Options{Body: maxResponse}); err != nil {
+	if err := c.dialer.Do(ctx, c.addr, req, resp, httpc.Options{MaxBody: maxResponse}); err != nil {
 		return nil, trace.ConnectionProblem(err, "cannot read the VM list")
 	}
 	v, err := fastjson.ParseBytes(resp.Body())
@@ -79,7 +79,7 @@
 		out = append(out, VM{
 			Name:     ident.VM(o.GetStringBytes("name")),
 			Address:  addr,
-			Domain:   ident.Domain(o.GetStringBytes("failure_domain")),
+			Domain:   ident.FailureDomain(o.GetStringBytes("failure_domain")),
 			Draining: o.GetBool("leaving"),
 		})
 	}
--- a/internal/peer/wire/finding.go
+++ b/internal/peer/wire/finding.go
@@ -32,9 +32,9 @@
 // maxAge is the maximum age that is decoded, in milliseconds. Older ones are cut to it.
 const maxAge = uint64(24 * time.Hour / time.Millisecond)
 
-func (m *State) appendFindings(b []byte, now time.Time) []byte {
-	if m.Verdicts != 0 {
-		b = appendNumber(b, fieldQuarantineDigest, m.Verdicts)
+func (m *Message) appendFindings(b []byte, now time.Time) []byte {
+	if m.QuarantineDigest != 0 {
+		b = appendNumber(b, fieldQuarantineDigest, m.QuarantineDigest)
 	}
 	for i := range m.Findings {
 		b = appendBytes(b, fieldFinding, encodeFinding(&m.Findings[i], now))
--- a/internal/peer/wire/finding_test.go
+++ b/internal/peer/wire/finding_test.go
@@ -20,7 +20,7 @@
 			{Request: 1 << 63, Crashes: map[ident.Server]time.Time{"a": now, "b": now.Add(-time.Minute)}, Quarantined: now.Add(-time.Second)},
 			{Request: 2, Crashes: map[ident.Server]time.Time{}, Cleared: now.Add(-5 * time.Millisecond)},
 		}
-		b := (&State{VM: "vm", Findings: list}).Encode()
+		b := (&Message{VM: "vm", Findings: list}).Encode()
 		const passed = 300 * time.Millisecond
 		time.Sleep(passed)
 		m, err := Decode(b)
