--- a/internal/peer/wire/hub.go
+++ b/internal/peer/wire/hub.go
@@ -13,12 +13,12 @@
 )
 
 // HubResponse holds the fields that a hub adds to its message for a VM that reports to it.
-type Hub struct {
-	Digest uint64                       // of the candidates that the hub lists
-	Names  []hubs.Candidate             // left out if the VM has the candidates with this digest
-	Known  int                          // number of VMs that report to the hub, or did recently
-	Heard  int                          // number of VMs whose attempts are in PeerAttempts
-	Rest   map[ident.Service]retry.Sent // of all VMs but the receiver, in the window of the retry budget
+type HubResponse struct {
+	CandidateDigest uint64                           // of the candidates that the hub lists
+	Candidates      []hubs.Candidate                 // left out if the VM has the candidates with this digest
+	Known           int                              // number of VMs that report to the hub, or did recently
+	Reporting       int                              // number of VMs whose attempts are in PeerAttempts
+	PeerAttempts    map[ident.Service]retry.Attempts // of all VMs but the receiver, in the window of the retry budget
 }
 
 // Field numbers of a hub's response and of a candidate in it.
@@ -35,14 +35,14 @@
 	candidateDomain   = 4
 )
 
-func (h *Hub) encode() []byte {
-	b := appendNumber(nil, hubCandidateDigest, h.Digest)
-	for _, c := range h.Names {
+func (h *HubResponse) encode() []byte {
+	b := appendNumber(nil, hubCandidateDigest, h.CandidateDigest)
+	for _, c := range h.Candidates {
 		b = appendBytes(b, hubCandidate, encodeCandidate(c))
 	}
 	b = appendNumber(b, hubKnown, uint64(h.Known))
-	b = appendNumber(b, hubReporting, uint64(h.Heard))
-	for name, n := range h.Rest {
+	b = appendNumber(b, hubReporting, uint64(h.Reporting))
+	for name, n := range h.PeerAttempts {
 		b = appendBytes(b, hubPeerAttempts, encodeAttempts(name, n))
 	}
 	return b
@@ -55,26 +55,26 @@
 	return appendString(b, candidateDomain, string(c.Domain))
 }
 
-func decodeHub(b []byte) (*Hub, error) {
-	h := &Hub{Rest: make(map[ident.Service]retry.Sent)}
+func decodeHub(b []byte) (*HubResponse, error) {
+	h := &HubResponse{PeerAttempts: make(map[ident.Service]retry.Attempts)}
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		var err error
 		switch n {
 		case hubCandidateDigest:
-			h.Digest = v
+			h.CandidateDigest = v
 		case hubCandidate:
 			var c hubs.Candidate
 			c, err = decodeCandidate(data)
-			h.Names = append(h.Names, c)
+			h.Candidates = append(h.Candidates, c)
 		case hubKnown:
 			h.Known = int(min(v, math.MaxInt32))
 		case hubReporting:
-			h.Heard = int(min(v, math.MaxInt32))
+			h.Reporting = int(min(v, math.MaxInt32))
 		case hubPeerAttempts:
 			var name ident.Service
-			var sent retry.Sent
+			var sent retry.Attempts
 			name, sent, err = decodeAttempts(data)
-			h.Rest[name] = sent
+			h.PeerAttempts[name] = sent
 		}
 		return err
 	})
@@ -94,7 +94,7 @@
 			}
 			c.Addr = addr
 		case candidateDomain:
-			c.Domain = ident.Domain(data)
+			c.Domain = ident.FailureDomain(data)
 		case candidateCapacity:
 			c.Capacity = hubs.Capacity(min(v, math.MaxUint8))
 		}
--- a/internal/peer/wire/news.go
+++ b/internal/peer/wire/news.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"umberladder/internal/core/ident"
-	"umberladder/internal/state/backs"
 	"umberladder/internal/state/follow"
+	"umberladder/internal/state/srvtab"
 )
 
 // Field numbers of an update of servers and of a change in it.
@@ -31,7 +31,7 @@
 )
 
 // EncodeServerUpdate encodes an update of servers.
-func EncodeServerUpdate(n *follow.News) []byte {
+func EncodeServerUpdate(n *follow.Update) []byte {
 	b := appendNumber(nil, updateBase, uint64(n.Base))
 	b = appendNumber(b, updateRev, uint64(n.Rev))
 	b = appendNumber(b, updateAge, uint64(n.Age))
@@ -44,8 +44,8 @@
 func encodeChange(c follow.Change) []byte {
 	b := appendNumber(nil, changeRev, uint64(c.Rev))
 	b = appendString(b, changeServer, string(c.Entry.ID))
-	if c.Lapse > 0 {
-		b = appendNumber(b, changeGrace, uint64(c.Lapse))
+	if c.Grace > 0 {
+		b = appendNumber(b, changeGrace, uint64(c.Grace))
 	}
 	if c.Gone {
 		return appendNumber(b, changeGone, 1)
@@ -61,8 +61,8 @@
 }
 
 // DecodeServerUpdate decodes an update of servers.
-func DecodeServerUpdate(b []byte) (*follow.News, error) {
-	n := &follow.News{}
+func DecodeServerUpdate(b []byte) (*follow.Update, error) {
+	n := &follow.Update{}
 	err := forEachField(b, func(num protowire.Number, data []byte, v uint64) error {
 		switch num {
 		case updateBase:
@@ -85,7 +85,7 @@
 
 func decodeChange(b []byte) (follow.Change, error) {
 	var c follow.Change
-	e := backs.Entry{}
+	e := srvtab.Entry{}
 	err := forEachField(b, func(num protowire.Number, data []byte, v uint64) error {
 		switch num {
 		case changeRev:
@@ -103,11 +103,11 @@
 			}
 			e.Addr = addr
 		case changeDomain:
-			e.Domain = ident.Domain(data)
+			e.Domain = ident.FailureDomain(data)
 		case changeSlots:
 			e.Slots = int(v)
 		case changeGrace:
-			c.Lapse = time.Duration(v)
+			c.Grace = time.Duration(v)
 		case changeLeaving:
 			e.Leaving = v != 0
 		}
--- a/internal/peer/wire/parts.go
+++ b/internal/peer/wire/parts.go
@@ -2,7 +2,7 @@
 
 import (
 	"umberladder/internal/core/ident"
-	"umberladder/internal/route/seats"
+	"umberladder/internal/route/alloc"
 )
 
 // maxPartLoads is the maximum number of loads in a part. A load takes at most 100 bytes,
@@ -12,12 +12,12 @@
 // EncodeParts encodes the message as one datagram, or as several if it is larger than
 // limit bytes. It leaves out the update of servers if that alone exceeds the limit; the
 // receivers then fetch the complete server list.
-func (m *State) EncodeParts(limit int) [][]byte {
+func (m *Message) EncodeParts(limit int) [][]byte {
 	if b := m.Encode(); len(b) <= limit {
 		return [][]byte{b}
 	}
 	var out [][]byte
-	if m.News != nil {
+	if m.ServerUpdate != nil {
 		update := *m
 		update.Loads, update.Part, update.RequestTime = nil, updatePart, 0 // only the parts with loads request a reply
 		if b := update.Encode(); len(b) <= limit {
@@ -26,7 +26,7 @@
 	}
 	for n, loads := range splitLoads(m.Loads) {
 		part := *m
-		part.News, part.Loads, part.Part = nil, loads, n
+		part.ServerUpdate, part.Loads, part.Part = nil, loads, n
 		out = append(out, part.Encode())
 	}
 	return out
@@ -36,15 +36,15 @@
 const updatePart = 1 << 20
 
 // HasLoads reports whether the message holds the VM's loads or a part of them.
-func (m *State) HasLoads() bool { return m.Hub == nil && m.Part != updatePart }
+func (m *Message) HasLoads() bool { return m.Hub == nil && m.Part != updatePart }
 
 // splitLoads divides loads into one or more parts.
-func splitLoads(all map[ident.Server]seats.Load) []map[ident.Server]seats.Load {
-	out := []map[ident.Server]seats.Load{{}}
+func splitLoads(all map[ident.Server]alloc.Load) []map[ident.Server]alloc.Load {
+	out := []map[ident.Server]alloc.Load{{}}
 	for id, l := range all {
 		last := out[len(out)-1]
 		if len(last) == maxPartLoads {
-			last = make(map[ident.Server]seats.Load, maxPartLoads)
+			last = make(map[ident.Server]alloc.Load, maxPartLoads)
 			out = append(out, last)
 		}
 		last[id] = l
--- a/internal/peer/wire/seat.go
+++ b/internal/peer/wire/seat.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"umberladder/internal/core/ident"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/route/pick"
 )
 
@@ -37,20 +37,20 @@
 	responseRetryAfter = 6
 )
 
-func encodePlacementRequest(req *homes.Ask) []byte {
-	w := &req.Want
-	b := appendNumber(nil, requestID, req.Number)
+func encodePlacementRequest(req *coord.Request) []byte {
+	w := &req.Run
+	b := appendNumber(nil, requestID, req.ID)
 	b = appendString(b, requestService, string(w.Service))
-	b = appendNumber(b, requestPurpose, uint64(w.Use))
+	b = appendNumber(b, requestPurpose, uint64(w.Purpose))
 	b = appendNumber(b, requestRank, uint64(w.Rank))
 	b = appendNumber(b, requestNeed, uint64(w.Need))
-	b = appendNumber(b, requestPrefill, uint64(w.Read))
-	b = appendNumber(b, requestEngineMemory, uint64(w.Memory))
+	b = appendNumber(b, requestPrefill, uint64(w.Prefill))
+	b = appendNumber(b, requestEngineMemory, uint64(w.EngineMemory))
 	b = appendString(b, requestFrom, string(w.From))
-	for _, id := range w.Skip {
+	for _, id := range w.Exclude {
 		b = appendString(b, requestExclude, string(id))
 	}
-	for _, id := range w.Failed {
+	for _, id := range w.Unreachable {
 		b = appendString(b, requestUnreachable, string(id))
 	}
 	if w.Source != "" {
@@ -59,54 +59,54 @@
 	if w.Backup {
 		b = appendNumber(b, requestBackup, 1)
 	}
-	b = appendNumber(b, requestTargetWait, uint64(w.Due))
-	b = appendNumber(b, requestRetryKey, w.Mark)
-	return appendNumber(b, requestMaxWait, uint64(w.Wait))
+	b = appendNumber(b, requestTargetWait, uint64(w.TargetWait))
+	b = appendNumber(b, requestRetryKey, w.RetryKey)
+	return appendNumber(b, requestMaxWait, uint64(w.MaxWait))
 }
 
-func decodePlacementRequest(vm ident.VM, b []byte) (*homes.Ask, error) {
-	req := &homes.Ask{VM: vm}
-	w := &req.Want
+func decodePlacementRequest(vm ident.VM, b []byte) (*coord.Request, error) {
+	req := &coord.Request{VM: vm}
+	w := &req.Run
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case requestID:
-			req.Number = v
+			req.ID = v
 		case requestService:
 			w.Service = ident.Service(data)
 		case requestPurpose:
-			w.Use = pick.Use(min(v, math.MaxUint8))
+			w.Purpose = pick.Purpose(min(v, math.MaxUint8))
 		case requestRank:
 			w.Rank = int(v)
 		case requestNeed:
 			w.Need = int(v)
 		case requestPrefill:
-			w.Read = int(v)
+			w.Prefill = int(v)
 		case requestEngineMemory:
-			w.Memory = int(v)
+			w.EngineMemory = int(v)
 		case requestFrom:
-			w.From = ident.Domain(data)
+			w.From = ident.FailureDomain(data)
 		case requestExclude:
-			w.Skip = append(w.Skip, ident.Server(data))
+			w.Exclude = append(w.Exclude, ident.Server(data))
 		case requestUnreachable:
-			w.Failed = append(w.Failed, ident.Server(data))
+			w.Unreachable = append(w.Unreachable, ident.Server(data))
 		case requestSource:
 			w.Source = ident.Server(data)
 		case requestBackup:
 			w.Backup = v != 0
 		case requestRetryKey:
-			w.Mark = v
+			w.RetryKey = v
 		case requestTargetWait:
-			w.Due = time.Duration(v)
+			w.TargetWait = time.Duration(v)
 		case requestMaxWait:
-			w.Wait = time.Duration(v)
+			w.MaxWait = time.Duration(v)
 		}
 		return nil
 	})
 	return req, err
 }
 
-func encodePlacementResponse(resp *homes.Answer) []byte {
-	b := appendNumber(nil, responseID, resp.Number)
+func encodePlacementResponse(resp *coord.Response) []byte {
+	b := appendNumber(nil, responseID, resp.ID)
 	b = appendNumber(b, responseState, uint64(resp.State))
 	if resp.Server != "" {
 		b = appendString(b, responseServer, string(resp.Server))
@@ -115,17 +115,17 @@
 		b = appendString(b, responseBackup, string(resp.Backup))
 	}
 	b = appendNumber(b, responseAhead, uint64(resp.Ahead))
-	return appendNumber(b, responseRetryAfter, uint64(resp.Retry))
+	return appendNumber(b, responseRetryAfter, uint64(resp.RetryAfter))
 }
 
-func decodePlacementResponse(b []byte) (*homes.Answer, error) {
-	resp := &homes.Answer{}
+func decodePlacementResponse(b []byte) (*coord.Response, error) {
+	resp := &coord.Response{}
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case responseID:
-			resp.Number = v
+			resp.ID = v
 		case responseState:
-			resp.State = homes.State(min(v, math.MaxUint8))
+			resp.State = coord.State(min(v, math.MaxUint8))
 		case responseServer:
 			resp.Server = ident.Server(data)
 		case responseBackup:
@@ -133,7 +133,7 @@
 		case responseAhead:
 			resp.Ahead = int(v)
 		case responseRetryAfter:
-			resp.Retry = time.Duration(v)
+			resp.RetryAfter = time.Duration(v)
 		}
 		return nil
 	})
--- a/internal/peer/wire/state.go
+++ b/internal/peer/wire/state.go
@@ -11,51 +11,51 @@
 	"umberladder/internal/policy/poison"
 	"umberladder/internal/policy/rates"
 	"umberladder/internal/policy/retry"
-	"umberladder/internal/route/homes"
-	"umberladder/internal/route/seats"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/state/follow"
 	"umberladder/internal/state/hubs"
 )
 
 // Message is a message of one VM to another.
-type State struct {
-	VM      ident.VM
-	Boot    uint64 // number of the process; a higher one invalidates all earlier messages
-	Seq     uint64 // number of the message within its boot
-	Part    int    // number of the part of the loads; parts with the same Boot and Seq belong together
-	Loads   map[ident.Server]seats.Load
-	Sent    map[ident.Service]retry.Sent // in the window of the retry budget
-	Leaving []ident.Server               // servers that were found to be retired recently
+type Message struct {
+	VM       ident.VM
+	Boot     uint64 // number of the process; a higher one invalidates all earlier messages
+	Seq      uint64 // number of the message within its boot
+	Part     int    // number of the part of the loads; parts with the same Boot and Seq belong together
+	Loads    map[ident.Server]alloc.Load
+	Attempts map[ident.Service]retry.Attempts // in the window of the retry budget
+	Retired  []ident.Server                   // servers that were found to be retired recently
 	// Draining are the servers that have announced that they drain. Their entries in the
 	// store may not say so yet.
-	Draining []ident.Server
-	Version  uint64           // of the settings in force
-	Store    hubs.StoreStatus // the VM's connection to the store
-	News     *follow.News     // changes of servers; nil: none sent
+	Draining        []ident.Server
+	SettingsVersion uint64           // of the settings in force
+	Store           hubs.StoreStatus // the VM's connection to the store
+	ServerUpdate    *follow.Update   // changes of servers; nil: none sent
 	// Findings are the evidence about requests under which servers crash.
-	Findings []poison.Finding
-	Verdicts uint64 // of the VM's quarantine decisions; zero: it has none
+	Findings         []poison.Finding
+	QuarantineDigest uint64 // of the VM's quarantine decisions; zero: it has none
 	// Limits are the rate limits that servers have announced. Their request counts cover
 	// the VM's own requests or, in a hub's response, those of all VMs but the receiver.
 	Limits []rates.Limit
 
 	Capacity        hubs.Capacity
-	Domain          ident.Domain // of the VM
-	CandidateDigest uint64       // of the candidates that the receiver has listed; zero: none
-	RequestTime     uint64       // by the VM's clock, returned in the reply; zero: no reply is requested
-	Reply           *Reply
-	Hub             *Hub // in responses to VMs that report to this one
+	Domain          ident.FailureDomain // of the VM
+	CandidateDigest uint64              // of the candidates that the receiver has listed; zero: none
+	RequestTime     uint64              // by the VM's clock, returned in the reply; zero: no reply is requested
+	Reply           *VersionReply
+	Hub             *HubResponse // in responses to VMs that report to this one
 
 	// A message with PlacementRequest or PlacementResponse holds nothing else.
-	PlacementRequest  *homes.Ask
-	PlacementResponse *homes.Answer
+	PlacementRequest  *coord.Request
+	PlacementResponse *coord.Response
 }
 
 // VersionReply reports a settings version and when it was last known to be the newest.
-type Reply struct {
-	Ask     uint64 // request time of the report, by the requester's clock
-	Version uint64
-	Age     time.Duration // time since then, when the reply was made
+type VersionReply struct {
+	RequestTime uint64 // request time of the report, by the requester's clock
+	Version     uint64
+	Age         time.Duration // time since then, when the reply was made
 }
 
 // Field numbers of a message and of the messages nested in it.
@@ -101,7 +101,7 @@
 )
 
 // Encode encodes the message.
-func (m *State) Encode() []byte {
+func (m *Message) Encode() []byte {
 	b := appendString(nil, fieldVM, string(m.VM))
 	b = appendNumber(b, fieldBoot, m.Boot)
 	b = appendNumber(b, fieldSeq, m.Seq)
@@ -111,17 +111,17 @@
 	for id, l := range m.Loads {
 		b = appendBytes(b, fieldLoad, encodeLoad(id, l))
 	}
-	for name, n := range m.Sent {
+	for name, n := range m.Attempts {
 		b = appendBytes(b, fieldAttempts, encodeAttempts(name, n))
 	}
-	for _, id := range m.Leaving {
+	for _, id := range m.Retired {
 		b = appendString(b, fieldRetired, string(id))
 	}
 	for _, id := range m.Draining {
 		b = appendString(b, fieldDraining, string(id))
 	}
-	b = appendNumber(b, fieldSettingsVersion, m.Version)
-	if m.Store.Asks {
+	b = appendNumber(b, fieldSettingsVersion, m.SettingsVersion)
+	if m.Store.Watching {
 		b = appendNumber(b, fieldWatching, 1)
 	}
 	b = appendNumber(b, fieldServersAge, uint64(m.Store.Age))
@@ -132,8 +132,8 @@
 	if m.CandidateDigest != 0 {
 		b = appendNumber(b, fieldCandidateDigest, m.CandidateDigest)
 	}
-	if m.News != nil {
-		b = appendBytes(b, fieldServerUpdate, EncodeServerUpdate(m.News))
+	if m.ServerUpdate != nil {
+		b = appendBytes(b, fieldServerUpdate, EncodeServerUpdate(m.ServerUpdate))
 	}
 	b = m.appendFindings(b, time.Now())
 	for _, l := range m.Limits {
@@ -157,28 +157,28 @@
 	return b
 }
 
-func (r *Reply) encode() []byte {
-	b := appendNumber(nil, replyRequestTime, r.Ask)
+func (r *VersionReply) encode() []byte {
+	b := appendNumber(nil, replyRequestTime, r.RequestTime)
 	b = appendNumber(b, replyVersion, r.Version)
 	return appendNumber(b, replyAge, uint64(r.Age))
 }
 
-func encodeLoad(id ident.Server, l seats.Load) []byte {
+func encodeLoad(id ident.Server, l alloc.Load) []byte {
 	b := appendString(nil, loadServer, string(id))
-	b = appendNumber(b, loadCalls, uint64(l.Seats))
+	b = appendNumber(b, loadCalls, uint64(l.Calls))
 	b = appendNumber(b, loadTokens, uint64(l.Tokens))
 	b = appendNumber(b, loadBacklog, uint64(l.Backlog))
-	b = appendNumber(b, loadCopiesIn, uint64(l.Copies))
-	if l.Sends == 0 {
+	b = appendNumber(b, loadCopiesIn, uint64(l.CopiesIn))
+	if l.CopiesOut == 0 {
 		return b
 	}
-	return appendNumber(b, loadCopiesOut, uint64(l.Sends))
+	return appendNumber(b, loadCopiesOut, uint64(l.CopiesOut))
 }
 
-func encodeAttempts(name ident.Service, n retry.Sent) []byte {
+func encodeAttempts(name ident.Service, n retry.Attempts) []byte {
 	b := appendString(nil, attemptsService, string(name))
 	b = appendNumber(b, attemptsFirst, uint64(n.First))
-	return appendNumber(b, attemptsRetries, uint64(n.Again))
+	return appendNumber(b, attemptsRetries, uint64(n.Retries))
 }
 
 func appendString(b []byte, n protowire.Number, s string) []byte {
@@ -194,8 +194,8 @@
 }
 
 // Decode decodes a message. It ignores unknown fields.
-func Decode(b []byte) (*State, error) {
-	m := &State{Loads: make(map[ident.Server]seats.Load), Sent: make(map[ident.Service]retry.Sent)}
+func Decode(b []byte) (*Message, error) {
+	m := &Message{Loads: make(map[ident.Server]alloc.Load), Attempts: make(map[ident.Service]retry.Attempts)}
 	err := forEachField(b, m.setField)
 	if err == nil && m.VM == "" {
 		err = trace.BadParameter("the message names no VM")
@@ -204,29 +204,29 @@
 }
 
 // setField decodes one field of a message.
-func (m *State) setField(n protowire.Number, data []byte, v uint64) error {
+func (m *Message) setField(n protowire.Number, data []byte, v uint64) error {
 	var err error
 	switch n {
 	case fieldVM:
 		m.VM = ident.VM(data)
 	case fieldDomain:
-		m.Domain = ident.Domain(data)
+		m.Domain = ident.FailureDomain(data)
 	case fieldLoad:
 		var id ident.Server
-		var l seats.Load
+		var l alloc.Load
 		id, l, err = decodeLoad(data)
 		m.Loads[id] = l
 	case fieldAttempts:
 		var name ident.Service
-		var sent retry.Sent
+		var sent retry.Attempts
 		name, sent, err = decodeAttempts(data)
-		m.Sent[name] = sent
+		m.Attempts[name] = sent
 	case fieldRetired:
-		m.Leaving = append(m.Leaving, ident.Server(data))
+		m.Retired = append(m.Retired, ident.Server(data))
 	case fieldDraining:
 		m.Draining = append(m.Draining, ident.Server(data))
 	case fieldServerUpdate:
-		m.News, err = DecodeServerUpdate(data)
+		m.ServerUpdate, err = DecodeServerUpdate(data)
 	case fieldFinding:
 		var f poison.Finding
 		f, err = decodeFinding(data, time.Now())
@@ -250,7 +250,7 @@
 }
 
 // setNumber sets one numeric field of a message.
-func (m *State) setNumber(n protowire.Number, v uint64) {
+func (m *Message) setNumber(n protowire.Number, v uint64) {
 	switch n {
 	case fieldBoot:
 		m.Boot = v
@@ -259,9 +259,9 @@
 	case fieldPart:
 		m.Part = int(min(v, math.MaxInt32))
 	case fieldSettingsVersion:
-		m.Version = v
+		m.SettingsVersion = v
 	case fieldWatching:
-		m.Store.Asks = v != 0
+		m.Store.Watching = v != 0
 	case fieldServersAge:
 		m.Store.Age = time.Duration(v)
 	case fieldCapacity:
@@ -269,18 +269,18 @@
 	case fieldCandidateDigest:
 		m.CandidateDigest = v
 	case fieldQuarantineDigest:
-		m.Verdicts = v
+		m.QuarantineDigest = v
 	case fieldRequestTime:
 		m.RequestTime = v
 	}
 }
 
-func decodeReply(b []byte) (*Reply, error) {
-	r := &Reply{}
+func decodeReply(b []byte) (*VersionReply, error) {
+	r := &VersionReply{}
 	err := forEachField(b, func(n protowire.Number, _ []byte, v uint64) error {
 		switch n {
 		case replyRequestTime:
-			r.Ask = v
+			r.RequestTime = v
 		case replyVersion:
 			r.Version = v
 		case replyAge:
@@ -291,32 +291,32 @@
 	return r, err
 }
 
-func decodeLoad(b []byte) (ident.Server, seats.Load, error) {
+func decodeLoad(b []byte) (ident.Server, alloc.Load, error) {
 	var id ident.Server
-	var l seats.Load
+	var l alloc.Load
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case loadServer:
 			id = ident.Server(data)
 		case loadCalls:
-			l.Seats = int(v)
+			l.Calls = int(v)
 		case loadTokens:
 			l.Tokens = int(v)
 		case loadBacklog:
 			l.Backlog = int(v)
 		case loadCopiesIn:
-			l.Copies = int(v)
+			l.CopiesIn = int(v)
 		case loadCopiesOut:
-			l.Sends = int(v)
+			l.CopiesOut = int(v)
 		}
 		return nil
 	})
 	return id, l, err
 }
 
-func decodeAttempts(b []byte) (ident.Service, retry.Sent, error) {
+func decodeAttempts(b []byte) (ident.Service, retry.Attempts, error) {
 	var name ident.Service
-	var sent retry.Sent
+	var sent retry.Attempts
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case attemptsService:
@@ -324,7 +324,7 @@
 		case attemptsFirst:
 			sent.First = int(v)
 		case attemptsRetries:
-			sent.Again = int(v)
+			sent.Retries = int(v)
 		}
 		return nil
 	})
--- a/internal/policy/room/room.go
+++ b/internal/policy/admit/room.go
@@ -1,4 +1,4 @@
-package room
+package admit
 
 import "time"
 
@@ -29,7 +29,7 @@
 
 // MemoryNeed returns the memory, in tokens, that a generation needs now and soon, given
 // its prompt length, its maximum number of generated tokens and those generated so far.
-func Need(prompt, maxTokens, generated int) int {
+func MemoryNeed(prompt, maxTokens, generated int) int {
 	return prompt + min(generated+maxTokensAhead, maxTokens)
 }
 
@@ -37,7 +37,7 @@
 // latency target. elapsed is the time since its arrival. promptTokens is the number of
 // prompt tokens that need prefill. The result is at least minWaitShare of the target, less
 // the elapsed time, and not negative.
-func Due(target, elapsed time.Duration, promptTokens int) time.Duration {
+func OnTimeWait(target, elapsed time.Duration, promptTokens int) time.Duration {
 	prefill := time.Duration(float64(promptTokens) / prefillRate * float64(time.Second))
 	minWait := time.Duration(minWaitShare * float64(target))
 	return max(0, max(target-prefill-startAllowance, minWait)-elapsed)
@@ -46,13 +46,13 @@
 // MaxWait returns how long a generation may wait for memory, even if it then starts late.
 // onTime is the result of OnTimeWait, timeout the client's timeout, counted from the
 // arrival, and elapsed the time since the arrival.
-func Wait(onTime, timeout, elapsed time.Duration) time.Duration {
+func MaxWait(onTime, timeout, elapsed time.Duration) time.Duration {
 	late := min(maxLateWait, time.Duration(maxLateShare*float64(timeout)))
 	return max(0, min(max(onTime, late-elapsed), timeout-elapsed))
 }
 
 // RetryAfter returns the time after which a client should retry: the suggested wait, or
 // retryShare of the client's remaining time if that is shorter.
-func Retry(wait, remaining time.Duration) time.Duration {
+func RetryAfter(wait, remaining time.Duration) time.Duration {
 	return min(wait, time.Duration(retryShare*float64(max(0, remaining))))
 }
--- a/internal/policy/room/room_test.go
+++ b/internal/policy/admit/room_test.go
@@ -1,4 +1,4 @@
-package room
+package admit
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	_ "umberladder/internal/test/check" // fixes the seed of rapid
 )
 
-func ExampleNeed() {
-	fmt.Println(Need(3000, 1600, 0), Need(3000, 1600, 1500))
+func ExampleMemoryNeed() {
+	fmt.Println(MemoryNeed(3000, 1600, 0), MemoryNeed(3000, 1600, 1500))
 	// Output: 3250 4600
 }
 
-func ExampleDue() {
+func ExampleOnTimeWait() {
 	// Prefill of a prompt of 3,500 tokens takes half a second.
-	fmt.Println(Due(1800*time.Millisecond, 100*time.Millisecond, 3500))
+	fmt.Println(OnTimeWait(1800*time.Millisecond, 100*time.Millisecond, 3500))
 	// Output: 500ms
 }
 
@@ -32,7 +32,7 @@
 		"at most an eighth of the timeout":              {due: 100 * time.Millisecond, allowed: 6 * time.Second, want: 750 * time.Millisecond},
 		"the timeout is over":                           {due: time.Second, allowed: time.Second, since: 2 * time.Second},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, Wait(tc.due, tc.allowed, tc.since), tc.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, MaxWait(tc.due, tc.allowed, tc.since), tc.want) })
 	}
 }
 
@@ -42,10 +42,10 @@
 		span := rapid.Int64Range(0, int64(time.Minute))
 		target, allowed := time.Duration(span.Draw(t, "target")), time.Duration(span.Draw(t, "allowed"))
 		since := time.Duration(span.Draw(t, "since"))
-		due := Due(target, since, rapid.IntRange(0, 100_000).Draw(t, "read"))
-		wait := Wait(due, allowed, since)
+		due := OnTimeWait(target, since, rapid.IntRange(0, 100_000).Draw(t, "read"))
+		wait := MaxWait(due, allowed, since)
 		assert.Assert(t, due >= 0 && due <= target)
 		assert.Assert(t, wait >= 0 && wait <= max(0, allowed-since))
-		assert.Assert(t, Retry(time.Hour, allowed-since) <= max(0, allowed-since))
+		assert.Assert(t, RetryAfter(time.Hour, allowed-since) <= max(0, allowed-since))
 	})
 }
--- a/internal/policy/assign/assign.go
+++ b/internal/policy/assign/assign.go
@@ -5,11 +5,11 @@
 const (
 	// MaxCallFill is the fraction of an engine's memory that streams may occupy, with
 	// the tokens that they hold and those that they will need soon.
-	Full = 1.0
+	MaxCallFill = 1.0
 	// MaxCopyFill is the fraction up to which KV cache copies, kept in case an engine is
 	// lost, may fill an engine's memory. Without the remainder, new streams wait at the
 	// engines.
-	Spare = 0.7
+	MaxCopyFill = 0.7
 	// maxFillWithoutNotice is the fill of all of a service's engines together below which
 	// KV cache copies are kept if engines have been lost without notice. Where calls wait,
 	// each copy takes the memory of a call.
@@ -25,7 +25,7 @@
 	// CrossDomainCallCost is the cost of sending a call to another failure domain, which
 	// uses network bandwidth and adds a millisecond of latency. It is lower than the cost
 	// of one more stream in the call's batch.
-	FarCall = 0.08
+	CrossDomainCallCost = 0.08
 	// inFlightWeight and backlogWeight are weights in the cost of an engine: a full batch
 	// doubles the duration of a decode step, and prefill delays the other streams of the
 	// batch.
@@ -34,7 +34,7 @@
 	// CrossDomainCopyCost is the cost of sending a KV cache copy to another failure
 	// domain, which takes twice as long: all copies of an engine must arrive within its
 	// notice period.
-	FarCopy = 0.6
+	CrossDomainCopyCost = 0.6
 	// incomingCopyWeight is the cost of each KV cache in transfer to an engine. The next
 	// transfer has to wait for it.
 	incomingCopyWeight = 0.25
@@ -45,22 +45,22 @@
 
 // Server is the state of one server at the time of a choice.
 type Server struct {
-	Slots   int     // maximum number of concurrent calls
-	Reads   bool    // the new call's prompt needs prefill
-	Memory  int     // in tokens; zero for a plain server
-	Seats   int     // calls in flight
-	Tokens  int     // memory reserved for the calls in flight
-	Backlog int     // prompt tokens that await prefill before the new call's
-	Copies  int     // KV caches in transfer to it; zero if the choice does not depend on them
-	Far     bool    // in another failure domain than the caller
-	Weight  float64 // fraction of its normal load that it should get, 0 to 1
-	Skip    bool    // must not be chosen
+	Slots          int     // maximum number of concurrent calls
+	NeedsPrefill   bool    // the new call's prompt needs prefill
+	Memory         int     // in tokens; zero for a plain server
+	InFlight       int     // calls in flight
+	ReservedTokens int     // memory reserved for the calls in flight
+	PrefillBacklog int     // prompt tokens that await prefill before the new call's
+	IncomingCopies int     // KV caches in transfer to it; zero if the choice does not depend on them
+	CrossDomain    bool    // in another failure domain than the caller
+	Weight         float64 // fraction of its normal load that it should get, 0 to 1
+	Skip           bool    // must not be chosen
 }
 
 // MaxServiceFillForCopies returns the fill of all of a service's engines together below
 // which KV cache copies are kept. lossWithoutNotice is whether engines have been lost
 // without notice.
-func CopyFill(lossWithoutNotice bool) float64 {
+func MaxServiceFillForCopies(lossWithoutNotice bool) float64 {
 	if lossWithoutNotice {
 		return maxFillWithoutNotice
 	}
@@ -68,13 +68,13 @@
 }
 
 // NewRand returns a random number generator for one choice.
-func Random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+func NewRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // ChooseEngine returns the index of the engine with the lowest cost for a generation that
 // requires the given number of tokens, or -1 if none has capacity. It fills an engine's
 // memory up to the fraction maxFill. An engine in another failure domain costs
 // crossDomainCost more.
-func Choose(required int, maxFill, crossDomainCost float64, servers []Server, rng *rand.Rand) int {
+func ChooseEngine(required int, maxFill, crossDomainCost float64, servers []Server, rng *rand.Rand) int {
 	best, cost := -1, 0.0
 	for i := range servers {
 		s := &servers[i]
@@ -89,18 +89,18 @@
 }
 
 func (s *Server) hasCapacity(required int, maxFill float64) bool {
-	if s.Reads && s.Backlog > maxPrefillBacklog {
+	if s.NeedsPrefill && s.PrefillBacklog > maxPrefillBacklog {
 		return false
 	}
-	return s.Seats < s.Slots && float64(s.Tokens+required) <= maxFill*float64(s.Memory)
+	return s.InFlight < s.Slots && float64(s.ReservedTokens+required) <= maxFill*float64(s.Memory)
 }
 
 func (s *Server) cost(required int, crossDomainCost float64) float64 {
-	c := float64(s.Tokens+required)/float64(s.Memory) +
-		inFlightWeight*float64(s.Seats)/float64(s.Slots) +
-		backlogWeight*float64(s.Backlog)/float64(s.Memory) +
-		incomingCopyWeight*float64(s.Copies)
-	if s.Far {
+	c := float64(s.ReservedTokens+required)/float64(s.Memory) +
+		inFlightWeight*float64(s.InFlight)/float64(s.Slots) +
+		backlogWeight*float64(s.PrefillBacklog)/float64(s.Memory) +
+		incomingCopyWeight*float64(s.IncomingCopies)
+	if s.CrossDomain {
 		c += crossDomainCost
 	}
 	return c / max(s.Weight, 0.05)
@@ -116,8 +116,8 @@
 		if s.Skip {
 			continue
 		}
-		c := (float64(s.Seats)+1)/float64(max(s.Slots, 1))/max(s.Weight, 0.05) + jitterWeight*rng.Float64()
-		if s.Far {
+		c := (float64(s.InFlight)+1)/float64(max(s.Slots, 1))/max(s.Weight, 0.05) + jitterWeight*rng.Float64()
+		if s.CrossDomain {
 			c += 1 / float64(max(s.Slots, 1))
 		}
 		if best < 0 || c < cost {
--- a/internal/policy/assign/assign_test.go
+++ b/internal/policy/assign/assign_test.go
@@ -22,22 +22,22 @@
 		servers         []Server
 		want            int
 	}{
-		"prefers the emptier engine":                      {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Tokens = 9000 }), idle}, want: 1},
-		"avoids a prefill backlog":                        {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Backlog = 6000 }), engine(func(s *Server) { s.Tokens = 8000 })}, want: 1},
-		"no engine has enough memory":                     {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Tokens = 31_000 })}, want: -1},
-		"no engine has a free slot":                       {required: 1, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Seats = 24 })}, want: -1},
-		"a copy leaves memory free":                       {required: 4000, maxFill: Spare, servers: []Server{engine(func(s *Server) { s.Tokens = 20_000 })}, want: -1},
-		"a copy stays in its domain":                      {required: 4000, maxFill: Spare, crossDomainCost: FarCopy, servers: []Server{engine(func(s *Server) { s.Far = true }), engine(func(s *Server) { s.Tokens = 4000 })}, want: 1},
-		"a call crosses to an emptier engine":             {required: 4000, maxFill: Full, crossDomainCost: FarCall, servers: []Server{engine(func(s *Server) { s.Far = true }), engine(func(s *Server) { s.Tokens = 4000 })}, want: 0},
-		"a call stays in its domain if fills are similar": {required: 4000, maxFill: Full, crossDomainCost: FarCall, servers: []Server{engine(func(s *Server) { s.Far = true }), engine(func(s *Server) { s.Tokens = 1000 })}, want: 1},
-		"copies do not queue":                             {required: 4000, maxFill: Spare, crossDomainCost: FarCopy, servers: []Server{engine(func(s *Server) { s.Copies = 2 }), engine(func(s *Server) { s.Tokens = 9000 })}, want: 1},
-		"avoids a failing engine":                         {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Weight = 0.2 }), engine(func(s *Server) { s.Tokens = 9000 })}, want: 1},
-		"skips an excluded engine":                        {required: 4000, maxFill: Full, servers: []Server{engine(func(s *Server) { s.Skip = true })}, want: -1},
+		"prefers the emptier engine":                      {required: 4000, maxFill: MaxCallFill, servers: []Server{engine(func(s *Server) { s.ReservedTokens = 9000 }), idle}, want: 1},
+		"avoids a prefill backlog":                        {required: 4000, maxFill: MaxCallFill, servers: []Server{engine(func(s *Server) { s.PrefillBacklog = 6000 }), engine(func(s *Server) { s.ReservedTokens = 8000 })}, want: 1},
+		"no engine has enough memory":                     {required: 4000, maxFill: MaxCallFill, servers: []Server{engine(func(s *Server) { s.ReservedTokens = 31_000 })}, want: -1},
+		"no engine has a free slot":                       {required: 1, maxFill: MaxCallFill, servers: []Server{engine(func(s *Server) { s.InFlight = 24 })}, want: -1},
+		"a copy leaves memory free":                       {required: 4000, maxFill: MaxCopyFill, servers: []Server{engine(func(s *Server) { s.ReservedTokens = 20_000 })}, want: -1},
+		"a copy stays in its domain":                      {required: 4000, maxFill: MaxCopyFill, crossDomainCost: CrossDomainCopyCost, servers: []Server{engine(func(s *Server) { s.CrossDomain = true }), engine(func(s *Server) { s.ReservedTokens = 4000 })}, want: 1},
+		"a call crosses to an emptier engine":             {required: 4000, maxFill: MaxCallFill, crossDomainCost: CrossDomainCallCost, servers: []Server{engine(func(s *Server) { s.CrossDomain = true }), engine(func(s *Server) { s.ReservedTokens = 4000 })}, want: 0},
+		"a call stays in its domain if fills are similar": {required: 4000, maxFill: MaxCallFill, crossDomainCost: CrossDomainCallCost, servers: []Server{engine(func(s *Server) { s.CrossDomain = true }), engine(func(s *Server) { s.ReservedTokens = 1000 })}, want: 1},
+		"copies do not queue":                             {required: 4000, maxFill: MaxCopyFill, crossDomainCost: CrossDomainCopyCost, servers: []Server{engine(func(s *Server) { s.IncomingCopies = 2 }), engine(func(s *Server) { s.ReservedTokens = 9000 })}, want: 1},
+		"avoids a failing engine":                         {required: 4000, maxFill: MaxCallFill, servers: []Server{engine(func(s *Server) { s.Weight = 0.2 }), engine(func(s *Server) { s.ReservedTokens = 9000 })}, want: 1},
+		"skips an excluded engine":                        {required: 4000, maxFill: MaxCallFill, servers: []Server{engine(func(s *Server) { s.Skip = true })}, want: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			for range 20 {
-				assert.Equal(t, Choose(tc.required, tc.maxFill, tc.crossDomainCost, tc.servers, rng), tc.want)
+				assert.Equal(t, ChooseEngine(tc.required, tc.maxFill, tc.crossDomainCost, tc.servers, rng), tc.want)
 			}
 		})
 	}
@@ -45,8 +45,8 @@
 
 func TestChoosePlain(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	sameDomain, crossDomain := Server{Slots: 6, Weight: 1}, Server{Slots: 6, Weight: 1, Far: true}
-	busy := Server{Slots: 6, Weight: 1, Seats: 4}
+	sameDomain, crossDomain := Server{Slots: 6, Weight: 1}, Server{Slots: 6, Weight: 1, CrossDomain: true}
+	busy := Server{Slots: 6, Weight: 1, InFlight: 4}
 	assert.Equal(t, ChoosePlain([]Server{crossDomain, sameDomain}, rng), 1)
 	assert.Equal(t, ChoosePlain([]Server{busy, crossDomain}, rng), 1)
 	assert.Equal(t, ChoosePlain(nil, rng), -1)
@@ -56,9 +56,9 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	servers := make([]Server, 44)
 	for i := range servers {
-		servers[i] = engine(func(s *Server) { s.Tokens = i * 500 })
+		servers[i] = engine(func(s *Server) { s.ReservedTokens = i * 500 })
 	}
 	for b.Loop() {
-		Choose(4000, Full, FarCall, servers, rng)
+		ChooseEngine(4000, MaxCallFill, CrossDomainCallCost, servers, rng)
 	}
 }
--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -18,7 +18,7 @@
 // Tracker weights servers by their recent failures. Servers may fail calls while their
 // own health check passes, so only the results of calls count. It is safe for concurrent
 // use.
-type Book struct {
+type Tracker struct {
 	mu      sync.Mutex
 	servers map[ident.Server]*record
 	pauses  map[ident.Server]time.Time // when the pause that a server requested ends
@@ -31,17 +31,17 @@
 }
 
 // New returns a tracker that considers all servers healthy.
-func New() *Book {
-	return &Book{servers: make(map[ident.Server]*record), pauses: make(map[ident.Server]time.Time)}
+func New() *Tracker {
+	return &Tracker{servers: make(map[ident.Server]*record), pauses: make(map[ident.Server]time.Time)}
 }
 
 // Success records a call that the server completed.
-func (t *Book) Success(id ident.Server, now time.Time) { t.add(id, now, 1, 0) }
+func (t *Tracker) Success(id ident.Server, now time.Time) { t.add(id, now, 1, 0) }
 
 // Failure records a call that failed at the server.
-func (t *Book) Failure(id ident.Server, now time.Time) { t.add(id, now, 0, 1) }
+func (t *Tracker) Failure(id ident.Server, now time.Time) { t.add(id, now, 0, 1) }
 
-func (t *Book) add(id ident.Server, now time.Time, successes, failures float64) {
+func (t *Tracker) add(id ident.Server, now time.Time, successes, failures float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.servers[id]
@@ -66,7 +66,7 @@
 }
 
 // Weight returns the fraction of its normal load that the server should get, in (0, 1].
-func (t *Book) Weight(id ident.Server, now time.Time) float64 {
+func (t *Tracker) Weight(id ident.Server, now time.Time) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.servers[id]
@@ -82,7 +82,7 @@
 const maxPause = 10 * time.Minute
 
 // Pause records that a server requested no calls from this VM for a time.
-func (t *Book) Pause(id ident.Server, d time.Duration, now time.Time) {
+func (t *Tracker) Pause(id ident.Server, d time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.pauses[id] = now.Add(min(d, maxPause))
@@ -94,14 +94,14 @@
 }
 
 // Paused returns the remaining time of a server's pause, or zero.
-func (t *Book) Paused(id ident.Server, now time.Time) time.Duration {
+func (t *Tracker) Paused(id ident.Server, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.pauses[id].Sub(now), 0)
 }
 
 // Retain drops the results of servers for which known returns false.
-func (t *Book) Retain(known func(ident.Server) bool) {
+func (t *Tracker) Retain(known func(ident.Server) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id := range t.servers {
--- a/internal/policy/length/bucket.go
+++ b/internal/policy/length/bucket.go
@@ -40,4 +40,4 @@
 }
 
 // BucketStart returns the smallest length, in tokens, in bucket k.
-func Bound(k int) int { return bucketStarts[k] }
+func BucketStart(k int) int { return bucketStarts[k] }
--- a/internal/policy/length/curve.go
+++ b/internal/policy/length/curve.go
@@ -15,8 +15,8 @@
 	// survivalAtHorizon is the probability that a stream at the start of a bucket still
 	// runs at each horizon.
 	survivalAtHorizon [Buckets][Horizons]float64
-	meanForecast      Share   // forecast of a stream at a random time during its run
-	meanMemory        float64 // mean memory of such a stream, in tokens, without its prompt
+	meanForecast      Forecast // forecast of a stream at a random time during its run
+	meanMemory        float64  // mean memory of such a stream, in tokens, without its prompt
 }
 
 // Survival returns S(n), interpolated linearly within a bucket.
@@ -80,7 +80,7 @@
 	for k := range Buckets {
 		middle := (bucketStarts[k] + bucketStarts[k+1]) / 2
 		w := float64(bucketStarts[k+1]-bucketStarts[k]) * (c.survival[k] + c.survival[k+1]) / 2
-		s := c.Share(middle, 0)
+		s := c.Forecast(middle, 0)
 		c.meanForecast.Add(&s, w)
 		c.meanMemory += w * float64(middle)
 		sum += w
@@ -94,8 +94,8 @@
 
 // ForecastRunning returns the forecast of n streams at random times during their runs,
 // which together use the given memory, in tokens.
-func (c *Curve) Running(n int, memory float64) Share {
-	var s Share
+func (c *Curve) ForecastRunning(n int, memory float64) Forecast {
+	var s Forecast
 	if n <= 0 || memory <= 0 {
 		return s
 	}
@@ -109,15 +109,15 @@
 
 // Forecast is the predicted memory use of streams on an engine at each horizon: the mean
 // and the variance of a sum of independent streams, in tokens and tokens squared.
-type Share struct {
+type Forecast struct {
 	Mean [Horizons]float64
 	Var  [Horizons]float64
 }
 
 // Forecast returns the forecast of one stream. At horizon t, the stream uses prompt+age+t
 // tokens if it still runs and none otherwise.
-func (c *Curve) Share(age, prompt int) Share {
-	var s Share
+func (c *Curve) Forecast(age, prompt int) Forecast {
+	var s Forecast
 	survival := &c.survivalAtHorizon[Bucket(age)]
 	for j := range Horizons {
 		held := float64(prompt + age + horizonSteps[j])
@@ -129,7 +129,7 @@
 }
 
 // Add adds n times o to s.
-func (s *Share) Add(o *Share, n float64) {
+func (s *Forecast) Add(o *Forecast, n float64) {
 	for j := range Horizons {
 		s.Mean[j] += n * o.Mean[j]
 		s.Var[j] += n * o.Var[j]
@@ -138,7 +138,7 @@
 
 // OverflowProbability returns the highest probability, over the horizons, that the memory
 // use exceeds size, by the normal approximation of the sum.
-func (s *Share) OverflowProbability(size float64) float64 {
+func (s *Forecast) OverflowProbability(size float64) float64 {
 	worst := 0.0
 	for j := range Horizons {
 		worst = math.Max(worst, normalTail(size-s.Mean[j], s.Var[j]))
@@ -159,7 +159,7 @@
 
 // Within reports whether the probability of exceeding size is below a bound at each
 // horizon. z is the bound's quantile, as returned by NormalQuantile.
-func (s *Share) Within(size, z float64) bool {
+func (s *Forecast) Within(size, z float64) bool {
 	for j := range Horizons {
 		free := size - s.Mean[j]
 		if free < 0 || free*free < z*z*s.Var[j] {
@@ -170,4 +170,4 @@
 }
 
 // NormalQuantile returns the z with P(X > z) = p for a standard normal X, 0 < p < 0.5.
-func Z(p float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*p) }
+func NormalQuantile(p float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*p) }
--- a/internal/policy/length/curve_test.go
+++ b/internal/policy/length/curve_test.go
@@ -25,8 +25,8 @@
 
 func TestBuckets(t *testing.T) {
 	for k := range Buckets {
-		assert.Equal(t, Bucket(Bound(k)), k)
-		assert.Equal(t, Bucket(Bound(k+1)-1), k)
+		assert.Equal(t, Bucket(BucketStart(k)), k)
+		assert.Equal(t, Bucket(BucketStart(k+1)-1), k)
 	}
 	assert.Equal(t, Bucket(0), 0)
 	assert.Equal(t, Bucket(math.MaxInt32), Buckets-1)
@@ -99,8 +99,8 @@
 	}
 	c := e.Curve()
 	const streams, prompt = 40, 30
-	var sum Share
-	one := c.Share(0, prompt)
+	var sum Forecast
+	one := c.Forecast(0, prompt)
 	sum.Add(&one, streams)
 	j := 0 // the horizon with the highest memory use
 	for i := range sum.Mean {
@@ -131,6 +131,6 @@
 	c := New().Curve()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = c.Share(300, 40)
+		_ = c.Forecast(300, 40)
 	}
 }
--- a/internal/policy/place/baseline.go
+++ b/internal/policy/place/baseline.go
@@ -9,7 +9,7 @@
 }
 
 // Choose implements Chooser.
-func (r *RoundRobin) Choose(_ *Ask, engines []Engine, _ *rand.Rand) int {
+func (r *RoundRobin) Choose(_ *Request, engines []Engine, _ *rand.Rand) int {
 	for range engines {
 		i := r.next % len(engines)
 		r.next++
@@ -24,15 +24,15 @@
 type LeastLoad struct{}
 
 // Choose implements Chooser.
-func (LeastLoad) Choose(_ *Ask, engines []Engine, rng *rand.Rand) int {
+func (LeastLoad) Choose(_ *Request, engines []Engine, rng *rand.Rand) int {
 	best, ties := -1, 0
 	for i := range engines {
 		e := &engines[i]
 		switch {
 		case e.Skip:
-		case best < 0 || e.Reported < engines[best].Reported:
+		case best < 0 || e.ReportedMemory < engines[best].ReportedMemory:
 			best, ties = i, 1
-		case e.Reported == engines[best].Reported:
+		case e.ReportedMemory == engines[best].ReportedMemory:
 			ties++
 			if rng.IntN(ties) == 0 {
 				best = i
@@ -48,7 +48,7 @@
 type TwoChoices struct{}
 
 // Choose implements Chooser.
-func (TwoChoices) Choose(_ *Ask, engines []Engine, rng *rand.Rand) int {
+func (TwoChoices) Choose(_ *Request, engines []Engine, rng *rand.Rand) int {
 	var available []int
 	for i := range engines {
 		if !engines[i].Skip {
@@ -60,7 +60,7 @@
 	}
 	a := available[rng.IntN(len(available))]
 	b := available[rng.IntN(len(available))]
-	if engines[b].Own < engines[a].Own {
+	if engines[b].OwnStreams < engines[a].OwnStreams {
 		return b
 	}
 	return a
@@ -71,7 +71,7 @@
 func New(name string) Chooser {
 	switch name {
 	case "predicted":
-		return Predicted{}
+		return PredictedLoad{}
 	case "round-robin":
 		return &RoundRobin{}
 	case "least-load":
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -8,30 +8,30 @@
 
 // Engine is the state of one engine that a VM knows at the time of a choice.
 type Engine struct {
-	Size      float64      // in tokens
-	Reported  float64      // memory in use by the last load report, in tokens
-	Own       int          // number of this VM's streams on the engine
-	Predicted length.Share // memory forecast of all streams, known and inferred
-	Weight    float64      // fraction of its normal load that it should get, 0 to 1
-	Affinity  uint64       // rank for the prompt's prefix; the engine with the highest has it
-	Skip      bool         // must not be chosen
+	Memory         float64         // in tokens
+	ReportedMemory float64         // memory in use by the last load report, in tokens
+	OwnStreams     int             // number of this VM's streams on the engine
+	Predicted      length.Forecast // memory forecast of all streams, known and inferred
+	Weight         float64         // fraction of its normal load that it should get, 0 to 1
+	Affinity       uint64          // rank for the prompt's prefix; the engine with the highest has it
+	Skip           bool            // must not be chosen
 }
 
 // Request describes one generation to place.
-type Ask struct {
-	Share length.Share // memory forecast of the generation
-	Z     float64      // bound on the overflow probability, as a quantile of the normal distribution
-	Room  float64      // fraction of each engine's memory that may be used, 0 to 1
+type Request struct {
+	Forecast  length.Forecast // memory forecast of the generation
+	OverflowZ float64         // bound on the overflow probability, as a quantile of the normal distribution
+	MaxFill   float64         // fraction of each engine's memory that may be used, 0 to 1
 	// PromptTokens is the length of the prompt, an upper bound of the prefill that an
 	// engine with the prompt's prefix saves.
-	Prompt int
+	PromptTokens int
 }
 
 // Chooser chooses an engine for a generation.
 type Chooser interface {
 	// Choose returns the index of an engine, or -1 if no engine can run the generation
 	// now.
-	Choose(req *Ask, engines []Engine, rng *rand.Rand) int
+	Choose(req *Request, engines []Engine, rng *rand.Rand) int
 }
 
 const (
@@ -44,12 +44,12 @@
 )
 
 // PredictedLoad chooses by predicted memory and prefix affinity.
-type Predicted struct{}
+type PredictedLoad struct{}
 
 // Choose implements Chooser. It draws two of the engines that have capacity and takes
 // the less full one (Mitzenmacher 2001). If it always took the least full engine, all
 // VMs with the same delayed load reports would choose the same engine.
-func (Predicted) Choose(req *Ask, engines []Engine, rng *rand.Rand) int {
+func (PredictedLoad) Choose(req *Request, engines []Engine, rng *rand.Rand) int {
 	first, second, cached, fitting := -1, -1, -1, 0
 	for i := range engines {
 		e := &engines[i]
@@ -79,18 +79,18 @@
 	if second >= 0 && engines[second].fill() < engines[first].fill() {
 		best = second
 	}
-	slack := min(maxAffinitySlack, slackPerPromptToken*float64(req.Prompt)/engines[best].Size)
+	slack := min(maxAffinitySlack, slackPerPromptToken*float64(req.PromptTokens)/engines[best].Memory)
 	if engines[cached].fill() <= engines[best].fill()+slack {
 		return cached
 	}
 	return best
 }
 
-func (e *Engine) fits(req *Ask) bool {
+func (e *Engine) fits(req *Request) bool {
 	sum := e.Predicted
-	sum.Add(&req.Share, 1)
-	return sum.Within(e.Size*req.Room, req.Z)
+	sum.Add(&req.Forecast, 1)
+	return sum.Within(e.Memory*req.MaxFill, req.OverflowZ)
 }
 
 // fill returns the predicted fraction of memory in use at the nearest horizon.
-func (e *Engine) fill() float64 { return e.Predicted.Mean[0] / e.Size }
+func (e *Engine) fill() float64 { return e.Predicted.Mean[0] / e.Memory }
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -13,7 +13,7 @@
 func engines(n int, used float64) []Engine {
 	out := make([]Engine, n)
 	for i := range out {
-		out[i] = Engine{Size: 1000, Weight: 1, Affinity: uint64(i)}
+		out[i] = Engine{Memory: 1000, Weight: 1, Affinity: uint64(i)}
 		for j := range out[i].Predicted.Mean {
 			out[i].Predicted.Mean[j] = used
 		}
@@ -21,17 +21,17 @@
 	return out
 }
 
-func request() *Ask {
-	a := &Ask{Z: length.Z(0.05), Room: 1, Prompt: 50}
-	for j := range a.Share.Mean {
-		a.Share.Mean[j], a.Share.Var[j] = 50, 2500
+func request() *Request {
+	a := &Request{OverflowZ: length.NormalQuantile(0.05), MaxFill: 1, PromptTokens: 50}
+	for j := range a.Forecast.Mean {
+		a.Forecast.Mean[j], a.Forecast.Var[j] = 50, 2500
 	}
 	return a
 }
 
 func TestPredicted(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	p := Predicted{}
+	p := PredictedLoad{}
 	t.Run("prefers the engine with the prefix", func(t *testing.T) {
 		assert.Equal(t, p.Choose(request(), engines(4, 300), rng), 3)
 	})
@@ -42,7 +42,7 @@
 	})
 	t.Run("never chooses an engine that would overflow", func(t *testing.T) {
 		e := engines(4, 990)
-		e[1].Predicted = length.Share{}
+		e[1].Predicted = length.Forecast{}
 		for range 50 {
 			assert.Equal(t, p.Choose(request(), e, rng), 1)
 		}
@@ -52,7 +52,7 @@
 	})
 	t.Run("leaves the reserve free", func(t *testing.T) {
 		a := request()
-		a.Room = 0.5
+		a.MaxFill = 0.5
 		assert.Equal(t, p.Choose(a, engines(4, 450), rng), -1)
 	})
 	t.Run("skips excluded engines", func(t *testing.T) {
@@ -86,7 +86,7 @@
 			e, a := engines(n, 300), request()
 			b.ReportAllocs()
 			for b.Loop() {
-				Predicted{}.Choose(a, e, rng)
+				PredictedLoad{}.Choose(a, e, rng)
 			}
 		})
 	}
--- a/internal/policy/poison/book.go
+++ b/internal/policy/poison/book.go
@@ -70,8 +70,8 @@
 
 // Config holds the settings of a Detector.
 type Config struct {
-	Crashes int           // number of crashed servers that quarantines a request
-	Time    time.Duration // how long a quarantine lasts and evidence is kept
+	CrashLimit int           // number of crashed servers that quarantines a request
+	Duration   time.Duration // how long a quarantine lasts and evidence is kept
 }
 
 // Change lists the requests whose quarantine started or ended.
@@ -85,7 +85,7 @@
 
 // Detector holds the evidence and the quarantines that one VM knows. It is safe for
 // concurrent use.
-type Book struct {
+type Detector struct {
 	cfg      Config
 	onChange func(c Change)
 
@@ -104,8 +104,8 @@
 // New returns a detector without evidence. The detector calls onChange, without holding
 // locks, after each recorded crash and completion on this VM and after a change of
 // quarantines. Both must be reported to other VMs.
-func New(cfg Config, onChange func(c Change)) *Book {
-	d := &Book{
+func New(cfg Config, onChange func(c Change)) *Detector {
+	d := &Detector{
 		cfg: cfg, onChange: onChange,
 		requests:   make(map[call.Fingerprint]*record),
 		attributed: make(map[ident.Server]struct{}),
@@ -118,13 +118,13 @@
 
 // QuarantinedUntil returns when a request's quarantine ends, and false if the request is not
 // quarantined.
-func (d *Book) Until(f call.Fingerprint, now time.Time) (time.Time, bool) {
+func (d *Detector) QuarantinedUntil(f call.Fingerprint, now time.Time) (time.Time, bool) {
 	until, ok := (*d.quarantined.Load())[f]
 	return until, ok && now.Before(until)
 }
 
 // QuarantinedCount returns the number of quarantined requests.
-func (d *Book) Len(now time.Time) int {
+func (d *Detector) QuarantinedCount(now time.Time) int {
 	n := 0
 	for _, until := range *d.quarantined.Load() {
 		if now.Before(until) {
@@ -143,13 +143,13 @@
 
 // recentlyCompleted reports whether the request has completed on this VM within
 // completedPeriod.
-func (d *Book) recentlyCompleted(f call.Fingerprint, now time.Time) bool {
+func (d *Detector) recentlyCompleted(f call.Fingerprint, now time.Time) bool {
 	c := &d.completed[f%completedSlots]
 	return c.request.Load() == uint64(f) && now.UnixNano()-c.at.Load() < int64(completedPeriod)
 }
 
 // Completed records that a server ran the request to completion.
-func (d *Book) Completed(f call.Fingerprint, now time.Time) {
+func (d *Detector) Completed(f call.Fingerprint, now time.Time) {
 	c := &d.completed[f%completedSlots]
 	c.request.Store(uint64(f))
 	c.at.Store(now.UnixNano())
@@ -168,7 +168,7 @@
 // returns the number of such servers whose crashes are not attributed to other requests.
 // It ignores the crash if the request has recently completed on this VM, because the crash
 // is then a coincidence.
-func (d *Book) Crashed(f call.Fingerprint, server ident.Server, now time.Time) int {
+func (d *Detector) Crashed(f call.Fingerprint, server ident.Server, now time.Time) int {
 	if d.recentlyCompleted(f, now) {
 		return 0
 	}
@@ -186,13 +186,13 @@
 
 // Merge adds the findings of another VM and returns the resulting change of quarantines. It
 // may modify the list.
-func (d *Book) Merge(list []Finding, now time.Time) Change {
+func (d *Detector) Merge(list []Finding, now time.Time) Change {
 	if len(list) == 0 {
 		return Change{}
 	}
 	d.mu.Lock()
 	// Skip what is about to expire: VMs that relay it to each other would keep it forever.
-	oldest := now.Add(announcePeriod - d.cfg.Time)
+	oldest := now.Add(announcePeriod - d.cfg.Duration)
 	changed := false
 	for i := range list {
 		f := &list[i]
@@ -211,7 +211,7 @@
 }
 
 // apply merges one finding and reports whether it holds new information.
-func (d *Book) apply(f *Finding, now time.Time) bool {
+func (d *Detector) apply(f *Finding, now time.Time) bool {
 	r := d.requests[f.Request]
 	if r == nil {
 		d.evictOldest()
@@ -245,13 +245,13 @@
 
 // evaluate quarantines requests, those with the most crashes first, because the same crashes
 // are then no longer evidence against other requests. It returns the change of quarantines.
-func (d *Book) evaluate(now time.Time) Change {
+func (d *Detector) evaluate(now time.Time) Change {
 	d.expire(now)
 	d.attributeCrashes()
 	for {
 		var worst *record
 		for _, r := range d.requests {
-			if !r.quarantined() && d.crashCount(r) >= d.cfg.Crashes && (worst == nil || d.precedes(r, worst)) {
+			if !r.quarantined() && d.crashCount(r) >= d.cfg.CrashLimit && (worst == nil || d.precedes(r, worst)) {
 				worst = r
 			}
 		}
@@ -265,7 +265,7 @@
 
 // attributeCrashes collects the servers whose crashes are attributed to quarantined
 // requests.
-func (d *Book) attributeCrashes() {
+func (d *Detector) attributeCrashes() {
 	clear(d.attributed)
 	for _, r := range d.requests {
 		if !r.quarantined() {
@@ -279,13 +279,13 @@
 
 // precedes orders requests by their crash counts, highest first. Ties are broken by the
 // fingerprint, so that VMs agree.
-func (d *Book) precedes(r, o *record) bool {
+func (d *Detector) precedes(r, o *record) bool {
 	return cmp.Or(cmp.Compare(d.crashCount(o), d.crashCount(r)), cmp.Compare(r.Request, o.Request)) < 0
 }
 
 // crashCount returns the number of servers that crashed while running a request, without
 // crashes that are attributed to other, quarantined requests.
-func (d *Book) crashCount(r *record) int {
+func (d *Detector) crashCount(r *record) int {
 	if r.quarantined() || len(d.attributed) == 0 {
 		return len(r.Crashes)
 	}
@@ -299,11 +299,11 @@
 }
 
 // updateQuarantined updates the set of quarantined requests and returns its changes.
-func (d *Book) updateQuarantined(now time.Time) Change {
+func (d *Detector) updateQuarantined(now time.Time) Change {
 	var c Change
 	old, quarantined := *d.quarantined.Load(), make(map[call.Fingerprint]time.Time)
 	for f, r := range d.requests {
-		if until := r.Quarantined.Add(d.cfg.Time); r.quarantined() && now.Before(until) {
+		if until := r.Quarantined.Add(d.cfg.Duration); r.quarantined() && now.Before(until) {
 			quarantined[f] = until
 			if _, ok := old[f]; !ok {
 				c.Quarantined = append(c.Quarantined, f)
@@ -322,12 +322,12 @@
 }
 
 // expire removes expired evidence, at most once per expireInterval.
-func (d *Book) expire(now time.Time) {
+func (d *Detector) expire(now time.Time) {
 	if now.Sub(d.expiredAt) < expireInterval {
 		return
 	}
 	d.expiredAt = now
-	oldest := now.Add(-d.cfg.Time)
+	oldest := now.Add(-d.cfg.Duration)
 	for f, r := range d.requests {
 		if r.expire(oldest); r.empty() {
 			delete(d.requests, f)
@@ -336,7 +336,7 @@
 }
 
 // evictOldest removes the oldest finding that is not a quarantine if there are maxRequests.
-func (d *Book) evictOldest() {
+func (d *Detector) evictOldest() {
 	if len(d.requests) < maxRequests {
 		return
 	}
@@ -352,7 +352,7 @@
 }
 
 // sorted returns up to maxAnnounced of the findings that include selects, newest first.
-func (d *Book) sorted(include func(r *record) bool) []Finding {
+func (d *Detector) sorted(include func(r *record) bool) []Finding {
 	var list []*record
 	for _, r := range d.requests {
 		if include(r) {
--- a/internal/policy/poison/book_test.go
+++ b/internal/policy/poison/book_test.go
@@ -18,18 +18,18 @@
 	other call.Fingerprint = 8
 )
 
-var config = Config{Crashes: 3, Time: 10 * time.Minute}
+var config = Config{CrashLimit: 3, Duration: 10 * time.Minute}
 
-func newDetector() *Book { return New(config, func(Change) {}) }
+func newDetector() *Detector { return New(config, func(Change) {}) }
 
 func server(n int) ident.Server { return ident.Server(fmt.Sprint("i-", n)) }
 
 // assertQuarantined fails the test unless exactly these requests are quarantined.
-func assertQuarantined(t testing.TB, d *Book, now time.Time, want ...call.Fingerprint) {
+func assertQuarantined(t testing.TB, d *Detector, now time.Time, want ...call.Fingerprint) {
 	t.Helper()
-	assert.Equal(t, d.Len(now), len(want))
+	assert.Equal(t, d.QuarantinedCount(now), len(want))
 	for _, f := range want {
-		_, ok := d.Until(f, now)
+		_, ok := d.QuarantinedUntil(f, now)
 		assert.Assert(t, ok, "%s is not quarantined", f)
 	}
 }
@@ -43,8 +43,8 @@
 			assert.Equal(t, d.Crashed(fatal, server(n), start), n+1)
 		}
 		assertQuarantined(t, d, start, fatal)
-		assertQuarantined(t, d, start.Add(config.Time-time.Second), fatal)
-		assertQuarantined(t, d, start.Add(config.Time))
+		assertQuarantined(t, d, start.Add(config.Duration-time.Second), fatal)
+		assertQuarantined(t, d, start.Add(config.Duration))
 	})
 	t.Run("a server counts once", func(t *testing.T) {
 		d := newDetector()
@@ -56,16 +56,16 @@
 	t.Run("expired crashes do not count", func(t *testing.T) {
 		d := newDetector()
 		d.Crashed(fatal, server(0), start)
-		d.Crashed(fatal, server(1), start.Add(config.Time))
-		d.Crashed(fatal, server(2), start.Add(config.Time+time.Second))
-		assertQuarantined(t, d, start.Add(config.Time+time.Second))
+		d.Crashed(fatal, server(1), start.Add(config.Duration))
+		d.Crashed(fatal, server(2), start.Add(config.Duration+time.Second))
+		assertQuarantined(t, d, start.Add(config.Duration+time.Second))
 	})
 	t.Run("a request can be quarantined again", func(t *testing.T) {
 		d := newDetector()
 		for n := range 3 {
 			d.Crashed(fatal, server(n), start)
 		}
-		later := start.Add(config.Time + time.Minute)
+		later := start.Add(config.Duration + time.Minute)
 		d.Crashed(fatal, server(4), later)
 		d.Crashed(fatal, server(5), later)
 		assertQuarantined(t, d, later)
@@ -94,7 +94,7 @@
 		}
 		d.Completed(fatal, start.Add(time.Second))
 		assertQuarantined(t, d, start.Add(time.Second))
-		d.Stored([]Entry{{Request: fatal, Until: start.Add(config.Time)}}, start.Add(time.Minute))
+		d.Stored([]Quarantine{{Request: fatal, Until: start.Add(config.Duration)}}, start.Add(time.Minute))
 		assertQuarantined(t, d, start.Add(time.Minute))
 	})
 }
@@ -123,7 +123,7 @@
 func TestMerge(t *testing.T) {
 	start := time.Now()
 	rapid.Check(t, func(t *rapid.T) {
-		detectors := []*Book{newDetector(), newDetector(), newDetector()}
+		detectors := []*Detector{newDetector(), newDetector(), newDetector()}
 		vm := rapid.IntRange(0, len(detectors)-1)
 		seen := make(map[call.Fingerprint]map[ident.Server]bool)
 		now := start
@@ -144,16 +144,16 @@
 		}
 		for range detectors {
 			for i, d := range detectors {
-				d.HubAnswered("hub", uint64(now.UnixNano()), 0, now)
+				d.HandleResponse("hub", uint64(now.UnixNano()), 0, now)
 				detectors[(i+1)%len(detectors)].Merge(d.Report(now), now)
 			}
 		}
 		for _, d := range detectors {
 			for f, crashes := range seen {
 				assert.Equal(t, len(d.requests[f].Crashes), len(crashes))
-				_, quarantined := d.Until(f, now)
-				assert.Assert(t, quarantined || d.crashCount(d.requests[f]) < config.Crashes, "%s is not quarantined", f)
-				_, first := detectors[0].Until(f, now)
+				_, quarantined := d.QuarantinedUntil(f, now)
+				assert.Assert(t, quarantined || d.crashCount(d.requests[f]) < config.CrashLimit, "%s is not quarantined", f)
+				_, first := detectors[0].QuarantinedUntil(f, now)
 				assert.Equal(t, quarantined, first)
 			}
 		}
@@ -174,13 +174,13 @@
 		digest uint64
 		want   int
 	}{{0, 1}, {d.Digest(later), 0}, {1, 1}} {
-		d.HubAnswered("hub", 1, tc.digest, now) // its start was long ago
-		d.HubAnswered("hub", 1, tc.digest, later)
+		d.HandleResponse("hub", 1, tc.digest, now) // its start was long ago
+		d.HandleResponse("hub", 1, tc.digest, later)
 		assert.Equal(t, len(d.Report(later)), tc.want, "case %d", i)
-		d.Reported("vm", tc.digest)
-		assert.Equal(t, len(d.Answer("vm", later)), tc.want, "case %d", i)
+		d.HandleReport("vm", tc.digest)
+		assert.Equal(t, len(d.Response("vm", later)), tc.want, "case %d", i)
 	}
-	assert.Equal(t, len(d.Answer("one that starts", later)), 1)
+	assert.Equal(t, len(d.Response("one that starts", later)), 1)
 	assert.Equal(t, newDetector().Digest(now), uint64(0))
 }
 
@@ -193,10 +193,10 @@
 	for n := range 3 {
 		a.Crashed(fatal, server(n), now)
 	}
-	end := now.Add(config.Time + time.Second)
+	end := now.Add(config.Duration + time.Second)
 	for ; now.Before(end); now = now.Add(20 * time.Millisecond) {
-		for _, p := range [][2]*Book{{a, d}, {d, a}} {
-			p[0].HubAnswered("hub", 1, p[1].Digest(now), now)
+		for _, p := range [][2]*Detector{{a, d}, {d, a}} {
+			p[0].HandleResponse("hub", 1, p[1].Digest(now), now)
 			list := p[0].Report(now)
 			for i := range list {
 				list[i].Quarantined = list[i].Quarantined.Add(latency)
@@ -228,7 +228,7 @@
 		book.Crashed(fatal, server(n), now)
 	}
 	for b.Loop() {
-		book.Until(other, now)
+		book.QuarantinedUntil(other, now)
 	}
 }
 
@@ -241,7 +241,7 @@
 	for n := range 3 {
 		book.Crashed(fatal, server(100+n), now)
 	}
-	book.HubAnswered("hub", 1, 0, now.Add(2*announcePeriod))
+	book.HandleResponse("hub", 1, 0, now.Add(2*announcePeriod))
 	list := book.Report(now.Add(2 * announcePeriod))
 	for b.Loop() {
 		book.Merge(list, now.Add(2*announcePeriod))
--- a/internal/policy/poison/share.go
+++ b/internal/policy/poison/share.go
@@ -22,7 +22,7 @@
 // HandleResponse records a hub's response: the start of the hub and the digest of its
 // quarantines. A restarted hub may hold no findings, so all findings are announced again
 // for announcePeriod.
-func (d *Book) HubAnswered(vm ident.VM, start, digest uint64, now time.Time) {
+func (d *Detector) HandleResponse(vm ident.VM, start, digest uint64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.hubs[vm].start != start {
@@ -32,7 +32,7 @@
 }
 
 // Digest returns a hash of the set of quarantined requests, or zero if it is empty.
-func (d *Book) Digest(now time.Time) uint64 {
+func (d *Detector) Digest(now time.Time) uint64 {
 	sum := uint64(0)
 	for f, until := range *d.quarantined.Load() {
 		if now.Before(until) {
@@ -44,7 +44,7 @@
 
 // Report returns the findings that this VM reports to hubs: the recently changed ones, and
 // all quarantines if a hub's differ.
-func (d *Book) Report(now time.Time) []Finding {
+func (d *Detector) Report(now time.Time) []Finding {
 	own := d.Digest(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -60,7 +60,7 @@
 const maxReporters = 10_000
 
 // HandleReport records the quarantine digest of a VM that reports to this one.
-func (d *Book) Reported(vm ident.VM, digest uint64) {
+func (d *Detector) HandleReport(vm ident.VM, digest uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.reporters) >= maxReporters {
@@ -72,7 +72,7 @@
 // Response returns the findings that this VM, as a hub, sends to another VM: all
 // quarantines if the VM's differ, and the recently changed findings with at least
 // minSharedCrashes crashes or a completion.
-func (d *Book) Answer(to ident.VM, now time.Time) []Finding {
+func (d *Detector) Response(to ident.VM, now time.Time) []Finding {
 	own := d.Digest(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +81,7 @@
 
 // announcements returns the recently changed findings, without those that are not
 // quarantines and that share rejects. If all is set, it returns all quarantines.
-func (d *Book) announcements(now time.Time, all bool, share func(r *record) bool) []Finding {
+func (d *Detector) announcements(now time.Time, all bool, share func(r *record) bool) []Finding {
 	if len(d.requests) == 0 {
 		return nil
 	}
@@ -96,20 +96,20 @@
 }
 
 // Quarantine is a quarantined request as the store keeps it.
-type Entry struct {
+type Quarantine struct {
 	Request call.Fingerprint
 	Until   time.Time
 }
 
 // Stored merges the quarantines that the store holds.
-func (d *Book) Stored(list []Entry, now time.Time) {
+func (d *Detector) Stored(list []Quarantine, now time.Time) {
 	found := make([]Finding, 0, len(list))
 	for _, e := range list {
 		until := e.Until
-		if latest := now.Add(d.cfg.Time); until.After(latest) {
+		if latest := now.Add(d.cfg.Duration); until.After(latest) {
 			until = latest // written by a VM whose clock is ahead
 		}
-		found = append(found, Finding{Request: e.Request, Quarantined: until.Add(-d.cfg.Time)})
+		found = append(found, Finding{Request: e.Request, Quarantined: until.Add(-d.cfg.Duration)})
 	}
 	d.Merge(found, now)
 	d.mu.Lock()
@@ -123,14 +123,14 @@
 
 // Unstored returns the quarantines that are at least as old as age and that the store has
 // not been seen to hold within the time unseen.
-func (d *Book) Unstored(age, unseen time.Duration, now time.Time) []Entry {
+func (d *Detector) Unstored(age, unseen time.Duration, now time.Time) []Quarantine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []Entry
+	var out []Quarantine
 	for f, until := range *d.quarantined.Load() {
 		r := d.requests[f]
 		if r != nil && now.Before(until) && now.Sub(r.Quarantined) >= age && now.Sub(r.stored) >= unseen {
-			out = append(out, Entry{Request: f, Until: until})
+			out = append(out, Quarantine{Request: f, Until: until})
 		}
 	}
 	return out
--- a/internal/policy/rates/limiter.go
+++ b/internal/policy/rates/limiter.go
@@ -53,7 +53,7 @@
 }
 
 // Limiter enforces the rate limits that servers have stated. It is safe for concurrent use.
-type Book struct {
+type Limiter struct {
 	demand  Demand
 	changed func(id ident.Server, rate float64)
 
@@ -75,14 +75,14 @@
 
 // New returns a limiter without limits. The limiter calls changed when a limit is first
 // stated and when a response or a report ends it, but not when it expires.
-func New(d Demand, changed func(id ident.Server, rate float64)) *Book {
-	return &Book{demand: d, changed: changed, servers: make(map[ident.Server]*entry), peers: newPeers()}
+func New(d Demand, changed func(id ident.Server, rate float64)) *Limiter {
+	return &Limiter{demand: d, changed: changed, servers: make(map[ident.Server]*entry), peers: newPeers()}
 }
 
 // Observe records the limit in a server's response, in requests a second; zero: it states
 // none. A response without a limit is dated to when its request was sent, because the server
 // may have produced it at any time since. A limit is dated to now.
-func (l *Book) Observe(id ident.Server, rate float64, sent, now time.Time) {
+func (l *Limiter) Observe(id ident.Server, rate float64, sent, now time.Time) {
 	if !(rate > 0) {
 		if l.entryCount.Load() > 0 {
 			l.setLimit(id, 0, sent, now)
@@ -94,7 +94,7 @@
 
 // setLimit records a limit that a server stated at the given time, and calls changed if
 // needed.
-func (l *Book) setLimit(id ident.Server, rate float64, at, now time.Time) {
+func (l *Limiter) setLimit(id ident.Server, rate float64, at, now time.Time) {
 	l.mu.Lock()
 	changed := l.update(id, rate, at, now)
 	l.mu.Unlock()
@@ -105,7 +105,7 @@
 
 // update records a limit unless a later one is known. It reports whether the server went
 // from unlimited to limited or back. The caller holds the lock.
-func (l *Book) update(id ident.Server, rate float64, at, now time.Time) bool {
+func (l *Limiter) update(id ident.Server, rate float64, at, now time.Time) bool {
 	l.expire(now)
 	e := l.servers[id]
 	if e == nil && (rate == 0 || now.Sub(at) > expiry) {
@@ -129,7 +129,7 @@
 }
 
 // expire removes limits that were not confirmed in time, and ended limits after endedTime.
-func (l *Book) expire(now time.Time) {
+func (l *Limiter) expire(now time.Time) {
 	for id, e := range l.servers {
 		if age := now.Sub(e.at); age > expiry || e.rate == 0 && age > endedTime {
 			delete(l.servers, id)
@@ -139,7 +139,7 @@
 }
 
 // limited returns the entry of a server whose limit is in force, or nil.
-func (l *Book) limited(id ident.Server, now time.Time) *entry {
+func (l *Limiter) limited(id ident.Server, now time.Time) *entry {
 	e := l.servers[id]
 	if e == nil || e.rate == 0 || now.Sub(e.at) > expiry {
 		return nil
@@ -148,7 +148,7 @@
 }
 
 // Sent counts a request that is sent to a server.
-func (l *Book) Sent(id ident.Server, now time.Time) {
+func (l *Limiter) Sent(id ident.Server, now time.Time) {
 	if l.entryCount.Load() == 0 {
 		return
 	}
@@ -160,7 +160,7 @@
 }
 
 // IsLimited reports whether a server's limit is in force.
-func (l *Book) IsLimited(id ident.Server, now time.Time) bool {
+func (l *Limiter) IsLimited(id ident.Server, now time.Time) bool {
 	if l.entryCount.Load() == 0 {
 		return false
 	}
@@ -170,7 +170,7 @@
 }
 
 // LimitedCount returns the number of servers whose limits are in force.
-func (l *Book) LimitedCount(now time.Time) int {
+func (l *Limiter) LimitedCount(now time.Time) int {
 	if l.entryCount.Load() == 0 {
 		return 0
 	}
@@ -188,7 +188,7 @@
 // Skips reports, for each server in the list, whether a call to the service must not be
 // sent to it. A server whose limit is not used up stays available with a probability of its limit
 // divided by the fleet's demand. Skips may return nil if no server is limited.
-func (l *Book) Skips(s ident.Service, list []ident.Server, now time.Time) []bool {
+func (l *Limiter) Skips(s ident.Service, list []ident.Server, now time.Time) []bool {
 	if l.entryCount.Load() == 0 {
 		return nil
 	}
@@ -223,7 +223,7 @@
 
 // exhausted reports whether, in the last Span, the fleet has used up the limit or this VM
 // has used up its share.
-func (l *Book) exhausted(id ident.Server, e *entry, own, all float64, now time.Time) bool {
+func (l *Limiter) exhausted(id ident.Server, e *entry, own, all float64, now time.Time) bool {
 	allowed := tolerance * e.rate * Span.Seconds()
 	sent := float64(e.sent.sum(now))
 	if others, ok := l.peers.sent(id, now); ok && sent+float64(others) >= allowed+extraRequests {
@@ -250,7 +250,7 @@
 
 // CanGrant reports whether a server may be granted a request now. It is called by the
 // coordinator of the service.
-func (l *Book) CanGrant(id ident.Server, now time.Time) bool {
+func (l *Limiter) CanGrant(id ident.Server, now time.Time) bool {
 	if l.entryCount.Load() == 0 {
 		return true
 	}
@@ -261,7 +261,7 @@
 }
 
 // Grant takes one token from a limited server's bucket.
-func (l *Book) Grant(id ident.Server, now time.Time) {
+func (l *Limiter) Grant(id ident.Server, now time.Time) {
 	if l.entryCount.Load() == 0 {
 		return
 	}
@@ -275,7 +275,7 @@
 // refill adds the tokens accrued since the last call and returns how many requests may be
 // granted now. A VM that has no counts from other VMs refills at an equal share of the
 // limit.
-func (l *Book) refill(id ident.Server, e *entry, now time.Time) float64 {
+func (l *Limiter) refill(id ident.Server, e *entry, now time.Time) float64 {
 	rate := e.rate
 	others, ok := l.peers.sent(id, now)
 	if !ok {
@@ -290,19 +290,19 @@
 }
 
 // Report returns the limits that this VM reports to hubs, with its own request counts.
-func (l *Book) Report(now time.Time) []Limit {
+func (l *Limiter) Report(now time.Time) []Limit {
 	return l.limits(now, func(ident.Server) int { return 0 })
 }
 
 // Response returns the limits that this VM, as a hub, sends to another VM, with the request
 // counts of all VMs but that one.
-func (l *Book) Answer(to ident.VM, now time.Time) []Limit {
+func (l *Limiter) Response(to ident.VM, now time.Time) []Limit {
 	return l.limits(now, func(id ident.Server) int { return l.peers.reported(id, to, now) })
 }
 
 // limits returns the latest limits, with this VM's request counts plus those that others
 // returns.
-func (l *Book) limits(now time.Time, others func(ident.Server) int) []Limit {
+func (l *Limiter) limits(now time.Time, others func(ident.Server) int) []Limit {
 	if l.entryCount.Load() == 0 {
 		return nil
 	}
@@ -318,7 +318,7 @@
 }
 
 // HandleReport records the limits and request counts that another VM reports to this hub.
-func (l *Book) Reported(vm ident.VM, list []Limit, now time.Time) {
+func (l *Limiter) HandleReport(vm ident.VM, list []Limit, now time.Time) {
 	if len(list) == 0 && l.entryCount.Load() == 0 {
 		return
 	}
@@ -327,7 +327,7 @@
 
 // HandleResponse records a hub's limits and its request counts of all other VMs. reporting
 // is the number of VMs that report to the hub.
-func (l *Book) HubAnswered(hub ident.VM, reporting int, list []Limit, now time.Time) {
+func (l *Limiter) HandleResponse(hub ident.VM, reporting int, list []Limit, now time.Time) {
 	if len(list) == 0 && l.entryCount.Load() == 0 {
 		return
 	}
@@ -336,7 +336,7 @@
 
 // merge calls record under the lock, then adopts the valid limits from another VM that were
 // stated later than the known ones.
-func (l *Book) merge(list []Limit, now time.Time, record func()) {
+func (l *Limiter) merge(list []Limit, now time.Time, record func()) {
 	changed := make(map[ident.Server]float64)
 	l.mu.Lock()
 	record()
--- a/internal/policy/rates/limiter_test.go
+++ b/internal/policy/rates/limiter_test.go
@@ -23,7 +23,7 @@
 
 // vm is a VM of a fleet. The first VM of the fleet is the hub.
 type vm struct {
-	*Book
+	*Limiter
 	name     ident.VM
 	rate     float64 // calls a second
 	fleet    *fleet
@@ -60,7 +60,7 @@
 	for n := range vms {
 		v := &vm{name: ident.VM(fmt.Sprint("vm-", n)), fleet: f}
 		v.rate = demand / float64(vms) * 2 * float64(n+1) / float64(vms+1) // uneven
-		v.Book = New(v, func(ident.Server, float64) {})
+		v.Limiter = New(v, func(ident.Server, float64) {})
 		f.vms = append(f.vms, v)
 	}
 	return f
@@ -110,9 +110,9 @@
 		if v.isolated || f.rng.Float64() < f.loss {
 			continue
 		}
-		hub.Reported(v.name, v.Report(now), now)
+		hub.HandleReport(v.name, v.Report(now), now)
 		if f.rng.Float64() >= f.loss {
-			v.HubAnswered(hub.name, len(f.vms)-1, hub.Answer(v.name, now), now)
+			v.HandleResponse(hub.name, len(f.vms)-1, hub.Response(v.name, now), now)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 func TestStatements(t *testing.T) {
 	const id = ident.Server("a")
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	newLimiter := func() (*Book, *[]float64) {
+	newLimiter := func() (*Limiter, *[]float64) {
 		changes := &[]float64{}
 		return New(&vm{fleet: &fleet{vms: make([]*vm, 3)}, isolated: true, rate: 1}, func(_ ident.Server, r float64) { *changes = append(*changes, r) }), changes
 	}
@@ -251,9 +251,9 @@
 		b, _ := newLimiter()
 		b.Observe(id, 2, at(0), at(1))
 		b.Observe(id, 0, at(3), at(3))
-		b.Reported("other", []Limit{{Server: id, Rate: 2, At: at(2)}}, at(4))
+		b.HandleReport("other", []Limit{{Server: id, Rate: 2, At: at(2)}}, at(4))
 		assert.Equal(t, b.LimitedCount(at(4)), 0)
-		b.Reported("other", []Limit{{Server: id, Rate: 2, At: at(3.5)}}, at(4))
+		b.HandleReport("other", []Limit{{Server: id, Rate: 2, At: at(3.5)}}, at(4))
 		assert.Equal(t, b.LimitedCount(at(4)), 1)
 	})
 	t.Run("an unconfirmed limit expires", func(t *testing.T) {
@@ -264,15 +264,15 @@
 	})
 	t.Run("invalid limits are ignored", func(t *testing.T) {
 		b, changes := newLimiter()
-		b.Reported("other", []Limit{{Rate: 1, At: at(0)}, {Server: id, Rate: -1, At: at(0)}, {Server: id, Rate: 1, At: at(9)}}, at(1))
+		b.HandleReport("other", []Limit{{Rate: 1, At: at(0)}, {Server: id, Rate: -1, At: at(0)}, {Server: id, Rate: 1, At: at(9)}}, at(1))
 		assert.Equal(t, len(*changes), 0)
 		assert.Equal(t, b.LimitedCount(at(1)), 0)
 	})
 	t.Run("the coordinator grants no more than the limit", func(t *testing.T) {
 		b, _ := newLimiter()
-		b.Reported("other", nil, at(0))
+		b.HandleReport("other", nil, at(0))
 		b.Observe(id, 4, at(0), at(0))
-		b.Reported("other", []Limit{{Server: id, Rate: 4, At: at(0)}}, at(0))
+		b.HandleReport("other", []Limit{{Server: id, Rate: 4, At: at(0)}}, at(0))
 		granted := 0
 		for now := at(0); now.Before(at(8)); now = now.Add(step) {
 			if b.CanGrant(id, now) {
--- a/internal/policy/retry/breaker.go
+++ b/internal/policy/retry/breaker.go
@@ -27,7 +27,7 @@
 
 // ProbeAllowed reports whether the minimum open time is over, so that a successful response
 // may close the breaker.
-func (b *Breaker) Trial(now time.Time) bool { return !now.Before(b.openUntil) }
+func (b *Breaker) ProbeAllowed(now time.Time) bool { return !now.Before(b.openUntil) }
 
 // Success records a successful call and closes the breaker.
 func (b *Breaker) Success(now time.Time) {
--- a/internal/policy/retry/budget.go
+++ b/internal/policy/retry/budget.go
@@ -23,14 +23,14 @@
 func NewBudget() *Budget { return &Budget{balance: maxBalance} }
 
 // RecordFirstAttempt records a first attempt, which adds to the budget.
-func (b *Budget) Earn() {
+func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.balance = min(b.balance+retriesPerAttempt, maxBalance)
 }
 
 // AllowRetry takes one retry from the budget. It returns false if the budget is used up.
-func (b *Budget) Spend() bool {
+func (b *Budget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -12,8 +12,8 @@
 	b := NewBudget()
 	spent := 0
 	for range 1000 {
-		b.Earn()
-		for b.Spend() {
+		b.RecordFirstAttempt()
+		for b.AllowRetry() {
 			spent++
 		}
 	}
@@ -24,7 +24,7 @@
 func TestDelay(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range 70 {
-		d := Delay(rng, n, 100*time.Millisecond, 2*time.Second)
+		d := Backoff(rng, n, 100*time.Millisecond, 2*time.Second)
 		assert.Assert(t, d >= 50*time.Millisecond && d <= 2*time.Second, "attempt %d: %s", n, d)
 	}
 }
@@ -43,9 +43,9 @@
 	fail(openThreshold - 1)
 	assert.Assert(t, !b.Open(), "a success resets the failure count")
 	fail(1)
-	assert.Assert(t, b.Open() && !b.Trial(now))
+	assert.Assert(t, b.Open() && !b.ProbeAllowed(now))
 	now = now.Add(baseOpenTime)
-	assert.Assert(t, b.Trial(now))
+	assert.Assert(t, b.ProbeAllowed(now))
 	b.Success(now)
 	assert.Assert(t, !b.Open())
 	assert.Equal(t, b.Weight(now), minRampWeight)
--- a/internal/policy/retry/sleep.go
+++ b/internal/policy/retry/sleep.go
@@ -6,7 +6,7 @@
 )
 
 // Sleep waits for d or until ctx is done.
-func Pause(ctx context.Context, d time.Duration) {
+func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/policy/retry/window.go
+++ b/internal/policy/retry/window.go
@@ -31,7 +31,7 @@
 // attempts. A VM may use the remaining budget, less an equal share of the extra for each
 // VM that does not report to the hub. A VM that receives no responses uses only its share
 // of the extra and the ratio of its own first attempts. It is safe for concurrent use.
-type Window struct {
+type FleetBudget struct {
 	ratio float64
 	extra float64
 	span  time.Duration
@@ -40,37 +40,37 @@
 	mu        sync.Mutex
 	counts    map[ident.Service]*slidingCounts
 	reports   map[ident.VM]report
-	reportSum map[ident.Service]Sent // sum of reports
-	purgedAt  time.Time              // when expired reports were last removed
-	responses map[ident.VM]Total     // by hub
-	maxKnown  int                    // largest number of VMs in the hubs' last responses
+	reportSum map[ident.Service]Attempts // sum of reports
+	purgedAt  time.Time                  // when expired reports were last removed
+	responses map[ident.VM]FleetTotal    // by hub
+	maxKnown  int                        // largest number of VMs in the hubs' last responses
 }
 
 // Peers counts the VMs that report to this one.
 type Peers interface {
 	// ReporterCounts returns the number of other VMs that have reported to this VM in the
 	// recent past, and the number of those that still do.
-	Count(now time.Time) (known, heard int)
+	ReporterCounts(now time.Time) (known, heard int)
 }
 
 // FleetTotal is a hub's response: the sum of the attempts of VMs in a window.
-type Total struct {
-	At    time.Time // when the hub responded
-	Known int       // VMs that the hub knows, without the receiver
-	Heard int       // those of them whose attempts are included
-	Sent  map[ident.Service]Sent
+type FleetTotal struct {
+	At        time.Time // when the hub responded
+	Known     int       // VMs that the hub knows, without the receiver
+	Reporting int       // those of them whose attempts are included
+	Attempts  map[ident.Service]Attempts
 }
 
 // Attempts counts the attempts to send requests in a window.
-type Sent struct {
-	First int // first attempts
-	Again int
+type Attempts struct {
+	First   int // first attempts
+	Retries int
 }
 
 // report holds the attempts that a VM has reported.
 type report struct {
 	at       time.Time
-	attempts map[ident.Service]Sent
+	attempts map[ident.Service]Attempts
 }
 
 // slidingCounts counts the attempts in a sliding window.
@@ -82,28 +82,28 @@
 
 // NewFleetBudget returns a budget of ratio retries per first attempt plus extra retries in
 // any window of the length span.
-func NewWindow(ratio, extra float64, span time.Duration, peers Peers) *Window {
-	return &Window{
+func NewFleetBudget(ratio, extra float64, span time.Duration, peers Peers) *FleetBudget {
+	return &FleetBudget{
 		ratio:     ratio,
 		extra:     extra,
 		span:      span,
 		peers:     peers,
 		counts:    make(map[ident.Service]*slidingCounts),
 		reports:   make(map[ident.VM]report),
-		reportSum: make(map[ident.Service]Sent),
-		responses: make(map[ident.VM]Total),
+		reportSum: make(map[ident.Service]Attempts),
+		responses: make(map[ident.VM]FleetTotal),
 	}
 }
 
 // SetLimits changes the ratio and the extra.
-func (b *Window) Set(ratio, extra float64) {
+func (b *FleetBudget) SetLimits(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ratio, b.extra = ratio, extra
 }
 
 // HandleReport records the attempts of another VM in the window before now.
-func (b *Window) Hear(vm ident.VM, attempts map[ident.Service]Sent, now time.Time) {
+func (b *FleetBudget) HandleReport(vm ident.VM, attempts map[ident.Service]Attempts, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.subtract(b.reports[vm])
@@ -114,10 +114,10 @@
 }
 
 // subtract removes a report from the sum.
-func (b *Window) subtract(r report) {
+func (b *FleetBudget) subtract(r report) {
 	for s, n := range r.attempts {
 		remaining := b.reportSum[s].sub(n)
-		if remaining == (Sent{}) {
+		if remaining == (Attempts{}) {
 			delete(b.reportSum, s)
 			continue
 		}
@@ -126,7 +126,7 @@
 }
 
 // purge removes the reports of VMs that have not reported for a whole window.
-func (b *Window) purge(now time.Time) {
+func (b *FleetBudget) purge(now time.Time) {
 	if now.Sub(b.purgedAt) < b.span/slots {
 		return
 	}
@@ -140,10 +140,10 @@
 }
 
 // Report returns this VM's attempts in the window before now.
-func (b *Window) Sent(now time.Time) map[ident.Service]Sent {
+func (b *FleetBudget) Report(now time.Time) map[ident.Service]Attempts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[ident.Service]Sent, len(b.counts))
+	out := make(map[ident.Service]Attempts, len(b.counts))
 	for s := range b.counts {
 		out[s] = b.advance(s, now).sum()
 	}
@@ -151,7 +151,7 @@
 }
 
 // HandleResponse records a hub's response.
-func (b *Window) Learn(hub ident.VM, t Total) {
+func (b *FleetBudget) HandleResponse(hub ident.VM, t FleetTotal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.responses[hub] = t
@@ -165,60 +165,64 @@
 
 // Response returns this VM's response, as a hub, to a VM that reports to it: the attempts
 // of all other VMs, this one included.
-func (b *Window) Rest(vm ident.VM, now time.Time) Total {
-	known, reporting := b.peers.Count(now)
+func (b *FleetBudget) Response(vm ident.VM, now time.Time) FleetTotal {
+	known, reporting := b.peers.ReporterCounts(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.purge(now)
-	t := Total{At: now, Known: known, Heard: reporting, Sent: maps.Clone(b.reportSum)}
+	t := FleetTotal{At: now, Known: known, Reporting: reporting, Attempts: maps.Clone(b.reportSum)}
 	for s, n := range b.reports[vm].attempts {
-		t.Sent[s] = t.Sent[s].sub(n)
+		t.Attempts[s] = t.Attempts[s].sub(n)
 	}
 	for s := range b.counts {
-		t.Sent[s] = t.Sent[s].add(b.advance(s, now).sum())
+		t.Attempts[s] = t.Attempts[s].add(b.advance(s, now).sum())
 	}
 	return t
 }
 
 // others returns the attempts of the other VMs from the source that includes the most VMs:
 // a hub's response or the reports to this VM.
-func (b *Window) others(now time.Time) Total {
-	known, reporting := b.peers.Count(now)
+func (b *FleetBudget) others(now time.Time) FleetTotal {
+	known, reporting := b.peers.ReporterCounts(now)
 	known = max(known, b.maxKnown)
-	best := Total{Heard: reporting}
+	best := FleetTotal{Reporting: reporting}
 	ownReports := true
 	for hub, t := range b.responses {
 		if now.Sub(t.At) > responseTime {
 			delete(b.responses, hub)
 			continue
 		}
-		if t.Heard > best.Heard {
+		if t.Reporting > best.Reporting {
 			best, ownReports = t, false
 		}
 	}
 	best.Known = known
 	if ownReports {
 		b.purge(now)
-		best.Sent = b.reportSum
+		best.Attempts = b.reportSum
 	}
 	return best
 }
 
-func (n Sent) sub(o Sent) Sent { return Sent{First: n.First - o.First, Again: n.Again - o.Again} }
+func (n Attempts) sub(o Attempts) Attempts {
+	return Attempts{First: n.First - o.First, Retries: n.Retries - o.Retries}
+}
 
-func (n Sent) add(o Sent) Sent { return Sent{First: n.First + o.First, Again: n.Again + o.Again} }
+func (n Attempts) add(o Attempts) Attempts {
+	return Attempts{First: n.First + o.First, Retries: n.Retries + o.Retries}
+}
 
-func (p *slidingCounts) sum() Sent {
-	var sum Sent
+func (p *slidingCounts) sum() Attempts {
+	var sum Attempts
 	for i := range p.first {
 		sum.First += p.first[i]
-		sum.Again += p.retries[i]
+		sum.Retries += p.retries[i]
 	}
 	return sum
 }
 
 // RecordFirstAttempt records the first attempt of a call, which adds to the budget.
-func (b *Window) Earn(s ident.Service, now time.Time) {
+func (b *FleetBudget) RecordFirstAttempt(s ident.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.advance(s, now)
@@ -226,20 +230,20 @@
 }
 
 // AllowRetry takes one retry from the budget. It returns false if the budget is used up.
-func (b *Window) Spend(s ident.Service, now time.Time) bool {
+func (b *FleetBudget) AllowRetry(s ident.Service, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.advance(s, now)
 	own := p.sum()
 	t := b.others(now)
-	others := t.Sent[s]
+	others := t.Attempts[s]
 	extra := b.extra
-	if t.Heard < t.Known || t.Known == 0 {
+	if t.Reporting < t.Known || t.Known == 0 {
 		// Leave the shares of the VMs that do not report to them.
-		extra *= float64(t.Heard+1) / float64(max(t.Known+1, minVMs))
+		extra *= float64(t.Reporting+1) / float64(max(t.Known+1, minVMs))
 	}
-	remaining := safetyFactor*(b.ratio*float64(own.First+others.First)+extra) - float64(others.Again)
-	if float64(own.Again+1) > remaining {
+	remaining := safetyFactor*(b.ratio*float64(own.First+others.First)+extra) - float64(others.Retries)
+	if float64(own.Retries+1) > remaining {
 		return false
 	}
 	p.retries[p.newest%(slots+1)]++
@@ -247,7 +251,7 @@
 }
 
 // advance clears the slots that have left the window and returns the service's counts.
-func (b *Window) advance(s ident.Service, now time.Time) *slidingCounts {
+func (b *FleetBudget) advance(s ident.Service, now time.Time) *slidingCounts {
 	current := now.UnixNano() / (int64(b.span) / slots)
 	p := b.counts[s]
 	if p == nil {
--- a/internal/policy/retry/window_test.go
+++ b/internal/policy/retry/window_test.go
@@ -13,7 +13,7 @@
 
 type fixedPeers struct{ known, reporting int }
 
-func (f fixedPeers) Count(time.Time) (int, int) { return f.known, f.reporting }
+func (f fixedPeers) ReporterCounts(time.Time) (int, int) { return f.known, f.reporting }
 
 // TestWindow guards against a hub and two VMs that report to it together
 // exceeding the budget in any window, with random first attempts and retries.
@@ -21,9 +21,9 @@
 	const ratio, extra, span = 0.2, 20.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		var vms [3]*Window
+		var vms [3]*FleetBudget
 		for i := range vms {
-			vms[i] = NewWindow(ratio, extra, span, fixedPeers{})
+			vms[i] = NewFleetBudget(ratio, extra, span, fixedPeers{})
 		}
 		hub := vms[0]
 		hub.peers = fixedPeers{known: 2, reporting: 2}
@@ -36,16 +36,16 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, 2).Draw(t, "vm")
 			if rapid.Bool().Draw(t, "first") {
-				vms[i].Earn("s", now)
+				vms[i].RecordFirstAttempt("s", now)
 				attempts = append(attempts, attempt{at: now})
-			} else if vms[i].Spend("s", now) {
+			} else if vms[i].AllowRetry("s", now) {
 				attempts = append(attempts, attempt{at: now, retry: true})
 			}
 			if i != 0 {
-				hub.Hear(ident.VM(rune('a'+i)), vms[i].Sent(now), now)
+				hub.HandleReport(ident.VM(rune('a'+i)), vms[i].Report(now), now)
 			}
 			for j, b := range vms[1:] {
-				b.Learn("a", hub.Rest(ident.VM(rune('b'+j)), now))
+				b.HandleResponse("a", hub.Response(ident.VM(rune('b'+j)), now))
 			}
 		}
 		for _, from := range attempts {
@@ -74,9 +74,9 @@
 func TestWindowAlone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	countRetries := func(p Peers) int {
-		b := NewWindow(0.2, 54, 10*time.Second, p)
+		b := NewFleetBudget(0.2, 54, 10*time.Second, p)
 		n := 0
-		for b.Spend("s", now) {
+		for b.AllowRetry("s", now) {
 			n++
 		}
 		return n
@@ -95,21 +95,21 @@
 	})
 	t.Run("the response that includes the most VMs is combined with the largest number of known VMs", func(t *testing.T) {
 		for range 20 { // the iteration order of the responses is random
-			b := NewWindow(0.2, 54, 10*time.Second, fixedPeers{})
-			b.Learn("a", Total{At: now, Known: 59, Heard: 9})
-			b.Learn("b", Total{At: now, Known: 29, Heard: 29})
+			b := NewFleetBudget(0.2, 54, 10*time.Second, fixedPeers{})
+			b.HandleResponse("a", FleetTotal{At: now, Known: 59, Reporting: 9})
+			b.HandleResponse("b", FleetTotal{At: now, Known: 29, Reporting: 29})
 			n := 0
-			for b.Spend("s", now) {
+			for b.AllowRetry("s", now) {
 				n++
 			}
 			assert.Assert(t, n <= 54*30/60, "%d retries, more than the share of half of the VMs", n)
 		}
 	})
 	t.Run("an isolated VM remembers the number of VMs", func(t *testing.T) {
-		b := NewWindow(0.2, 630, 10*time.Second, fixedPeers{})
-		b.Learn("hub", Total{At: now, Known: 294, Heard: 294})
+		b := NewFleetBudget(0.2, 630, 10*time.Second, fixedPeers{})
+		b.HandleResponse("hub", FleetTotal{At: now, Known: 294, Reporting: 294})
 		later, n := now.Add(2*responseTime), 0
-		for b.Spend("s", later) {
+		for b.AllowRetry("s", later) {
 			n++
 		}
 		assert.Assert(t, n <= 630/295, "%d", n)
--- a/internal/proc/burn/burn_test.go
+++ b/internal/proc/burn/burn_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
+	"umberladder/internal/core/result"
 )
 
 var testTime = time.Unix(1_800_000_000, 0)
@@ -17,7 +17,7 @@
 func newMeter(vm ident.VM, bad, total int) *Meter {
 	m := New(vm)
 	for i := range total {
-		r := &final.Record{Workspace: "w", Service: "s", Class: "c", Tokens: 10, Slow: 1}
+		r := &result.Record{Workspace: "w", Service: "s", Class: "c", Tokens: 10, LateTokens: 1}
 		if i < bad {
 			r.Stall = 2 * StallBound
 			r.Preemptions = 1
--- a/internal/proc/burn/meter.go
+++ b/internal/proc/burn/meter.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
+	"umberladder/internal/core/result"
 )
 
 // Objective is a service-level objective from the system's requirements.
@@ -57,14 +57,14 @@
 func (m *Meter) Gap(time.Duration) {}
 
 // Done implements result.Recorder.
-func (m *Meter) Done(r *final.Record) {
+func (m *Meter) Done(r *result.Record) {
 	if r.Workspace == "" || r.Service == "" {
 		return
 	}
 	m.record(r, time.Now())
 }
 
-func (m *Meter) record(r *final.Record, now time.Time) {
+func (m *Meter) record(r *result.Record, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := key{r.Workspace, r.Service, r.Class}
@@ -76,7 +76,7 @@
 	row[Stall].add(singleEvent(r.Stall > StallBound), now)
 	if r.Tokens > 0 {
 		row[Preempt].add(singleEvent(r.Preemptions > 0), now)
-		row[Tail].add(Count{Bad: uint64(r.Slow), Total: uint64(r.Tokens)}, now)
+		row[Tail].add(Count{Bad: uint64(r.LateTokens), Total: uint64(r.Tokens)}, now)
 	}
 }
 
--- a/internal/proc/cmds/cmds_test.go
+++ b/internal/proc/cmds/cmds_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"umberladder/internal/load/plan"
-	"umberladder/internal/test/stand"
+	"umberladder/internal/test/inproc"
 )
 
 // execute runs the command line and returns its exit code and combined output.
@@ -83,8 +83,8 @@
 }
 
 func TestOnline(t *testing.T) {
-	s := stand.New(t, 106, 2, nil)
-	server := []string{"--server", s.Fleet.Operators[0].Address.String()}
+	s := inproc.New(t, 106, 2, nil)
+	server := []string{"--server", s.Layout.Operators[0].Address.String()}
 	key := func(subtree string) []string { return append(server, "--key", plan.OperatorKey(subtree)) }
 	with := func(flags []string, args ...string) []string { return append(args, flags...) }
 	path := "/workspaces/" + plan.Installers
@@ -100,7 +100,7 @@
 		runCommand(t, ExitOK, "change c1", with(key(plan.Installers), "settings", "put", path, file, "--from", version, "--change", "c1")...)
 		runCommand(t, ExitConflict, "changed by operator-of-installers (ada)", with(key(plan.Installers), "settings", "put", path, file, "--from", version)...)
 		runCommand(t, ExitOK, "operator-of-installers (ada)", with(key(plan.Installers), "settings", "history", path)...)
-		runCommand(t, ExitFailure, "there is nothing", with(key(plan.Faultdesk), "settings", "get", path)...)
+		runCommand(t, ExitFailure, "there is nothing", with(key(plan.FaultDesk), "settings", "get", path)...)
 	})
 	t.Run("status and burn", func(t *testing.T) {
 		runCommand(t, ExitOK, "vm-2", with(key("system"), "status")...)
@@ -113,6 +113,6 @@
 	t.Run("drain", func(t *testing.T) {
 		runCommand(t, ExitFailure, "only the system's operators", with(key(plan.Installers), "drain")...)
 		runCommand(t, ExitOK, "leaving", with(key("system"), "drain")...)
-		<-s.Ended(0)
+		<-s.Done(0)
 	})
 }
--- a/internal/proc/cmds/edge.go
+++ b/internal/proc/cmds/edge.go
@@ -15,8 +15,8 @@
 	"go.uber.org/zap/zapcore"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/core/awake"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/core/uptime"
+	"umberladder/internal/peer/httpc"
 	"umberladder/internal/peer/share"
 	"umberladder/internal/proc/conf"
 	"umberladder/internal/proc/edge"
@@ -81,17 +81,17 @@
 	logSink := sink.New(os.Stdout, cfg.LogLinesPerSecond, group)
 	defer logSink.Close()
 	log := logSink.Logger(level).With(zap.String("vm", string(cfg.Name)))
-	dialer := link.New(cfg.Callers.Addr(), edgeConnectTimeout, time.Minute, 0)
+	dialer := httpc.New(cfg.Callers.Addr(), edgeConnectTimeout, time.Minute, 0)
 	store := platform.NewStore(dialer, cfg.Store, log)
-	vm := edge.New(cfg, edge.Ports{
-		Settings: store,
-		Servers:  store,
-		Backend:  platform.NewServers(dialer),
-		Codec:    func(r *relay.Relay) edge.Codec { return platform.NewIngress(r, awake.Now) },
-		Names:    store,
-		Share:    share.NewClient(dialer, cfg.Peers),
-		Calls:    store.Calls,
-		Lines:    logSink,
+	vm := edge.New(cfg, edge.Deps{
+		Settings:   store,
+		Servers:    store,
+		Backend:    platform.NewServerClient(dialer),
+		NewIngress: func(r *relay.Relay) edge.Ingress { return platform.NewIngress(r, uptime.Now) },
+		Registry:   store,
+		Share:      share.NewClient(dialer, cfg.Peers),
+		StoreCalls: store.Calls,
+		LogSink:    logSink,
 	}, group, log)
 	stop, cancel := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
--- a/internal/proc/cmds/flags.go
+++ b/internal/proc/cmds/flags.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 	"github.com/valyala/fasthttp"
 
-	"umberladder/internal/proc/remote"
+	"umberladder/internal/proc/opapi"
 )
 
 const operatorKeyVariable = "UMBERLADDER_KEY"
@@ -22,14 +22,14 @@
 	formatPage  = "page"
 )
 
-func addRemoteFlags(c *cobra.Command, client *remote.Client) {
+func addRemoteFlags(c *cobra.Command, client *opapi.Client) {
 	c.Flags().StringVar(&client.Address, "server", "127.0.0.1:8081", "operators' address of any VM")
 	c.Flags().StringVar(&client.Key, "key", os.Getenv(operatorKeyVariable), "operators' key; by default "+operatorKeyVariable)
 }
 
 // withCallExitCode wraps an error of a call to a VM with the exit code for it.
 func withCallExitCode(err error) error {
-	var s *remote.StatusError
+	var s *opapi.StatusError
 	if !errors.As(err, &s) {
 		return withExitCode(ExitFailure, err)
 	}
@@ -56,7 +56,7 @@
 
 // print fetches a path from the VM and prints the response as received or as a
 // table.
-func (o *outputFormat) print(c *cobra.Command, client *remote.Client, path string, table func(io.Writer, *remote.Response) error) error {
+func (o *outputFormat) print(c *cobra.Command, client *opapi.Client, path string, table func(io.Writer, *opapi.Response) error) error {
 	if err := o.validate(formatTable, formatJSON); err != nil {
 		return err
 	}
--- a/internal/proc/cmds/node.go
+++ b/internal/proc/cmds/node.go
@@ -14,11 +14,11 @@
 	"umberladder/internal/core/seal"
 	"umberladder/internal/proc/burn"
 	"umberladder/internal/proc/conf"
-	"umberladder/internal/proc/remote"
+	"umberladder/internal/proc/opapi"
 )
 
 func newStatus() *cobra.Command {
-	var client remote.Client
+	var client opapi.Client
 	var o outputFormat
 	var workspace string
 	c := &cobra.Command{
@@ -40,7 +40,7 @@
 	return c
 }
 
-func printStatus(w io.Writer, resp *remote.Response) error {
+func printStatus(w io.Writer, resp *opapi.Response) error {
 	v := resp.JSON()
 	fmt.Fprintf(w, "VM %s in %s, ready: %t, settings revision %d, %d claim shards with %d claims\n",
 		v.GetStringBytes("vm"), v.GetStringBytes("failure-domain"), v.GetBool("ready"),
@@ -53,7 +53,7 @@
 	return trace.Wrap(t.Flush())
 }
 
-func printUsage(w io.Writer, resp *remote.Response) error {
+func printUsage(w io.Writer, resp *opapi.Response) error {
 	v := resp.JSON()
 	fmt.Fprintf(w, "workspace %s: %d of %d requests open, limit of %d tokens a second (0: none)\n",
 		v.GetStringBytes("workspace"), v.GetInt("open"),
@@ -72,7 +72,7 @@
 }
 
 func newDrain() *cobra.Command {
-	var client remote.Client
+	var client opapi.Client
 	c := &cobra.Command{
 		Use:     "drain",
 		Short:   "Make a VM leave gracefully: it ends once every request has ended",
@@ -101,7 +101,7 @@
 }
 
 func newBurnReport() *cobra.Command {
-	var client remote.Client
+	var client opapi.Client
 	var o outputFormat
 	var localOnly bool
 	c := &cobra.Command{
@@ -131,7 +131,7 @@
 	return c
 }
 
-func printBurn(w io.Writer, resp *remote.Response, format string) error {
+func printBurn(w io.Writer, resp *opapi.Response, format string) error {
 	if format == formatJSON {
 		fmt.Fprintf(w, "%s\n", resp.Body)
 		return nil
--- a/internal/proc/cmds/settings.go
+++ b/internal/proc/cmds/settings.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"umberladder/internal/proc/conf"
-	"umberladder/internal/proc/remote"
+	"umberladder/internal/proc/opapi"
 	"umberladder/internal/state/config"
 )
 
@@ -96,7 +96,7 @@
 }
 
 func newGet() *cobra.Command {
-	var client remote.Client
+	var client opapi.Client
 	var o outputFormat
 	c := &cobra.Command{
 		Use:   "get [PATH]",
@@ -122,7 +122,7 @@
 	return c
 }
 
-func printPaths(w io.Writer, resp *remote.Response) error {
+func printPaths(w io.Writer, resp *opapi.Response) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "PATH\tVERSION")
 	for _, v := range resp.JSON().GetArray() {
@@ -140,7 +140,7 @@
 }
 
 func newPut() *cobra.Command {
-	var client remote.Client
+	var client opapi.Client
 	var flags putFlags
 	c := &cobra.Command{
 		Use:   "put PATH FILE",
@@ -168,7 +168,7 @@
 	return c
 }
 
-func (flags *putFlags) put(w io.Writer, client *remote.Client, path string, body []byte) error {
+func (flags *putFlags) put(w io.Writer, client *opapi.Client, path string, body []byte) error {
 	if flags.from < 0 {
 		return withExitCode(ExitUsage, errors.New("--from: want the version that was read, or 0 for a new document"))
 	}
@@ -206,7 +206,7 @@
 }
 
 func newHistory() *cobra.Command {
-	var client remote.Client
+	var client opapi.Client
 	var o outputFormat
 	c := &cobra.Command{
 		Use:     "history PATH",
@@ -222,7 +222,7 @@
 	return c
 }
 
-func printHistory(w io.Writer, resp *remote.Response) error {
+func printHistory(w io.Writer, resp *opapi.Response) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "AT\tBY\tCHANGE\tWHAT")
 	for _, v := range resp.JSON().GetArray("changes") {
--- a/internal/proc/cmds/trace.go
+++ b/internal/proc/cmds/trace.go
@@ -8,7 +8,7 @@
 	"github.com/gravitational/trace"
 	"github.com/spf13/cobra"
 
-	"umberladder/internal/proc/story"
+	"umberladder/internal/proc/reqlog"
 )
 
 func newTrace() *cobra.Command {
@@ -23,7 +23,7 @@
 			"  umberladder trace 9c41d07be2a35f68 --json <all.log | jq .reason",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			r := story.New(args[0])
+			r := reqlog.New(args[0])
 			if err := readLogs(r, args[1:], c.InOrStdin()); err != nil {
 				return withExitCode(ExitFailure, err)
 			}
@@ -40,7 +40,7 @@
 	return c
 }
 
-func readLogs(r *story.Reader, files []string, in io.Reader) error {
+func readLogs(r *reqlog.Reader, files []string, in io.Reader) error {
 	if len(files) == 0 {
 		return r.Read("standard input", in)
 	}
@@ -60,14 +60,14 @@
 
 // printBadLines prints the number of lines that could not be parsed, and the first of
 // them.
-func printBadLines(w io.Writer, bad []story.BadLine) {
+func printBadLines(w io.Writer, bad []reqlog.BadLine) {
 	if len(bad) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "%d lines passed over, the first: %s:%d: %v\n", len(bad), bad[0].File, bad[0].Line, bad[0].Err)
 }
 
-func printTimeline(w io.Writer, lines []story.Line, asJSON bool) {
+func printTimeline(w io.Writer, lines []reqlog.Line, asJSON bool) {
 	for _, l := range lines {
 		if asJSON {
 			fmt.Fprintln(w, l.Raw)
--- a/internal/proc/conf/conf_test.go
+++ b/internal/proc/conf/conf_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(strings.Replace(minimalNode, c.old, c.new, 1)))
-			check.Field(t, err, c.path, c.want)
+			check.FieldError(t, err, c.path, c.want)
 		})
 	}
 	_, err := Read("no such file")
@@ -66,13 +66,13 @@
 		"/limits/engine-idle":            n.Limits.EngineIdleTimeout,
 		"/limits/load-interval":          n.Limits.LoadInterval,
 		"/limits/drain-delay":            n.Limits.DrainDelay,
-		"/generation/patience":           n.Generation.Patience,
-		"/generation/detach":             n.Generation.Detach,
-		"/generation/resume-delay":       n.Generation.ResumeBase,
-		"/generation/resume-delay-limit": n.Generation.ResumeMax,
-		"/generation/resume-tries":       n.Generation.ResumeTry,
-		"/generation/start-tries":        n.Generation.StartTry,
-		"/generation/first-token-pace":   n.Generation.FirstPace,
+		"/generation/patience":           n.Generation.TokenTimeout,
+		"/generation/detach":             n.Generation.DetachTimeout,
+		"/generation/resume-delay":       n.Generation.ResumeDelay,
+		"/generation/resume-delay-limit": n.Generation.ResumeDelayLimit,
+		"/generation/resume-tries":       n.Generation.ResumeTries,
+		"/generation/start-tries":        n.Generation.StartTries,
+		"/generation/first-token-pace":   n.Generation.FirstTokenPace,
 		"/generation/token-pace":         n.Generation.TokenPace,
 	}
 	page, err := os.ReadFile("../../../docs/SETTINGS.md")
--- a/internal/proc/conf/edge.go
+++ b/internal/proc/conf/edge.go
@@ -16,7 +16,7 @@
 // Edge holds the settings of an edge VM, which serves a platform's clients.
 type Edge struct {
 	Name              ident.VM
-	Domain            ident.Domain
+	Domain            ident.FailureDomain
 	Callers           netip.AddrPort // HTTP for clients
 	Ready             netip.AddrPort // HTTP for the balancer's readiness checks
 	Metrics           netip.AddrPort // HTTP for metrics
@@ -27,17 +27,17 @@
 	LinkBitsPerSecond float64          // rate of the VM's network link
 	LogLevel          string
 	LogLinesPerSecond int           // maximum rate of the log
-	Revoke            time.Duration // how long an API key may be accepted after it was revoked
-	Apply             time.Duration // how long a settings change may take to be in force
-	Grace             time.Duration // time from the stop signal to the exit of the process
-	Retry             RetryShare
+	RevokeBound       time.Duration // how long an API key may be accepted after it was revoked
+	ApplyBound        time.Duration // how long a settings change may take to be in force
+	StopGrace         time.Duration // time from the stop signal to the exit of the process
+	RetryBudget       RetryBudget
 	// Quarantine configures the quarantine of requests that crash servers.
 	Quarantine poison.Config
 }
 
 // RetryBudget limits retries, summed over all VMs: in each window, at most Ratio
 // times the first attempts plus Extra.
-type RetryShare struct {
+type RetryBudget struct {
 	Ratio  float64 // retries per first attempt in the window
 	Extra  float64 // retries in the window allowed regardless of first attempts
 	Window time.Duration
@@ -80,13 +80,13 @@
 	DefaultProcessorCores = 1.0
 	DefaultLinkMbps       = 1000.0 // in Mbit/s
 	// DefaultLogLinesPerSecond allows three lines per call at 100 calls per second.
-	DefaultLogRate   = 300
-	DefaultRevoke    = 5 * time.Second
-	DefaultApply     = 3 * time.Second
-	DefaultStopGrace = 8 * time.Second
-	DefaultRatio     = 0.2
-	DefaultExtra     = 20.0
-	DefaultWindow    = 10 * time.Second
+	DefaultLogLinesPerSecond = 300
+	DefaultRevokeBound       = 5 * time.Second
+	DefaultApplyBound        = 3 * time.Second
+	DefaultStopGrace         = 8 * time.Second
+	DefaultRetryRatio        = 0.2
+	DefaultRetryExtra        = 20.0
+	DefaultRetryWindow       = 10 * time.Second
 	// DefaultQuarantineCrashes and DefaultQuarantineTime are the defaults for the
 	// quarantine of requests.
 	DefaultQuarantineCrashes = 3
@@ -96,7 +96,7 @@
 // DefaultQuarantine returns the quarantine configuration used if the settings file
 // has none.
 func DefaultQuarantine() poison.Config {
-	return poison.Config{Crashes: DefaultQuarantineCrashes, Time: DefaultQuarantineTime}
+	return poison.Config{CrashLimit: DefaultQuarantineCrashes, Duration: DefaultQuarantineTime}
 }
 
 // Range of the quarantine time. The maximum is the longest lease of the store.
@@ -125,10 +125,10 @@
 	if err := config.Decode(data, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	f := &config.Fields{}
+	f := &config.Validator{}
 	e := &Edge{
 		Name:              ident.VM(f.Name("/name", w.Name)),
-		Domain:            ident.Domain(f.Name("/failure-domain", w.Domain)),
+		Domain:            ident.FailureDomain(f.Name("/failure-domain", w.Domain)),
 		Callers:           f.Address("/callers-address", w.Callers),
 		Ready:             f.Address("/ready-address", w.Ready),
 		Metrics:           f.Address("/metrics-address", w.Metrics),
@@ -138,25 +138,25 @@
 		Cores:             f.Float("/processor-cores", w.Cores, DefaultProcessorCores, 0.001, 10_000),
 		LinkBitsPerSecond: f.Float("/link-mbit-per-second", w.Link, DefaultLinkMbps, 0.001, 1e7) * bitsPerMegabit,
 		LogLevel:          oneOf(f, "/log-level", w.LogLevel, DefaultLogLevel, logLevels),
-		LogLinesPerSecond: f.Int("/log-lines-per-second", w.LogRate, DefaultLogRate, 1, 1_000_000),
-		Revoke:            f.Duration("/revoke-bound", w.RevokeBound, DefaultRevoke, 500*time.Millisecond, time.Hour),
-		Apply:             f.Duration("/apply-bound", w.ApplyBound, DefaultApply, 1500*time.Millisecond, time.Hour),
-		Grace:             f.Duration("/stop-grace", w.StopGrace, DefaultStopGrace, 500*time.Millisecond, time.Hour),
-		Retry: RetryShare{
-			Ratio:  f.Float("/retry-budget/ratio", w.RetryBudget.Ratio, DefaultRatio, 0, 10),
-			Extra:  f.Float("/retry-budget/extra", w.RetryBudget.Extra, DefaultExtra, 0, 1e6),
-			Window: f.Duration("/retry-budget/window", w.RetryBudget.Window, DefaultWindow, 100*time.Millisecond, time.Hour),
+		LogLinesPerSecond: f.Int("/log-lines-per-second", w.LogRate, DefaultLogLinesPerSecond, 1, 1_000_000),
+		RevokeBound:       f.Duration("/revoke-bound", w.RevokeBound, DefaultRevokeBound, 500*time.Millisecond, time.Hour),
+		ApplyBound:        f.Duration("/apply-bound", w.ApplyBound, DefaultApplyBound, 1500*time.Millisecond, time.Hour),
+		StopGrace:         f.Duration("/stop-grace", w.StopGrace, DefaultStopGrace, 500*time.Millisecond, time.Hour),
+		RetryBudget: RetryBudget{
+			Ratio:  f.Float("/retry-budget/ratio", w.RetryBudget.Ratio, DefaultRetryRatio, 0, 10),
+			Extra:  f.Float("/retry-budget/extra", w.RetryBudget.Extra, DefaultRetryExtra, 0, 1e6),
+			Window: f.Duration("/retry-budget/window", w.RetryBudget.Window, DefaultRetryWindow, 100*time.Millisecond, time.Hour),
 		},
 		Quarantine: poison.Config{
-			Crashes: f.Int("/quarantine/crashes", w.Quarantine.Crashes, DefaultQuarantineCrashes, 1, 1000),
-			Time:    f.Duration("/quarantine/time", w.Quarantine.Time, DefaultQuarantineTime, minQuarantine, maxQuarantine),
+			CrashLimit: f.Int("/quarantine/crashes", w.Quarantine.Crashes, DefaultQuarantineCrashes, 1, 1000),
+			Duration:   f.Duration("/quarantine/time", w.Quarantine.Time, DefaultQuarantineTime, minQuarantine, maxQuarantine),
 		},
 	}
 	return e, f.Err()
 }
 
 // parseSeeds parses the addresses of the seed VMs.
-func parseSeeds(f *config.Fields, list []string) []netip.AddrPort {
+func parseSeeds(f *config.Validator, list []string) []netip.AddrPort {
 	out := make([]netip.AddrPort, 0, len(list))
 	for i, text := range list {
 		out = append(out, f.Address("/seeds/"+strconv.Itoa(i), text))
@@ -186,13 +186,13 @@
 		{"processor-cores", formatFloat(DefaultProcessorCores), "share of processor cores that the VM has; those with most work for all others"},
 		{"link-mbit-per-second", formatFloat(DefaultLinkMbps), "rate of the VM's link; as for processor-cores"},
 		{"log-level", DefaultLogLevel, "debug, info, warn or error"},
-		{"log-lines-per-second", strconv.Itoa(DefaultLogRate), "most log lines a second"},
-		{"revoke-bound", DefaultRevoke.String(), "how long after its end an API key may be served"},
-		{"apply-bound", DefaultApply.String(), "how long a change of the settings may take to be in force"},
+		{"log-lines-per-second", strconv.Itoa(DefaultLogLinesPerSecond), "most log lines a second"},
+		{"revoke-bound", DefaultRevokeBound.String(), "how long after its end an API key may be served"},
+		{"apply-bound", DefaultApplyBound.String(), "how long a change of the settings may take to be in force"},
 		{"stop-grace", DefaultStopGrace.String(), "from the signal to stop to the end of the process"},
-		{"retry-budget/ratio", formatFloat(DefaultRatio), "sendings beyond the first of each call, over all VMs, as a share of the first ones"},
-		{"retry-budget/extra", formatFloat(DefaultExtra), "sendings beyond these in each window"},
-		{"retry-budget/window", DefaultWindow.String(), "the window of the retry budget"},
+		{"retry-budget/ratio", formatFloat(DefaultRetryRatio), "sendings beyond the first of each call, over all VMs, as a share of the first ones"},
+		{"retry-budget/extra", formatFloat(DefaultRetryExtra), "sendings beyond these in each window"},
+		{"retry-budget/window", DefaultRetryWindow.String(), "the window of the retry budget"},
 		{"quarantine/crashes", strconv.Itoa(DefaultQuarantineCrashes), "servers that crash while they begin to run a request until it is quarantined"},
 		{"quarantine/time", DefaultQuarantineTime.String(), "how long a request is quarantined, and for how long a crash counts against it"},
 	}
--- a/internal/proc/conf/edge_test.go
+++ b/internal/proc/conf/edge_test.go
@@ -19,7 +19,7 @@
 func TestEdge(t *testing.T) {
 	e, err := conf.ParseEdge([]byte(edge))
 	assert.NilError(t, err)
-	assert.Equal(t, e.Revoke, conf.DefaultRevoke)
+	assert.Equal(t, e.RevokeBound, conf.DefaultRevokeBound)
 	for path, change := range map[string][2]string{
 		"/name":            {`"edge-1"`, `"Edge 1"`},
 		"/ready-address":   {`"10.0.0.1:81"`, `"10.0.0.1"`},
@@ -30,7 +30,7 @@
 		"/retry-budget/x":  {`{"name"`, `{"retry-budget":{"x":1},"name"`},
 	} {
 		_, err := conf.ParseEdge([]byte(strings.Replace(edge, change[0], change[1], 1)))
-		check.Field(t, err, path, "")
+		check.FieldError(t, err, path, "")
 	}
 }
 
@@ -52,8 +52,8 @@
 	})
 	e, err := conf.ParseEdge([]byte(text))
 	assert.NilError(t, err)
-	assert.Equal(t, e.Grace, 8*time.Second)
-	assert.Equal(t, e.Retry.Extra, 54.0)
+	assert.Equal(t, e.StopGrace, 8*time.Second)
+	assert.Equal(t, e.RetryBudget.Extra, 54.0)
 	assert.Equal(t, e.LinkBitsPerSecond, 20e6)
 	assert.Equal(t, len(e.Seeds), 1)
 }
--- a/internal/proc/conf/node.go
+++ b/internal/proc/conf/node.go
@@ -9,14 +9,14 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/seal"
-	"umberladder/internal/route/gener"
+	"umberladder/internal/route/infer"
 	"umberladder/internal/state/config"
 )
 
 // Node holds the settings of an entry VM (umberladder serve).
 type Node struct {
 	Name         ident.VM
-	Domain       ident.Domain
+	Domain       ident.FailureDomain
 	Callers      netip.AddrPort // HTTP for callers
 	Operators    netip.AddrPort // HTTP for operators
 	Peers        netip.AddrPort // UDP and TCP for other VMs
@@ -28,7 +28,7 @@
 	LogLevel     string
 	Placement    string
 	Limits       Limits
-	Generation   gener.Config
+	Generation   infer.Config
 	StoreBudget  StoreBudget
 }
 
@@ -70,7 +70,7 @@
 	if err := config.Decode(data, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	f := &config.Fields{}
+	f := &config.Validator{}
 	n := w.node(f)
 	return n, f.Err()
 }
--- a/internal/proc/conf/wire.go
+++ b/internal/proc/conf/wire.go
@@ -9,7 +9,7 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/seal"
-	"umberladder/internal/route/gener"
+	"umberladder/internal/route/infer"
 	"umberladder/internal/state/config"
 )
 
@@ -91,10 +91,10 @@
 	StoreBudget  storeBudgetWire `json:"store-budget,omitzero"`
 }
 
-func (w *nodeWire) node(f *config.Fields) *Node {
+func (w *nodeWire) node(f *config.Validator) *Node {
 	return &Node{
 		Name:         ident.VM(f.Name("/name", w.Name)),
-		Domain:       ident.Domain(f.Name("/failure-domain", w.Domain)),
+		Domain:       ident.FailureDomain(f.Name("/failure-domain", w.Domain)),
 		Callers:      f.Address("/callers-address", w.Callers),
 		Operators:    f.Address("/operators-address", w.Operators),
 		Peers:        f.Address("/peers-address", w.Peers),
@@ -114,38 +114,38 @@
 	}
 }
 
-func (w *nodeWire) secrets(f *config.Fields) []seal.Secret {
+func (w *nodeWire) secrets(f *config.Validator) []seal.Secret {
 	if len(w.Secrets) == 0 || len(w.Secrets) > seal.MaxSecrets {
-		f.Fault("/key-ring", "want 1 or %d secrets, got %d", seal.MaxSecrets, len(w.Secrets))
+		f.Errorf("/key-ring", "want 1 or %d secrets, got %d", seal.MaxSecrets, len(w.Secrets))
 	}
 	var out []seal.Secret
 	for i, s := range w.Secrets {
 		path := fmt.Sprintf("/key-ring/%d", i)
 		raw, err := hex.DecodeString(s.Secret)
 		if err != nil || len(raw) < seal.MinSecret {
-			f.Fault(path+"/secret", "want at least %d bytes in hexadecimal digits", seal.MinSecret)
+			f.Errorf(path+"/secret", "want at least %d bytes in hexadecimal digits", seal.MinSecret)
 		}
 		id := f.Int(path+"/id", s.ID, 0, 0, 255)
 		if slices.ContainsFunc(out, func(o seal.Secret) bool { return int(o.ID) == id }) {
-			f.Fault(path+"/id", "%d is there already", id)
+			f.Errorf(path+"/id", "%d is there already", id)
 		}
 		out = append(out, seal.Secret{ID: uint8(id), Bytes: raw})
 	}
 	return out
 }
 
-func oneOf(f *config.Fields, path string, s *string, def string, list []string) string {
+func oneOf(f *config.Validator, path string, s *string, def string, list []string) string {
 	if s == nil {
 		return def
 	}
 	if !slices.Contains(list, *s) {
-		f.Fault(path, "want one of %s, got %q", strings.Join(list, ", "), *s)
+		f.Errorf(path, "want one of %s, got %q", strings.Join(list, ", "), *s)
 		return def
 	}
 	return *s
 }
 
-func (w *limitsWire) limits(f *config.Fields) Limits {
+func (w *limitsWire) limits(f *config.Validator) Limits {
 	const p = "/limits/"
 	return Limits{
 		MaxBodyBytes:      f.Int(p+"body-bytes", w.MaxBodyBytes, DefaultMaxBodyBytes, 1<<10, 1<<30),
@@ -162,17 +162,17 @@
 	}
 }
 
-func (w *generationWire) config(f *config.Fields) gener.Config {
+func (w *generationWire) config(f *config.Validator) infer.Config {
 	const p = "/generation/"
-	d := gener.DefaultConfig()
-	return gener.Config{
-		Patience:   f.Duration(p+"patience", w.Patience, d.Patience, 10*time.Millisecond, time.Hour),
-		Detach:     f.Duration(p+"detach", w.Detach, d.Detach, 0, time.Hour),
-		ResumeBase: f.Duration(p+"resume-delay", w.ResumeBase, d.ResumeBase, time.Millisecond, time.Minute),
-		ResumeMax:  f.Duration(p+"resume-delay-limit", w.ResumeMax, d.ResumeMax, time.Millisecond, time.Minute),
-		ResumeTry:  f.Int(p+"resume-tries", w.ResumeTry, d.ResumeTry, 0, 100),
-		StartTry:   f.Int(p+"start-tries", w.StartTry, d.StartTry, 1, 100),
-		FirstPace:  f.Duration(p+"first-token-pace", w.FirstPace, d.FirstPace, time.Millisecond, time.Minute),
-		TokenPace:  f.Duration(p+"token-pace", w.TokenPace, d.TokenPace, time.Millisecond, time.Minute),
+	d := infer.DefaultConfig()
+	return infer.Config{
+		TokenTimeout:     f.Duration(p+"patience", w.Patience, d.TokenTimeout, 10*time.Millisecond, time.Hour),
+		DetachTimeout:    f.Duration(p+"detach", w.Detach, d.DetachTimeout, 0, time.Hour),
+		ResumeDelay:      f.Duration(p+"resume-delay", w.ResumeBase, d.ResumeDelay, time.Millisecond, time.Minute),
+		ResumeDelayLimit: f.Duration(p+"resume-delay-limit", w.ResumeMax, d.ResumeDelayLimit, time.Millisecond, time.Minute),
+		ResumeTries:      f.Int(p+"resume-tries", w.ResumeTry, d.ResumeTries, 0, 100),
+		StartTries:       f.Int(p+"start-tries", w.StartTry, d.StartTries, 1, 100),
+		FirstTokenPace:   f.Duration(p+"first-token-pace", w.FirstPace, d.FirstTokenPace, time.Millisecond, time.Minute),
+		TokenPace:        f.Duration(p+"token-pace", w.TokenPace, d.TokenPace, time.Millisecond, time.Minute),
 	}
 }
--- a/internal/proc/edge/counter.go
+++ b/internal/proc/edge/counter.go
@@ -17,7 +17,7 @@
 }
 
 // Ended implements task.Counter.
-func (c *recorder) Ended(e *task.End) {
+func (c *recorder) Ended(e *task.Result) {
 	kind, reason, ran := "", "", ""
 	if e.Route != nil {
 		kind = e.Route.Kind.String()
@@ -30,15 +30,15 @@
 		metricCalls, e.Service, kind, e.Status, reason, ran)).Inc()
 	c.metricSet.GetOrCreateHistogram(metricTimeToFirst + labels).Update(e.First.Seconds())
 	c.metricSet.GetOrCreateHistogram(metricDuration + labels).Update(e.Total.Seconds())
-	c.metricSet.GetOrCreateHistogram(metricMaxEventGap + labels).Update(e.Gap.Seconds())
+	c.metricSet.GetOrCreateHistogram(metricMaxEventGap + labels).Update(e.MaxEventGap.Seconds())
 	c.metricSet.GetOrCreateCounter(metricMigrations + labels).Add(e.Moves)
-	c.metricSet.GetOrCreateCounter(metricAttempts + labels).Add(e.Sent)
+	c.metricSet.GetOrCreateCounter(metricAttempts + labels).Add(e.Attempts)
 	c.logEnd(e, kind, reason, ran)
 }
 
 // logEnd logs the end of a call: at warn level if the call was refused or failed
 // with a 5xx status, at info level otherwise.
-func (c *recorder) logEnd(e *task.End, kind, reason, ran string) {
+func (c *recorder) logEnd(e *task.Result, kind, reason, ran string) {
 	level := zap.InfoLevel
 	if e.Refusal != nil || e.Status >= fasthttp.StatusInternalServerError {
 		level = zap.WarnLevel
@@ -62,12 +62,12 @@
 		zap.Duration("queued", e.Queued),
 		zap.Duration("first", e.First),
 		zap.Duration("total", e.Total),
-		zap.Int("sent", e.Sent),
+		zap.Int("sent", e.Attempts),
 		zap.Int("moves", e.Moves),
 		zap.Int("events", e.Events),
-		zap.Duration("gap", e.Gap),
-		zap.Uint64("settings-version", e.Version),
-		zap.Duration("settings-age", e.Age),
+		zap.Duration("gap", e.MaxEventGap),
+		zap.Uint64("settings-version", e.SettingsVersion),
+		zap.Duration("settings-age", e.SettingsAge),
 	}
 	if r := e.Refusal; r != nil {
 		fields = append(fields, zap.String("reason", reason), zap.String("ran", ran),
--- a/internal/proc/edge/metrics.go
+++ b/internal/proc/edge/metrics.go
@@ -80,32 +80,32 @@
 }
 
 // registerGauges exports state that the VM's components keep as gauges.
-func (v *VM) registerGauges(deps Ports) {
+func (v *VM) registerGauges(deps Deps) {
 	lines := func() (float64, float64) {
-		written, left := deps.Lines.Counts()
+		written, left := deps.LogSink.Counts()
 		return float64(written), float64(left)
 	}
 	for name, f := range map[string]func() float64{
 		metricLogLines:        func() float64 { n, _ := lines(); return n },
 		metricLogDropped:      func() float64 { _, n := lines(); return n },
-		metricConns:           func() float64 { return float64(v.front.Open()) },
+		metricConns:           func() float64 { return float64(v.front.OpenConns()) },
 		metricSettingsVersion: func() float64 { return float64(v.node.Version()) },
 		metricSettingsAge:     func() float64 { return v.node.Settings.Age().Seconds() },
-		metricKnownVersion:    func() float64 { return float64(v.node.Settings.Known()) },
-		metricSettingsBehind:  func() float64 { return v.node.Settings.Behind().Seconds() },
+		metricKnownVersion:    func() float64 { return float64(v.node.Settings.KnownVersion()) },
+		metricSettingsBehind:  func() float64 { return v.node.Settings.BehindFor().Seconds() },
 		metricServers:         func() float64 { return float64(v.node.Servers.View().Len()) },
 		metricServerDataAge:   func() float64 { return v.node.ServerFollower.Age().Seconds() },
-		metricLivePeers:       func() float64 { return float64(v.node.Hubs.Heard(time.Now())) },
-		metricIsHub:           func() float64 { return boolValue(v.node.Hubs.Hub(time.Now())) },
+		metricLivePeers:       func() float64 { return float64(v.node.Hubs.LivePeers(time.Now())) },
+		metricIsHub:           func() float64 { return boolValue(v.node.Hubs.IsHub(time.Now())) },
 		metricReporters: func() float64 {
-			_, n := v.node.Hubs.Count(time.Now())
+			_, n := v.node.Hubs.ReporterCounts(time.Now())
 			return float64(n)
 		},
 		metricWatchesStore:   func() float64 { return boolValue(v.node.WatchesStore()) },
-		metricQueued:         func() float64 { return float64(v.coordinator.Waiting()) },
+		metricQueued:         func() float64 { return float64(v.coordinator.QueueLen()) },
 		metricReady:          func() float64 { return boolValue(v.Ready()) },
 		metricServersLimited: func() float64 { return float64(v.node.Rates.LimitedCount(time.Now())) },
-		metricQuarantined:    func() float64 { return float64(v.node.Poison.Len(time.Now())) },
+		metricQuarantined:    func() float64 { return float64(v.node.Poison.QuarantinedCount(time.Now())) },
 	} {
 		v.metricSet.NewGauge(name, f)
 	}
@@ -114,11 +114,11 @@
 
 // registerMessageGauges exports the calls to the store and the messages to other
 // VMs, by kind.
-func (v *VM) registerMessageGauges(deps Ports) {
-	for kind := range deps.Calls() {
-		v.metricSet.NewGauge(fmt.Sprintf("%s{kind=%q}", metricStoreCalls, kind), func() float64 { return float64(deps.Calls()[kind]) })
+func (v *VM) registerMessageGauges(deps Deps) {
+	for kind := range deps.StoreCalls() {
+		v.metricSet.NewGauge(fmt.Sprintf("%s{kind=%q}", metricStoreCalls, kind), func() float64 { return float64(deps.StoreCalls()[kind]) })
 	}
-	for k := range gossip.Kinds {
+	for k := range gossip.NumKinds {
 		v.metricSet.NewGauge(fmt.Sprintf("%s{kind=%q}", metricMessages, k), func() float64 { return float64(v.node.Sent(k).Messages) })
 		v.metricSet.NewGauge(fmt.Sprintf("%s{kind=%q}", metricMessageBytes, k), func() float64 { return float64(v.node.Sent(k).Bytes) })
 	}
--- a/internal/proc/edge/reload.go
+++ b/internal/proc/edge/reload.go
@@ -65,8 +65,8 @@
 	restart := old.Name != cfg.Name || old.Callers != cfg.Callers || old.Ready != cfg.Ready || old.Peers != cfg.Peers ||
 		old.Store != cfg.Store || old.Metrics != cfg.Metrics || old.Domain != cfg.Domain
 	updated := *old
-	updated.Revoke, updated.Grace, updated.Retry = cfg.Revoke, cfg.Grace, cfg.Retry
+	updated.RevokeBound, updated.StopGrace, updated.RetryBudget = cfg.RevokeBound, cfg.StopGrace, cfg.RetryBudget
 	v.cfg.Store(&updated)
-	v.node.Budget.Set(cfg.Retry.Ratio, cfg.Retry.Extra)
+	v.node.Budget.SetLimits(cfg.RetryBudget.Ratio, cfg.RetryBudget.Extra)
 	v.log.Info("settings reloaded", zap.String("why", why), zap.Bool("needs-restart", restart))
 }
--- a/internal/proc/edge/reload_test.go
+++ b/internal/proc/edge/reload_test.go
@@ -18,15 +18,15 @@
 const settingsFile = `{"name":"edge-1","failure-domain":"a","callers-address":"10.0.0.1:80","ready-address":"10.0.0.1:81",
 "metrics-address":"10.0.0.1:82","peers-address":"10.0.0.1:83","store-address":"10.0.0.2:80","revoke-bound":"5s"}`
 
-type nobody struct{}
+type noReporters struct{}
 
-func (nobody) Count(time.Time) (int, int) { return 0, 0 }
+func (noReporters) ReporterCounts(time.Time) (int, int) { return 0, 0 }
 
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "edge.json")
 	cfg, err := conf.ParseEdge([]byte(settingsFile))
 	assert.NilError(t, err)
-	v := &VM{log: zap.NewNop(), node: &peers.Node{Budget: retry.NewWindow(0, 0, time.Second, nobody{})}}
+	v := &VM{log: zap.NewNop(), node: &peers.Node{Budget: retry.NewFleetBudget(0, 0, time.Second, noReporters{})}}
 	v.cfg.Store(cfg)
 	for _, tc := range []struct {
 		old, new string
@@ -38,7 +38,7 @@
 	} {
 		assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(settingsFile, tc.old, tc.new, 1)), 0o600))
 		v.reload(path, "test")
-		assert.Equal(t, v.cfg.Load().Revoke, tc.revoke)
+		assert.Equal(t, v.cfg.Load().RevokeBound, tc.revoke)
 		assert.Equal(t, v.cfg.Load().Callers, cfg.Callers, "an address needs a new start")
 	}
 }
--- a/internal/proc/edge/vm.go
+++ b/internal/proc/edge/vm.go
@@ -13,22 +13,22 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/core/awake"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/peer/front"
 	"umberladder/internal/peer/share"
 	"umberladder/internal/policy/health"
 	"umberladder/internal/proc/conf"
 	"umberladder/internal/proc/peers"
 	"umberladder/internal/proc/sink"
-	"umberladder/internal/route/desk"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/route/pick"
+	"umberladder/internal/route/placer"
 	"umberladder/internal/route/port"
 	"umberladder/internal/route/probe"
 	"umberladder/internal/route/relay"
 	"umberladder/internal/route/task"
 	"umberladder/internal/state/follow"
-	"umberladder/internal/state/names"
+	"umberladder/internal/state/hubreg"
 )
 
 const (
@@ -53,27 +53,27 @@
 
 // Ingress translates the platform's HTTP requests into calls of a relay and
 // responds to requests that cannot be read.
-type Codec interface {
-	Handle(ctx context.Context, r *front.Request, w *front.Reply)
-	Reject(w *front.Reply, f front.Fault, detail string)
+type Ingress interface {
+	Handle(ctx context.Context, r *front.Request, w *front.ResponseWriter)
+	Reject(w *front.ResponseWriter, f front.ErrorKind, detail string)
 }
 
 // Backend sends requests to backend servers.
 type Backend interface {
 	port.Backend
-	probe.Engines
+	probe.Reporter
 }
 
 // Deps are the platform-specific components that a VM is built from.
-type Ports struct {
-	Settings follow.SettingsSource
-	Servers  follow.ServerSource
-	Backend  Backend
-	Codec    func(r *relay.Relay) Codec
-	Names    names.Registry
-	Share    *share.Client            // fetches settings and server entries from other VMs
-	Calls    func() map[string]uint64 // returns the number of calls to the store, by kind
-	Lines    *sink.Writer             // receives the log lines
+type Deps struct {
+	Settings   follow.SettingsSource
+	Servers    follow.ServerSource
+	Backend    Backend
+	NewIngress func(r *relay.Relay) Ingress
+	Registry   hubreg.Registry
+	Share      *share.Client            // fetches settings and server entries from other VMs
+	StoreCalls func() map[string]uint64 // returns the number of calls to the store, by kind
+	LogSink    *sink.Writer             // receives the log lines
 }
 
 // VM is an edge VM.
@@ -83,8 +83,8 @@
 	metricSet   *metrics.Set
 	logSink     *sink.Writer
 	node        *peers.Node
-	coordinator *homes.Home
-	placer      *desk.Desk
+	coordinator *coord.Coordinator
+	placer      *placer.Placer
 	prober      *probe.Prober
 	relay       *relay.Relay
 	front       *front.Server
@@ -92,37 +92,37 @@
 }
 
 // New returns a VM built from its settings file and the platform's components.
-func New(cfg *conf.Edge, deps Ports, group *errgroup.Group, log *zap.Logger) *VM {
-	node := peers.New(cfg, peers.Deps{Settings: deps.Settings, Servers: deps.Servers, Registry: deps.Names, Share: deps.Share}, group, log)
-	v := &VM{log: log, metricSet: metrics.NewSet(), logSink: deps.Lines, node: node}
+func New(cfg *conf.Edge, deps Deps, group *errgroup.Group, log *zap.Logger) *VM {
+	node := peers.New(cfg, peers.Deps{Settings: deps.Settings, Servers: deps.Servers, Registry: deps.Registry, Share: deps.Share}, group, log)
+	v := &VM{log: log, metricSet: metrics.NewSet(), logSink: deps.LogSink, node: node}
 	v.cfg.Store(cfg)
 	healthTracker := health.New()
 	chooser := pick.NewChooser(node.Servers, node.Alloc, healthTracker, node.Rates)
-	v.coordinator = homes.NewHome(chooser)
-	v.prober = probe.New(node.Servers, deps.Backend, node.ServicesToProbe, chooser.Failed, group, log)
-	v.placer = desk.New(cfg.Name, uint64(time.Now().UnixNano()), chooser, v.coordinator, node.CoordinatorOrder, node, v.countPlacement, log)
-	v.relay = relay.New(task.Parts{
+	v.coordinator = coord.New(chooser)
+	v.prober = probe.New(node.Servers, deps.Backend, node.ServicesToProbe, chooser.MarkUnreachable, group, log)
+	v.placer = placer.New(cfg.Name, uint64(time.Now().UnixNano()), chooser, v.coordinator, node.CoordinatorOrder, node, v.countPlacement, log)
+	v.relay = relay.New(task.Deps{
 		Config: task.Config{
-			Domain: cfg.Domain,
-			Revoke: func() time.Duration { return v.cfg.Load().Revoke },
-			Apply:  func() time.Duration { return v.cfg.Load().Apply },
+			Domain:      cfg.Domain,
+			RevokeDelay: func() time.Duration { return v.cfg.Load().RevokeBound },
+			ApplyDelay:  func() time.Duration { return v.cfg.Load().ApplyBound },
 		},
 		Settings: node.Settings,
 		Refresh:  node,
 		Servers:  node.Servers,
-		Seats:    node.Alloc,
+		Alloc:    node.Alloc,
 		Budget:   node.Budget,
 		Health:   healthTracker,
 		Rates:    node.Rates,
 		Poison:   node.Poison,
-		Places:   v.placer,
+		Placer:   v.placer,
 		Backend:  deps.Backend,
-		Clock:    awake.Now,
+		Clock:    uptime.Now,
 		Log:      log.Named(sink.CallsLogger),
 		Group:    group,
 		Count:    &recorder{log: log.Named(sink.CallsLogger), metricSet: v.metricSet},
 	})
-	ingress := deps.Codec(v.relay)
+	ingress := deps.NewIngress(v.relay)
 	v.front = front.New(ingress.Handle, ingress.Reject, v.limits, log)
 	v.registerGauges(deps)
 	return v
@@ -131,9 +131,9 @@
 func (v *VM) limits() front.Limits {
 	s := v.node.Settings.Load()
 	if s == nil {
-		return front.Limits{Header: defaultMaxHeaderBytes, Body: defaultMaxBodyBytes, HeaderTime: defaultHeaderTimeout, Idle: defaultIdleTimeout}
+		return front.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 	}
-	return front.Limits{Header: s.Limits.Header, Body: s.Limits.Body, HeaderTime: s.Limits.HeaderTime, Idle: s.Limits.Idle}
+	return front.Limits{MaxHeaderBytes: s.Limits.MaxHeaderBytes, MaxBodyBytes: s.Limits.MaxBodyBytes, HeaderTimeout: s.Limits.HeaderTimeout, IdleTimeout: s.Limits.IdleTimeout}
 }
 
 // Ready reports whether the balancer should send clients here. A VM that cannot
@@ -145,11 +145,11 @@
 		return false
 	}
 	now := time.Now()
-	if !v.node.Hubs.Touch(names.TouchTime, now) && v.node.Hubs.StoreAnswers(now) {
+	if !v.node.Hubs.StoreRespondedWithin(hubreg.ReachableTime, now) && v.node.Hubs.PeersReachStore(now) {
 		return false
 	}
 	cfg := v.cfg.Load()
-	return v.node.Settings.Age() < cfg.Revoke-readyMargin && v.node.Settings.Behind() < cfg.Apply-readyMargin
+	return v.node.Settings.Age() < cfg.RevokeBound-readyMargin && v.node.Settings.BehindFor() < cfg.ApplyBound-readyMargin
 }
 
 // Run serves until stop is done, and then until every request has ended or the
@@ -197,24 +197,24 @@
 // exitReserve has passed.
 func (v *VM) shutDown(ln net.Listener) {
 	start := time.Now()
-	v.log.Info("stopping", zap.Int64("connections", v.front.Open()))
+	v.log.Info("stopping", zap.Int64("connections", v.front.OpenConns()))
 	v.stopping.Store(true)
 	v.node.Hubs.Leave()
 	v.front.Drain()
-	end := start.Add(v.cfg.Load().Grace - exitReserve)
-	v.relay.Stop(end)
+	end := start.Add(v.cfg.Load().StopGrace - exitReserve)
+	v.relay.Drain(end)
 	for time.Now().Before(end) {
 		if time.Since(start) > acceptTime {
 			_ = ln.Close()
 			v.front.CloseIdle(acceptTime)
-			if v.front.Open() == 0 {
+			if v.front.OpenConns() == 0 {
 				break
 			}
 		}
 		time.Sleep(drainPollInterval)
 	}
 	_ = ln.Close()
-	v.log.Info("stopped", zap.Int64("connections-cut", v.front.Open()), zap.Duration("after", time.Since(start)))
+	v.log.Info("stopped", zap.Int64("connections-cut", v.front.OpenConns()), zap.Duration("after", time.Since(start)))
 }
 
 // serveReadyAndMetrics starts the HTTP servers for readiness checks and metrics.
--- a/internal/proc/remote/vm.go
+++ b/internal/proc/opapi/vm.go
@@ -1,5 +1,5 @@
 // Package opapi is the command line's client for the operators' API of a VM.
-package remote
+package opapi
 
 import (
 	"fmt"
--- a/internal/proc/peers/crashes.go
+++ b/internal/proc/peers/crashes.go
@@ -32,7 +32,7 @@
 }
 
 // mergeFindings merges another VM's findings about requests that crash servers.
-func (n *Node) mergeFindings(s *wire.State, now time.Time) {
+func (n *Node) mergeFindings(s *wire.Message, now time.Time) {
 	c := n.Poison.Merge(s.Findings, now)
 	for _, list := range [][]call.Fingerprint{c.Quarantined, c.Released} {
 		for _, f := range list {
--- a/internal/proc/peers/node.go
+++ b/internal/proc/peers/node.go
@@ -10,53 +10,53 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/core/awake"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/peer/gossip"
 	"umberladder/internal/peer/share"
 	"umberladder/internal/policy/poison"
 	"umberladder/internal/policy/rates"
 	"umberladder/internal/policy/retry"
 	"umberladder/internal/proc/conf"
-	"umberladder/internal/route/desk"
-	"umberladder/internal/route/homes"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/route/coord"
+	"umberladder/internal/route/placer"
 	"umberladder/internal/state/follow"
+	"umberladder/internal/state/hubreg"
 	"umberladder/internal/state/hubs"
-	"umberladder/internal/state/names"
 	"umberladder/internal/state/routes"
+	"umberladder/internal/state/srvtab"
 )
 
 // Deps are the platform-specific components that a node is built from.
 type Deps struct {
 	Settings follow.SettingsSource
 	Servers  follow.ServerSource
-	Registry names.Registry
+	Registry hubreg.Registry
 	Share    *share.Client // fetches settings and server entries from other VMs
 }
 
 // Node holds one VM's shared state and exchanges it with the other VMs.
 type Node struct {
-	Settings       *routes.Book
-	Servers        *backs.Table
-	Alloc          *seats.Book
-	Hubs           *hubs.Hubs
-	Budget         *retry.Window
-	Poison         *poison.Book
-	Rates          *rates.Book
-	ServerFollower *follow.Servers
+	Settings       *routes.Current
+	Servers        *srvtab.Table
+	Alloc          *alloc.Tracker
+	Hubs           *hubs.Tracker
+	Budget         *retry.FleetBudget
+	Poison         *poison.Detector
+	Rates          *rates.Limiter
+	ServerFollower *follow.ServerFollower
 
 	cfg              *conf.Edge
-	settingsFollower *follow.Settings
-	registrar        *names.Keeper
+	settingsFollower *follow.SettingsFollower
+	registrar        *hubreg.Registrar
 	share            *share.Client
 	group            *errgroup.Group
 	log              *zap.Logger
 	fetchingSettings atomic.Bool // newer settings are being fetched
-	agent            atomic.Pointer[gossip.Gossip]
+	agent            atomic.Pointer[gossip.Agent]
 	announceNow      chan struct{} // holds an element while changes are to be announced to all VMs
-	coordinator      *homes.Home
-	placer           *desk.Desk
+	coordinator      *coord.Coordinator
+	placer           *placer.Placer
 }
 
 // New returns a node without settings, servers or known VMs.
@@ -64,8 +64,8 @@
 	start := time.Now()
 	self := hubs.Candidate{VM: cfg.Name, Addr: cfg.Peers, Capacity: hubs.CapacityOf(cfg.Cores, cfg.LinkBitsPerSecond), Domain: cfg.Domain}
 	n := &Node{
-		Settings:    routes.NewBook(awake.Now),
-		Alloc:       seats.New(),
+		Settings:    routes.NewCurrent(uptime.Now),
+		Alloc:       alloc.New(),
 		Hubs:        hubs.New(self, cfg.Seeds, start),
 		cfg:         cfg,
 		share:       deps.Share,
@@ -73,33 +73,33 @@
 		log:         log,
 		announceNow: make(chan struct{}, 1),
 	}
-	n.Servers = backs.NewTable(n.announce)
-	n.Budget = retry.NewWindow(cfg.Retry.Ratio, cfg.Retry.Extra, cfg.Retry.Window, n.Hubs)
+	n.Servers = srvtab.NewTable(n.announce)
+	n.Budget = retry.NewFleetBudget(cfg.RetryBudget.Ratio, cfg.RetryBudget.Extra, cfg.RetryBudget.Window, n.Hubs)
 	n.Poison = poison.New(cfg.Quarantine, n.quarantinesChanged)
 	n.Rates = rates.New(n.Budget, n.limitChanged)
-	n.registrar = names.New(self, start, n.Hubs, deps.Registry, n.Poison, n.reportNow, log)
-	n.settingsFollower = follow.NewSettings(deps.Settings, n.Settings, awake.Now, n.settingsFromPeers, n.probesStore, n.announce, log)
-	n.ServerFollower = follow.NewServers(deps.Servers, n.Servers, awake.Now, n.serversFromPeers, n.probesStore, n.leadsWatch, n.announce, n.fetchServers, log)
+	n.registrar = hubreg.New(self, start, n.Hubs, deps.Registry, n.Poison, n.reportNow, log)
+	n.settingsFollower = follow.NewSettingsFollower(deps.Settings, n.Settings, uptime.Now, n.settingsFromPeers, n.probesStore, n.announce, log)
+	n.ServerFollower = follow.NewServerFollower(deps.Servers, n.Servers, uptime.Now, n.serversFromPeers, n.probesStore, n.leadsWatch, n.announce, n.fetchServers, log)
 	return n
 }
 
 // Run starts the exchange with the store and other VMs, which lasts until ctx ends.
 // Placement requests from other VMs go to the coordinator c, and responses to this
 // VM's own requests to the placer p.
-func (n *Node) Run(ctx context.Context, c *homes.Home, p *desk.Desk) error {
+func (n *Node) Run(ctx context.Context, c *coord.Coordinator, p *placer.Placer) error {
 	n.coordinator, n.placer = c, p
 	ln, err := net.Listen("tcp", n.cfg.Peers.String())
 	if err != nil {
 		return trace.Wrap(err, "/peers-address")
 	}
 	share.NewServer(shareSource{n}, n.cfg.LinkBitsPerSecond, n.log).Serve(ctx, ln, n.group)
-	agent, err := gossip.New(n.cfg.Name, uint64(time.Now().UnixNano()), n.cfg.Peers, &local{node: n, ctx: ctx}, n.Hubs, n.log)
+	agent, err := gossip.New(n.cfg.Name, uint64(time.Now().UnixNano()), n.cfg.Peers, &delegate{node: n, ctx: ctx}, n.Hubs, n.log)
 	if err != nil {
 		return trace.Wrap(err, "/peers-address")
 	}
 	n.agent.Store(agent)
 	for _, loop := range []func(context.Context){
-		n.settingsFollower.Run, n.ServerFollower.Run, n.ServerFollower.Expire, n.registrar.Run, agent.Send, agent.Receive,
+		n.settingsFollower.Run, n.ServerFollower.Run, n.ServerFollower.Expire, n.registrar.Run, agent.RunSender, agent.RunReceiver,
 	} {
 		n.group.Go(func() error {
 			loop(ctx)
--- a/internal/proc/peers/shared.go
+++ b/internal/proc/peers/shared.go
@@ -3,7 +3,7 @@
 import (
 	"go.uber.org/zap"
 
-	"umberladder/internal/core/awake"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/peer/share"
 	"umberladder/internal/state/follow"
 )
@@ -14,17 +14,17 @@
 
 // Settings implements share.Source.
 func (s shareSource) Settings() (share.Settings, bool) {
-	freshAt, snap := s.node.Settings.Fresh(), s.node.Settings.Load()
+	freshAt, snap := s.node.Settings.FreshAt(), s.node.Settings.Load()
 	if snap == nil {
 		return share.Settings{}, false
 	}
-	compressed, err := snap.Source.Packed()
+	compressed, err := snap.Source.Compressed()
 	if err != nil {
 		s.node.log.Error("settings not compressed", zap.Uint64("version", snap.Version), zap.Error(err))
 		return share.Settings{}, false
 	}
-	return share.Settings{Packed: compressed, Version: snap.Version, Age: awake.Now().Sub(freshAt)}, true
+	return share.Settings{Compressed: compressed, Version: snap.Version, Age: uptime.Now().Sub(freshAt)}, true
 }
 
 // Servers implements share.Source.
-func (s shareSource) Servers() (follow.News, bool) { return s.node.ServerFollower.All() }
+func (s shareSource) Servers() (follow.Update, bool) { return s.node.ServerFollower.Snapshot() }
--- a/internal/proc/peers/told.go
+++ b/internal/proc/peers/told.go
@@ -9,12 +9,12 @@
 
 	"go.uber.org/zap"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/ident"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/peer/share"
 	"umberladder/internal/peer/wire"
 	"umberladder/internal/policy/retry"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/state/follow"
 	"umberladder/internal/state/hubs"
 )
@@ -46,7 +46,7 @@
 
 // delegate provides this VM's state to gossip and applies the state of other VMs. It
 // implements gossip.Delegate.
-type local struct {
+type delegate struct {
 	node *Node
 	// ctx ends when the VM stops.
 	ctx context.Context
@@ -57,97 +57,97 @@
 // reads them itself.
 func (n *Node) settingsFromPeers() bool {
 	now := time.Now()
-	if n.Hubs.Asks(now) {
+	if n.Hubs.ShouldWatch(now) {
 		return false
 	}
-	return n.Settings.Load() == nil || n.Settings.Age() < maxSettingsAge || !n.Hubs.Answers(now)
+	return n.Settings.Load() == nil || n.Settings.Age() < maxSettingsAge || !n.Hubs.StoreReachable(now)
 }
 
 // probesStore reports whether this VM probes an unreachable store frequently, to
 // detect its recovery early.
-func (n *Node) probesStore() bool { return n.Hubs.First(time.Now()) }
+func (n *Node) probesStore() bool { return n.Hubs.ProbesStore(time.Now()) }
 
 // leadsWatch reports whether no VM ranked before this one watches the store and
 // receives responses from it.
-func (n *Node) leadsWatch() bool { return n.Hubs.Lead(time.Now()) }
+func (n *Node) leadsWatch() bool { return n.Hubs.LeadsWatch(time.Now()) }
 
 // serversFromPeers reports whether this VM receives changes of servers from other VMs
 // instead of watching the store.
-func (n *Node) serversFromPeers() bool { return !n.Hubs.Asks(time.Now()) }
+func (n *Node) serversFromPeers() bool { return !n.Hubs.ShouldWatch(time.Now()) }
 
 // storeStatus returns what this VM reports about its access to the store.
 func (n *Node) storeStatus(now time.Time) hubs.StoreStatus {
-	return hubs.StoreStatus{Asks: n.Hubs.Asks(now), Age: n.ServerFollower.Age()}
+	return hubs.StoreStatus{Watching: n.Hubs.ShouldWatch(now), Age: n.ServerFollower.Age()}
 }
 
 // FillReport implements gossip.Delegate.
-func (l *local) Report(s *wire.State, now time.Time) {
+func (l *delegate) FillReport(s *wire.Message, now time.Time) {
 	n := l.node
-	s.Loads = n.Alloc.Own()
-	s.Sent = n.Budget.Sent(now)
+	s.Loads = n.Alloc.Local()
+	s.Attempts = n.Budget.Report(now)
 	s.Findings = n.Poison.Report(now)
 	s.Limits = n.Rates.Report(now)
 	l.fillCommon(s, now)
-	if s.Store.Asks {
+	if s.Store.Watching {
 		l.fillServerUpdate(s, now)
 	}
 }
 
 // FillResponse implements gossip.Delegate.
-func (l *local) Answer(s *wire.State, to ident.VM, now time.Time) {
-	total := l.node.Budget.Rest(to, now)
-	s.Hub.Known, s.Hub.Heard, s.Hub.Rest = total.Known, total.Heard, total.Sent
-	s.Findings = l.node.Poison.Answer(to, now)
-	s.Limits = l.node.Rates.Answer(to, now)
+func (l *delegate) FillResponse(s *wire.Message, to ident.VM, now time.Time) {
+	total := l.node.Budget.Response(to, now)
+	s.Hub.Known, s.Hub.Reporting, s.Hub.PeerAttempts = total.Known, total.Reporting, total.Attempts
+	s.Findings = l.node.Poison.Response(to, now)
+	s.Limits = l.node.Rates.Response(to, now)
 	l.fillCommon(s, now)
 	l.fillServerUpdate(s, now)
 }
 
 // fillCommon fills in the fields that reports and hub responses have in common.
-func (l *local) fillCommon(s *wire.State, now time.Time) {
+func (l *delegate) fillCommon(s *wire.Message, now time.Time) {
 	n := l.node
-	self := n.Hubs.Own()
+	self := n.Hubs.Self()
 	s.Capacity, s.Domain = self.Capacity, self.Domain
-	s.Leaving = n.Servers.Leaving(now)
-	s.Draining = n.Servers.Draining(now)
-	s.Verdicts = n.Poison.Digest(now)
-	s.Version = n.Version()
+	s.Retired = n.Servers.RetiredToAnnounce(now)
+	s.Draining = n.Servers.DrainsToAnnounce(now)
+	s.QuarantineDigest = n.Poison.Digest(now)
+	s.SettingsVersion = n.Version()
 	s.Store = n.storeStatus(now)
 }
 
-func (l *local) fillServerUpdate(s *wire.State, now time.Time) {
-	if n, ok := l.node.ServerFollower.News(now); ok {
-		s.News = &n
+func (l *delegate) fillServerUpdate(s *wire.Message, now time.Time) {
+	if n, ok := l.node.ServerFollower.RecentChanges(now); ok {
+		s.ServerUpdate = &n
 	}
 }
 
 // reportOf returns the sender's report about itself in a message.
-func reportOf(s *wire.State, from netip.AddrPort) hubs.Report {
+func reportOf(s *wire.Message, from netip.AddrPort) hubs.Report {
 	return hubs.Report{Candidate: hubs.Candidate{VM: s.VM, Addr: from, Capacity: s.Capacity, Domain: s.Domain}, StoreStatus: s.Store}
 }
 
 // HandleReport implements gossip.Delegate.
-func (l *local) Hear(s *wire.State, from netip.AddrPort, now time.Time) {
+func (l *delegate) HandleReport(s *wire.Message, from netip.AddrPort, now time.Time) {
 	n := l.node
-	n.Hubs.Reported(reportOf(s, from), now)
-	n.Budget.Hear(s.VM, s.Sent, now)
-	n.Poison.Reported(s.VM, s.Verdicts)
-	n.Rates.Reported(s.VM, s.Limits, now)
+	n.Hubs.HandleReport(reportOf(s, from), now)
+	n.Budget.HandleReport(s.VM, s.Attempts, now)
+	n.Poison.HandleReport(s.VM, s.QuarantineDigest)
+	n.Rates.HandleReport(s.VM, s.Limits, now)
 	if s.HasLoads() {
-		n.Alloc.Hear(s.VM, s.Boot, s.Seq, s.Part, s.Loads, now)
+		n.Alloc.UpdatePeer(s.VM, s.Boot, s.Seq, s.Part, s.Loads, now)
 	}
 	l.applyCommon(s, from, true, now)
 }
 
 // HandleResponse implements gossip.Delegate.
-func (l *local) Learn(s *wire.State, from netip.AddrPort, now time.Time) {
+func (l *delegate) HandleResponse(s *wire.Message, from netip.AddrPort, now time.Time) {
 	n := l.node
-	if n.Hubs.Answered(reportOf(s, from), s.Hub.Names, s.Hub.Digest, now) {
+	if n.Hubs.HandleResponse(reportOf(s, from), s.Hub.Candidates, s.Hub.CandidateDigest, now) {
 		n.reportNow()
 	}
-	n.Budget.Learn(s.VM, retry.Total{At: now, Known: s.Hub.Known, Heard: s.Hub.Heard, Sent: s.Hub.Rest})
-	n.Poison.HubAnswered(s.VM, s.Boot, s.Verdicts, now)
-	n.Rates.HubAnswered(s.VM, s.Hub.Heard, s.Limits, now)
+	n.Budget.HandleResponse(s.VM, retry.FleetTotal{At: now, Known: s.Hub.Known, Reporting: s.Hub.Reporting, Attempts: s.Hub.PeerAttempts})
+	n.Poison.HandleResponse(s.VM, s.Boot, s.QuarantineDigest, now)
+	n.Rates.HandleResponse(s.VM, s.Hub.Reporting, s.Limits, now)
 	l.applyCommon(s, from, false, now)
 	if s.Reply != nil {
 		l.handleVersionReply(*s.Reply, from)
@@ -157,27 +157,27 @@
 // applyCommon applies another VM's state of servers and settings. If forward is set,
 // as for reports, retired and draining servers are also announced to the VMs that
 // report to this one.
-func (l *local) applyCommon(s *wire.State, from netip.AddrPort, forward bool, now time.Time) {
+func (l *delegate) applyCommon(s *wire.Message, from netip.AddrPort, forward bool, now time.Time) {
 	n := l.node
 	n.mergeFindings(s, now)
-	if s.News != nil {
-		n.ServerFollower.Learn(*s.News, now)
+	if s.ServerUpdate != nil {
+		n.ServerFollower.ApplyUpdate(*s.ServerUpdate, now)
 	}
-	for _, id := range n.Servers.Drains(s.Draining, forward, now) {
+	for _, id := range n.Servers.MarkAllDraining(s.Draining, forward, now) {
 		n.log.Info("server drains", zap.String("server", string(id)), zap.String("reported-by", string(s.VM)))
 	}
-	for _, id := range n.Servers.Receive(s.Leaving, forward) {
+	for _, id := range n.Servers.ApplyRetired(s.Retired, forward) {
 		n.log.Info("server leaves", zap.String("server", string(id)), zap.String("reported-by", string(s.VM)))
 	}
-	if s.Version > n.Version() {
-		l.fetchNewer(s.Version, from)
+	if s.SettingsVersion > n.Version() {
+		l.fetchNewer(s.SettingsVersion, from)
 	}
 }
 
 // fetchNewer fetches newer settings from the VM that announced them, or from the
 // store if that fails.
-func (l *local) fetchNewer(version uint64, from netip.AddrPort) {
-	l.node.Settings.Hear(version, awake.Now())
+func (l *delegate) fetchNewer(version uint64, from netip.AddrPort) {
+	l.node.Settings.RecordVersion(version, uptime.Now())
 	if !l.node.fetchingSettings.CompareAndSwap(false, true) {
 		return
 	}
@@ -185,13 +185,13 @@
 		defer l.node.fetchingSettings.Store(false)
 		if err := l.node.fetchSettings(l.ctx, version, from); err != nil {
 			l.node.log.Info("settings not taken from another VM", zap.Uint64("version", version), zap.Stringer("from", from),
-				zap.Duration("behind", l.node.Settings.Behind()), zap.Error(err))
-			l.node.settingsFollower.Learn(l.ctx, version, 0)
+				zap.Duration("behind", l.node.Settings.BehindFor()), zap.Error(err))
+			l.node.settingsFollower.HandleVersion(l.ctx, version, 0)
 		}
 		if l.node.Version() < version {
 			// Without the pause, each message from each VM would start another
 			// read of a store that does not respond.
-			retry.Pause(l.ctx, fetchRetryPause+rand.N(fetchRetryPause))
+			retry.Sleep(l.ctx, fetchRetryPause+rand.N(fetchRetryPause))
 		}
 		return nil
 	})
@@ -202,30 +202,30 @@
 // its response the settings were known to be the newest. That age is counted back from
 // the time of the request, which is earlier than the response.
 func (n *Node) fetchSettings(ctx context.Context, version uint64, from netip.AddrPort) error {
-	_, err := share.Take(ctx, []netip.AddrPort{from}, func(ctx context.Context, from netip.AddrPort) (uint64, error) {
-		requestedAt := awake.Now()
+	_, err := share.Fetch(ctx, []netip.AddrPort{from}, func(ctx context.Context, from netip.AddrPort) (uint64, error) {
+		requestedAt := uptime.Now()
 		s, err := n.share.Settings(ctx, from, version)
 		if err != nil {
 			return 0, err
 		}
-		return s.Version, n.settingsFollower.Adopt(s.Packed, requestedAt.Add(-s.Age))
+		return s.Version, n.settingsFollower.ApplyCompressed(s.Compressed, requestedAt.Add(-s.Age))
 	})
 	return err
 }
 
 // fetchServers fetches the complete list of servers from a hub.
-func (n *Node) fetchServers(ctx context.Context) (follow.News, error) {
-	hubAddrs := n.Hubs.Addresses(time.Now())
+func (n *Node) fetchServers(ctx context.Context) (follow.Update, error) {
+	hubAddrs := n.Hubs.HubAddrs(time.Now())
 	if len(hubAddrs) == 0 {
-		return follow.News{}, follow.ErrNobody
+		return follow.Update{}, follow.ErrNoPeer
 	}
-	return share.Take(ctx, hubAddrs, n.share.Servers)
+	return share.Fetch(ctx, hubAddrs, n.share.Servers)
 }
 
 // Refresh implements port.Refresher. It asks the hubs to confirm that the settings are
 // the newest, and reads the store if they do not confirm within confirmTimeout.
 func (n *Node) Refresh(ctx context.Context, limit time.Duration) error {
-	if n.Settings.Load() != nil && !n.Hubs.Asks(time.Now()) && n.awaitConfirmation(ctx) {
+	if n.Settings.Load() != nil && !n.Hubs.ShouldWatch(time.Now()) && n.awaitConfirmation(ctx) {
 		return nil
 	}
 	return n.settingsFollower.Refresh(ctx, limit)
@@ -234,7 +234,7 @@
 // reportNow sends a report to the hubs without waiting for the report interval.
 func (n *Node) reportNow() {
 	if agent := n.agent.Load(); agent != nil {
-		agent.Beat()
+		agent.ReportNow()
 	}
 }
 
@@ -246,20 +246,20 @@
 		if n.Settings.Age() < maxConfirmedAge {
 			return true
 		}
-		retry.Pause(ctx, confirmPollInterval)
+		retry.Sleep(ctx, confirmPollInterval)
 	}
 	return false
 }
 
 // Clock implements gossip.Delegate.
-func (l *local) Clock() uint64 { return uint64(awake.Now()) }
+func (l *delegate) Clock() uint64 { return uint64(uptime.Now()) }
 
 // VersionReply implements gossip.Delegate.
-func (l *local) Reply(requestTime uint64) *wire.Reply {
-	freshAt := l.node.Settings.Fresh()
-	r := &wire.Reply{Ask: requestTime}
+func (l *delegate) VersionReply(requestTime uint64) *wire.VersionReply {
+	freshAt := l.node.Settings.FreshAt()
+	r := &wire.VersionReply{RequestTime: requestTime}
 	if snap := l.node.Settings.Load(); snap != nil {
-		r.Version, r.Age = snap.Version, awake.Now().Sub(freshAt)
+		r.Version, r.Age = snap.Version, uptime.Now().Sub(freshAt)
 	}
 	return r
 }
@@ -267,33 +267,33 @@
 // handleVersionReply applies a hub's reply about the age of the settings. The hub's
 // settings were the newest r.Age before it replied. That age is counted back from the
 // time of this VM's request, which is earlier than the reply.
-func (l *local) handleVersionReply(r wire.Reply, from netip.AddrPort) {
-	if r.Version == 0 || awake.Instant(r.Ask) > awake.Now() {
+func (l *delegate) handleVersionReply(r wire.VersionReply, from netip.AddrPort) {
+	if r.Version == 0 || uptime.Instant(r.RequestTime) > uptime.Now() {
 		return
 	}
 	if r.Version > l.node.Version() {
 		l.fetchNewer(r.Version, from)
 		return
 	}
-	l.node.settingsFollower.Learn(l.ctx, r.Version, awake.Instant(r.Ask).Add(-r.Age))
+	l.node.settingsFollower.HandleVersion(l.ctx, r.Version, uptime.Instant(r.RequestTime).Add(-r.Age))
 }
 
 // StateChanged implements gossip.Delegate.
-func (l *local) Dirty() <-chan struct{} { return l.node.announceNow }
+func (l *delegate) StateChanged() <-chan struct{} { return l.node.announceNow }
 
 // LoadsChanged implements gossip.Delegate.
-func (l *local) Moved() <-chan struct{} { return l.node.Alloc.Dirty() }
+func (l *delegate) LoadsChanged() <-chan struct{} { return l.node.Alloc.Dirty() }
 
 // Coordinators implements gossip.Delegate.
-func (l *local) Homes() []netip.AddrPort {
+func (l *delegate) Coordinators() []netip.AddrPort {
 	out := []netip.AddrPort{}
 	snap := l.node.Settings.Load()
 	if snap == nil {
 		return out
 	}
 	now := time.Now()
-	for _, s := range snap.Engines() {
-		for _, candidate := range l.node.Hubs.Order(s, loadRecipients, now) {
+	for _, s := range snap.EngineServices() {
+		for _, candidate := range l.node.Hubs.CoordinatorOrder(s, loadRecipients, now) {
 			if candidate.Addr.IsValid() && !slices.Contains(out, candidate.Addr) {
 				out = append(out, candidate.Addr)
 			}
@@ -303,36 +303,36 @@
 }
 
 // HandlePlacementRequest implements gossip.Delegate.
-func (l *local) Seat(req homes.Ask, reply func(homes.Answer)) {
-	l.node.coordinator.Take(req, reply, time.Now())
+func (l *delegate) HandlePlacementRequest(req coord.Request, reply func(coord.Response)) {
+	l.node.coordinator.Submit(req, reply, time.Now())
 }
 
 // HandlePlacementResponse implements gossip.Delegate.
-func (l *local) Seated(resp homes.Answer) { l.node.placer.Answered(resp) }
+func (l *delegate) HandlePlacementResponse(resp coord.Response) { l.node.placer.HandleResponse(resp) }
 
 // SendRequest implements placer.Transport. Requests made before the gossip agent has
 // started are lost.
-func (n *Node) Ask(to netip.AddrPort, req homes.Ask) {
+func (n *Node) SendRequest(to netip.AddrPort, req coord.Request) {
 	if agent := n.agent.Load(); agent != nil {
-		agent.Ask(to, req)
+		agent.SendRequest(to, req)
 	}
 }
 
 // CoordinatorOrder returns the VMs that may coordinate a service, in order of
 // preference.
-func (n *Node) CoordinatorOrder(s ident.Service, now time.Time) []hubs.Rank {
-	return n.Hubs.Order(s, hubs.Count, now)
+func (n *Node) CoordinatorOrder(s ident.Service, now time.Time) []hubs.CoordinatorCandidate {
+	return n.Hubs.CoordinatorOrder(s, hubs.Count, now)
 }
 
 // ServicesToProbe returns the services whose engines this VM has to probe for whether
 // they drain: those that it coordinates, while the store responds to no VM.
 func (n *Node) ServicesToProbe(now time.Time) []ident.Service {
 	snap := n.Settings.Load()
-	if snap == nil || min(n.ServerFollower.Age(), n.Hubs.Quiet(now)) < storeSilence {
+	if snap == nil || min(n.ServerFollower.Age(), n.Hubs.PeerDataAge(now)) < storeSilence {
 		return nil
 	}
 	var out []ident.Service
-	for _, s := range snap.Engines() {
+	for _, s := range snap.EngineServices() {
 		if order := n.CoordinatorOrder(s, now); len(order) > 0 && !order[0].Addr.IsValid() {
 			out = append(out, s)
 		}
@@ -343,7 +343,7 @@
 // announce requests an immediate announcement to all other VMs. VMs that are not hubs
 // and do not watch the store include the change in their next report instead.
 func (n *Node) announce() {
-	if now := time.Now(); !n.Hubs.Asks(now) && !n.Hubs.Hub(now) {
+	if now := time.Now(); !n.Hubs.ShouldWatch(now) && !n.Hubs.IsHub(now) {
 		return
 	}
 	select {
--- a/internal/proc/tally/tally.go
+++ b/internal/proc/record/tally.go
@@ -1,6 +1,6 @@
 // Package record writes a log line and updates metrics for each finished request.
 // Neither contains prompt text or keys.
-package tally
+package record
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"github.com/VictoriaMetrics/metrics"
 	"go.uber.org/zap"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/invar"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 )
 
 // Recorder records finished requests. It is safe for concurrent use.
@@ -19,13 +19,13 @@
 	log  *zap.Logger
 	set  *metrics.Set
 	gaps *metrics.Histogram
-	next final.Recorder
+	next result.Recorder
 }
 
 // New returns a Recorder that logs to log, counts in set, and exports the invariant
 // violations counted by invariants. It also passes records to next, unless that is
 // nil.
-func New(log *zap.Logger, set *metrics.Set, invariants *invar.Book, next final.Recorder) *Recorder {
+func New(log *zap.Logger, set *metrics.Set, invariants *invar.Checker, next result.Recorder) *Recorder {
 	for _, n := range invar.All() {
 		name := fmt.Sprintf(`umberladder_invariant_violations_total{invariant=%q}`, n)
 		set.NewGauge(name, func() float64 { return float64(invariants.Count(n)) })
@@ -47,7 +47,7 @@
 }
 
 // Done implements result.Recorder.
-func (r *Recorder) Done(rec *final.Record) {
+func (r *Recorder) Done(rec *result.Record) {
 	r.count(rec)
 	r.logRecord(rec)
 	if r.next != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (r *Recorder) count(rec *final.Record) {
+func (r *Recorder) count(rec *result.Record) {
 	reason := ""
 	ran := ""
 	if rec.Refusal != nil {
@@ -67,10 +67,10 @@
 	r.set.GetOrCreateFloatCounter("umberladder_stall_seconds_total" + labels + "}").Add(rec.Stall.Seconds())
 	r.set.GetOrCreateCounter("umberladder_preemptions_total" + labels + "}").Add(rec.Preemptions)
 	r.set.GetOrCreateCounter("umberladder_tokens_total" + labels + "}").Add(rec.Tokens)
-	r.set.GetOrCreateHistogram("umberladder_first_seconds" + labels + "}").Update(rec.First.Seconds())
+	r.set.GetOrCreateHistogram("umberladder_first_seconds" + labels + "}").Update(rec.TimeToFirst.Seconds())
 }
 
-func (r *Recorder) logRecord(rec *final.Record) {
+func (r *Recorder) logRecord(rec *result.Record) {
 	fields := []zap.Field{
 		zap.String("request", string(rec.Request)),
 		zap.String("workspace", string(rec.Workspace)),
@@ -79,8 +79,8 @@
 		zap.String("server", string(rec.Server)),
 		zap.Stringer("outcome", rec.Outcome),
 		zap.Duration("total", rec.Total),
-		zap.Duration("queued", rec.Queued),
-		zap.Duration("first", rec.First),
+		zap.Duration("queued", rec.QueueTime),
+		zap.Duration("first", rec.TimeToFirst),
 		zap.Duration("stall", rec.Stall),
 		zap.Int("preemptions", rec.Preemptions),
 		zap.Int("resumes", rec.Resumes),
--- a/internal/proc/story/doc.go
+++ b/internal/proc/reqlog/doc.go
@@ -3,4 +3,4 @@
 //
 // The clocks of VMs differ. Settings come into force on all VMs within about 50 ms
 // of each other, so clock offsets are estimated from the times of those log lines.
-package story
+package reqlog
--- a/internal/proc/story/story_test.go
+++ b/internal/proc/reqlog/story_test.go
@@ -1,4 +1,4 @@
-package story
+package reqlog
 
 import (
 	"fmt"
--- a/internal/proc/serve/run.go
+++ b/internal/proc/serve/run.go
@@ -78,7 +78,7 @@
 	loops := []func() error{
 		func() error { return v.fleet.Run(v.ctx) },
 		func() error { return v.fleet.Receive(v.ctx) },
-		func() error { return v.fleet.Follow(v.ctx) },
+		func() error { return v.fleet.PollList(v.ctx) },
 		func() error { return v.follower.Run(v.ctx) },
 		func() error { return v.shards.Run(v.ctx) },
 		v.join,
@@ -109,8 +109,8 @@
 		case <-t.C:
 		}
 		up := time.Since(start)
-		if up >= maxJoinTime || up >= minJoinTime && v.shards.Settled() {
-			v.handler.Join()
+		if up >= maxJoinTime || up >= minJoinTime && v.shards.Ready() {
+			v.handler.MarkReady()
 			return nil
 		}
 	}
@@ -124,10 +124,10 @@
 	v.handler.Drain()
 	v.fleet.Leave()
 	ctx, cancel := context.WithTimeout(v.ctx, handoverTimeout)
-	v.shards.Leave(ctx)
+	v.shards.HandOverAll(ctx)
 	cancel()
 	err := v.callerServer.Shutdown(v.ctx)
-	v.handler.Ended()
+	v.handler.AssertIdle()
 	v.log.Info("shutdown complete")
 	return trace.Wrap(err)
 }
--- a/internal/proc/serve/serve_test.go
+++ b/internal/proc/serve/serve_test.go
@@ -23,7 +23,7 @@
 	"umberladder/internal/load/plan"
 	"umberladder/internal/proc/conf"
 	"umberladder/internal/test/check"
-	"umberladder/internal/test/stand"
+	"umberladder/internal/test/inproc"
 )
 
 const (
@@ -47,11 +47,11 @@
 	return p
 }
 
-func promptOrder(tokens int, tag string) prompt.Order {
-	return prompt.Order{Tokens: tokens, Seed: 7, Tag: tag}
+func promptOrder(tokens int, tag string) prompt.Spec {
+	return prompt.Spec{Tokens: tokens, Seed: 7, Tag: tag}
 }
 
-func generation(o prompt.Order, more string) string {
+func generation(o prompt.Spec, more string) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":%q%s}`, plan.Proposals, o.Prompt(), more)
 }
 
@@ -65,7 +65,7 @@
 }
 
 func TestCallers(t *testing.T) {
-	s := stand.New(t, 101, 2, smallLimits)
+	s := inproc.New(t, 101, 2, smallLimits)
 	t.Run("bad input", func(t *testing.T) { badInput(t, s) })
 	t.Run("who may ask", func(t *testing.T) { authorization(t, s) })
 	t.Run("whole, chat and models", func(t *testing.T) { completeResponses(t, s) })
@@ -81,7 +81,7 @@
 	})
 }
 
-func badInput(t *testing.T, s *stand.Stand) {
+func badInput(t *testing.T, s *inproc.Fleet) {
 	long := strings.Repeat("x", 5<<10)
 	for name, c := range map[string]struct {
 		path, body, reason, says string
@@ -123,18 +123,18 @@
 	})
 }
 
-func authorization(t *testing.T, s *stand.Stand) {
+func authorization(t *testing.T, s *inproc.Fleet) {
 	code, body, _ := s.Call(0, http.MethodPost, completionsPath, "nobody", generation(promptOrder(1, "w"), ""))
 	assert.Equal(t, code, 401)
 	assert.Equal(t, parse(t, body).Reason, "wrong-key")
 	triage := fmt.Sprintf(`{"model":%q,"prompt":"x"}`, plan.Triage)
 	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.Installers, triage)
 	assert.Equal(t, code, 404, "another team's service")
-	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.Faultdesk, triage)
+	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.FaultDesk, triage)
 	assert.Equal(t, code, 200)
 }
 
-func completeResponses(t *testing.T, s *stand.Stand) {
+func completeResponses(t *testing.T, s *inproc.Fleet) {
 	o := promptOrder(5, "whole")
 	code, body, _ := s.Call(1, http.MethodPost, completionsPath, plan.Installers, generation(o, ""))
 	assert.Equal(t, code, 200, body)
@@ -148,7 +148,7 @@
 		}
 	}
 	assert.NilError(t, json.Unmarshal([]byte(body), &c))
-	assert.NilError(t, o.CheckText(c.Choices[0].Text))
+	assert.NilError(t, o.CheckComplete(c.Choices[0].Text))
 	assert.Equal(t, c.Usage.Completion, 5)
 
 	chat := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"max_completion_tokens":3}`, plan.Proposals, o.Prompt())
@@ -164,8 +164,8 @@
 
 // slowSender sends one byte every 50 ms, as a Slowloris attack does, and expects
 // the connection to be closed.
-func slowSender(t *testing.T, s *stand.Stand) {
-	c, err := net.Dial("tcp", s.Fleet.VMs[0].Address.String())
+func slowSender(t *testing.T, s *inproc.Fleet) {
+	c, err := net.Dial("tcp", s.Layout.VMs[0].Address.String())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	start := time.Now()
@@ -181,9 +181,9 @@
 // stalledClient requests a long stream and does not read it. The connection
 // must be closed within a bounded time, and other requests must be served
 // meanwhile.
-func stalledClient(t *testing.T, s *stand.Stand) {
+func stalledClient(t *testing.T, s *inproc.Fleet) {
 	before := negatedAbandonedCount(t, s)
-	c, err := net.Dial("tcp", s.Fleet.VMs[0].Address.String())
+	c, err := net.Dial("tcp", s.Layout.VMs[0].Address.String())
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	assert.NilError(t, c.(*net.TCPConn).SetReadBuffer(1<<10))
@@ -193,13 +193,13 @@
 	assert.NilError(t, err)
 	code, _, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(3, "beside"), ""))
 	assert.Equal(t, code, 200)
-	check.Within(t, 15*time.Second, "the stalled stream ends", func() bool { return negatedAbandonedCount(t, s) <= before })
+	check.Eventually(t, 15*time.Second, "the stalled stream ends", func() bool { return negatedAbandonedCount(t, s) <= before })
 }
 
 // negatedAbandonedCount returns the negated number of metric lines of VM 0 for
 // requests that ended with the outcome "left". It falls when the first such
 // request of a service, workspace and class is counted.
-func negatedAbandonedCount(t *testing.T, s *stand.Stand) int {
+func negatedAbandonedCount(t *testing.T, s *inproc.Fleet) int {
 	t.Helper()
 	_, body := s.Get(0, "/metrics", "")
 	ended := 0
@@ -211,7 +211,7 @@
 	return -ended
 }
 
-func refusalExplained(t *testing.T, s *stand.Stand) {
+func refusalExplained(t *testing.T, s *inproc.Fleet) {
 	_, body, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, `{"model":"nothing","prompt":"x"}`)
 	p := parse(t, body)
 	assert.Assert(t, p.Code != "")
@@ -223,7 +223,7 @@
 }
 
 // resumed drops a stream after 20 tokens and resumes it through another VM.
-func resumed(t *testing.T, s *stand.Stand) {
+func resumed(t *testing.T, s *inproc.Fleet) {
 	o := promptOrder(60, "resumed")
 	var words []string
 	handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 20, &words)
@@ -231,7 +231,7 @@
 	code, body, _ := s.Call(1, http.MethodGet, "/v1/resume/"+handle, plan.Installers, "", "Last-Event-ID", last)
 	assert.Equal(t, code, 200, body)
 	words = append(words, tokenTexts(t, body)...)
-	assert.NilError(t, o.CheckText(strings.Join(words, "")))
+	assert.NilError(t, o.CheckComplete(strings.Join(words, "")))
 	assert.Equal(t, s.Engines[0].Runs("resumed")+s.Engines[1].Runs("resumed"), 1)
 	t.Run("through two VMs at once", func(t *testing.T) {
 		o := promptOrder(60, "resumed-twice")
@@ -247,12 +247,12 @@
 		}
 		assert.NilError(t, g.Wait())
 		for _, body := range bodies {
-			assert.NilError(t, o.CheckText(strings.Join(append(slices.Clone(head), tokenTexts(t, body)...), "")))
+			assert.NilError(t, o.CheckComplete(strings.Join(append(slices.Clone(head), tokenTexts(t, body)...), "")))
 		}
 		assert.Equal(t, s.Engines[0].Runs("resumed-twice")+s.Engines[1].Runs("resumed-twice"), 1)
 	})
 	t.Run("by its own workspace only", func(t *testing.T) {
-		code, _, _ := s.Call(1, http.MethodGet, "/v1/resume/"+handle, plan.Faultdesk, "", "Last-Event-ID", last)
+		code, _, _ := s.Call(1, http.MethodGet, "/v1/resume/"+handle, plan.FaultDesk, "", "Last-Event-ID", last)
 		assert.Equal(t, code, 404)
 	})
 }
@@ -307,8 +307,8 @@
 }
 
 func TestIdempotency(t *testing.T) {
-	s := stand.New(t, 102, 3, nil)
-	runs := func(tag string) int { return s.Plain[0].Runs(tag) + s.Plain[1].Runs(tag) }
+	s := inproc.New(t, 102, 3, nil)
+	runs := func(tag string) int { return s.PlainServers[0].Runs(tag) + s.PlainServers[1].Runs(tag) }
 	for name, k := range map[string]func() string{
 		"UUIDv7":      newKey,
 		"another key": func() string { return "booking-" + uuid.NewString() },
@@ -339,15 +339,15 @@
 		assert.Equal(t, code, 422, body)
 	})
 	t.Run("the answer is lost: it may have run, and is not run again", func(t *testing.T) {
-		for _, p := range s.Plain {
-			p.Fault(plain.Faults{Cut: true})
+		for _, p := range s.PlainServers {
+			p.SetFaults(plain.Faults{DropResponse: true})
 		}
 		k := newKey()
 		code, body, _ := s.Call(0, http.MethodPost, bookPath+"cut", plan.Installers, "", "Idempotency-Key", k)
 		assert.Equal(t, code, 502, body)
 		assert.Equal(t, parse(t, body).Ran, "maybe")
-		for _, p := range s.Plain {
-			p.Fault(plain.Faults{})
+		for _, p := range s.PlainServers {
+			p.SetFaults(plain.Faults{})
 		}
 		code, body, _ = s.Call(1, http.MethodPost, bookPath+"cut", plan.Installers, "", "Idempotency-Key", k)
 		assert.Equal(t, code, 409, body)
@@ -368,7 +368,7 @@
 		s.Stop(2)
 		code, body, _ := s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 		assert.Assert(t, code == 200 || code == 503, body)
-		check.Within(t, 5*time.Second, "answered again", func() bool {
+		check.Eventually(t, 5*time.Second, "answered again", func() bool {
 			code, _, _ := s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 			return code == 200
 		})
@@ -384,26 +384,26 @@
 }
 
 func TestShutdownCutsNothing(t *testing.T) {
-	s := stand.New(t, 103, 2, nil)
+	s := inproc.New(t, 103, 2, nil)
 	o := promptOrder(400, "long")
 	body := make(chan string, 1)
 	runInBackground(t, func() {
 		_, b, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(o, `,"stream":true`))
 		body <- b
 	})
-	check.Within(t, 5*time.Second, "the stream runs", func() bool {
+	check.Eventually(t, 5*time.Second, "the stream runs", func() bool {
 		return s.Engines[0].Runs("long")+s.Engines[1].Runs("long") == 1
 	})
-	s.Leave(0)
-	check.Within(t, 5*time.Second, "not ready", func() bool {
+	s.BeginShutdown(0)
+	check.Eventually(t, 5*time.Second, "not ready", func() bool {
 		code, _ := s.Get(0, "/readyz", "")
 		return code != 200
 	})
 	got := <-body
-	assert.NilError(t, o.CheckText(strings.Join(tokenTexts(t, got), "")))
+	assert.NilError(t, o.CheckComplete(strings.Join(tokenTexts(t, got), "")))
 	assert.Assert(t, strings.Contains(got, "[DONE]"))
 	select {
-	case <-s.Ended(0):
+	case <-s.Done(0):
 	case <-time.After(10 * time.Second):
 		t.Fatal("the VM did not end after its last request")
 	}
@@ -426,37 +426,37 @@
 }
 
 func TestSettings(t *testing.T) {
-	s := stand.New(t, 104, 3, nil)
+	s := inproc.New(t, 104, 3, nil)
 	path := "/v1/settings/workspaces/" + plan.Installers
 	read := func(i int) (string, string) {
-		code, body, h := s.Operate(i, http.MethodGet, path, plan.Installers, "")
+		code, body, h := s.CallOperator(i, http.MethodGet, path, plan.Installers, "")
 		assert.Equal(t, code, 200, body)
 		return body, h.Get("ETag")
 	}
 	doc, tag := read(0)
 	t.Run("a team's key opens its own subtree alone", func(t *testing.T) {
-		for _, other := range []string{"/v1/settings/system", "/v1/settings/workspaces/" + plan.Faultdesk, "/v1/history/system"} {
-			code, _, _ := s.Operate(0, http.MethodGet, other, plan.Installers, "")
+		for _, other := range []string{"/v1/settings/system", "/v1/settings/workspaces/" + plan.FaultDesk, "/v1/history/system"} {
+			code, _, _ := s.CallOperator(0, http.MethodGet, other, plan.Installers, "")
 			assert.Equal(t, code, 404, other)
 		}
-		code, _, _ := s.Operate(0, http.MethodGet, path, "nobody", "")
+		code, _, _ := s.CallOperator(0, http.MethodGet, path, "nobody", "")
 		assert.Equal(t, code, 401)
-		code, _, _ = s.Operate(0, http.MethodPost, "/v1/drain", plan.Installers, "")
+		code, _, _ = s.CallOperator(0, http.MethodPost, "/v1/drain", plan.Installers, "")
 		assert.Equal(t, code, 403)
 	})
 	t.Run("a change needs the version it was made from", func(t *testing.T) {
-		code, _, _ := s.Operate(0, http.MethodPut, path, plan.Installers, doc)
+		code, _, _ := s.CallOperator(0, http.MethodPut, path, plan.Installers, doc)
 		assert.Equal(t, code, 428)
 	})
 	t.Run("a bad document names its member", func(t *testing.T) {
 		bad := strings.Replace(doc, `"concurrency":4000`, `"concurrency":-1`, 1)
-		code, body, _ := s.Operate(0, http.MethodPut, path, plan.Installers, bad, "If-Match", tag)
+		code, body, _ := s.CallOperator(0, http.MethodPut, path, plan.Installers, bad, "If-Match", tag)
 		assert.Equal(t, code, 422, body)
 		assert.Assert(t, strings.Contains(body, `/limits/concurrency`), body)
 	})
 	t.Run("a dry run says what would be promised beyond what there is", func(t *testing.T) {
 		missing := strings.Replace(doc, `"class":"urgent"`, `"class":"nothing"`, 1)
-		code, body, _ := s.Operate(0, http.MethodPut, path+"?dry-run=true", plan.Installers, missing, "If-Match", tag)
+		code, body, _ := s.CallOperator(0, http.MethodPut, path+"?dry-run=true", plan.Installers, missing, "If-Match", tag)
 		assert.Equal(t, code, 200, body)
 		assert.Assert(t, strings.Contains(body, `the system has no class \"nothing\"`), body)
 		now, _ := read(0)
@@ -464,51 +464,51 @@
 	})
 	t.Run("what a workspace uses, on every VM", func(t *testing.T) {
 		usage := "/v1/status/workspaces/"
-		code, body, _ := s.Operate(1, http.MethodGet, usage+plan.Installers, plan.Installers, "")
+		code, body, _ := s.CallOperator(1, http.MethodGet, usage+plan.Installers, plan.Installers, "")
 		assert.Equal(t, code, 200, body)
 		assert.Equal(t, strings.Count(body, `"open-share":133`), 3, body)
 		assert.Assert(t, strings.Contains(body, `"silent":[]`), body)
-		code, _, _ = s.Operate(1, http.MethodGet, usage+plan.Faultdesk, plan.Installers, "")
+		code, _, _ = s.CallOperator(1, http.MethodGet, usage+plan.FaultDesk, plan.Installers, "")
 		assert.Equal(t, code, 404)
 	})
 	t.Run("in force everywhere in time", func(t *testing.T) {
 		next := strings.Replace(doc, `"concurrency":4000`, `"concurrency":9`, 1)
-		code, body, _ := s.Operate(1, http.MethodPut, path, plan.Installers, next, "If-Match", tag)
+		code, body, _ := s.CallOperator(1, http.MethodPut, path, plan.Installers, next, "If-Match", tag)
 		assert.Equal(t, code, 200, body)
 		for i := range 3 {
-			check.Within(t, 3*time.Second, "in force", func() bool {
+			check.Eventually(t, 3*time.Second, "in force", func() bool {
 				got, _ := read(i)
 				return strings.Contains(got, `"concurrency":9`)
 			})
 		}
-		code, body, _ = s.Operate(2, http.MethodPut, path, plan.Installers, doc, "If-Match", tag)
+		code, body, _ = s.CallOperator(2, http.MethodPut, path, plan.Installers, doc, "If-Match", tag)
 		assert.Equal(t, code, 412, body)
-		_, body, _ = s.Operate(2, http.MethodGet, "/v1/history/workspaces/"+plan.Installers, plan.Installers, "")
+		_, body, _ = s.CallOperator(2, http.MethodGet, "/v1/history/workspaces/"+plan.Installers, plan.Installers, "")
 		assert.Assert(t, strings.Contains(body, "/limits/concurrency changed") && strings.Contains(body, "operator-of-installers"), body)
 	})
 	t.Run("booting while the store is down", func(t *testing.T) {
 		s.Stop(2)
-		s.Store.Fault(store.Faults{Down: true})
-		defer s.Store.Fault(store.Faults{})
+		s.Store.SetFaults(store.Faults{Down: true})
+		defer s.Store.SetFaults(store.Faults{})
 		s.Start(2)
-		s.Ready(2)
+		s.WaitReady(2)
 		got, _ := read(2)
 		assert.Assert(t, strings.Contains(got, `"concurrency":9`), "the snapshot comes from peers")
-		code, body, _ := s.Operate(2, http.MethodPut, path, plan.Installers, doc, "If-Match", `"1"`)
+		code, body, _ := s.CallOperator(2, http.MethodPut, path, plan.Installers, doc, "If-Match", `"1"`)
 		assert.Equal(t, code, 503, body)
 	})
 }
 
 func TestBurn(t *testing.T) {
-	s := stand.New(t, 105, 2, nil)
+	s := inproc.New(t, 105, 2, nil)
 	for _, e := range s.Engines {
-		e.Fault(engine.Faults{Stall: 700 * time.Millisecond})
+		e.SetFaults(engine.Faults{Stall: 700 * time.Millisecond})
 	}
 	for i := range 2 {
 		code, body, _ := s.Call(i, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(6, "slow"), ""))
 		assert.Equal(t, code, 200, body)
 	}
-	_, body, _ := s.Operate(0, http.MethodGet, "/v1/burn?merged=true", "system", "")
+	_, body, _ := s.CallOperator(0, http.MethodGet, "/v1/burn?merged=true", "system", "")
 	var r struct {
 		VMs    []string `json:"vms"`
 		Silent []string `json:"silent-vms"`
@@ -524,7 +524,7 @@
 	assert.Equal(t, r.Rows[0].Windows[0].Bad, 2, "both VMs' stalls")
 	assert.Equal(t, r.Rows[0].Alert, "page")
 	s.Stop(1)
-	_, body, _ = s.Operate(0, http.MethodGet, "/v1/burn?merged=true", plan.Faultdesk, "")
+	_, body, _ = s.CallOperator(0, http.MethodGet, "/v1/burn?merged=true", plan.FaultDesk, "")
 	assert.NilError(t, json.Unmarshal([]byte(body), &r), body)
 	assert.Equal(t, len(r.Rows), 0, "a team sees its own rows alone")
 }
--- a/internal/proc/serve/status.go
+++ b/internal/proc/serve/status.go
@@ -22,11 +22,11 @@
 func (v *VM) registerGauges() {
 	for name, f := range map[string]func() float64{
 		"umberladder_store_calls_total":              func() float64 { return float64(v.store.Calls()) },
-		"umberladder_peer_sent_bytes_total":          func() float64 { return float64(v.traffic.Sent.Load()) },
-		"umberladder_peer_received_bytes_total":      func() float64 { return float64(v.traffic.Received.Load()) },
-		"umberladder_peer_sent_packets_total":        func() float64 { return float64(v.traffic.SentCount.Load()) },
-		"umberladder_peer_received_packets_total":    func() float64 { return float64(v.traffic.ReceivedCount.Load()) },
-		"umberladder_peer_call_bytes_total":          func() float64 { return float64(v.traffic.Calls.Load()) },
+		"umberladder_peer_sent_bytes_total":          func() float64 { return float64(v.traffic.SentBytes.Load()) },
+		"umberladder_peer_received_bytes_total":      func() float64 { return float64(v.traffic.ReceivedBytes.Load()) },
+		"umberladder_peer_sent_packets_total":        func() float64 { return float64(v.traffic.SentPackets.Load()) },
+		"umberladder_peer_received_packets_total":    func() float64 { return float64(v.traffic.ReceivedPackets.Load()) },
+		"umberladder_peer_call_bytes_total":          func() float64 { return float64(v.traffic.CallBytes.Load()) },
 		"umberladder_peer_forged_total":              func() float64 { return float64(v.traffic.Forged.Load()) },
 		"umberladder_live_vms":                       func() float64 { return float64(len(v.fleet.View().Live)) },
 		"umberladder_vm_removals_total":              func() float64 { return float64(v.fleet.Removals()) },
@@ -50,8 +50,8 @@
 	o := a.NewObject()
 	o.Set("vm", a.NewString(string(v.cfg.Name)))
 	o.Set("failure-domain", a.NewString(string(v.cfg.Domain)))
-	o.Set("ready", oper.Bool(a, v.handler.Ready()))
-	o.Set("settings-revision", oper.Number(a, v.settings.Load().Revision))
+	o.Set("ready", oper.JSONBool(a, v.handler.Ready()))
+	o.Set("settings-revision", oper.JSONUint(a, v.settings.Load().Revision))
 	shards, claims := v.shards.Held()
 	o.Set("claim-shards", a.NewNumberInt(shards))
 	o.Set("claims", a.NewNumberInt(claims))
@@ -61,14 +61,14 @@
 	for _, p := range v.poller.Pools() {
 		m := a.NewObject()
 		m.Set("engines", a.NewNumberInt(len(p.Servers())))
-		m.Set("waiting", a.NewNumberInt(p.Depth()))
+		m.Set("waiting", a.NewNumberInt(p.QueueLen()))
 		pools.Set(string(p.Model()), m)
 	}
 	o.Set("models", pools)
 	return o
 }
 
-func violationCounts(a *fastjson.Arena, b *invar.Book) *fastjson.Value {
+func violationCounts(a *fastjson.Arena, b *invar.Checker) *fastjson.Value {
 	o := a.NewObject()
 	for _, n := range invar.All() {
 		o.Set(n.String(), a.NewNumberInt(int(b.Count(n))))
@@ -83,7 +83,7 @@
 		o.Set("name", a.NewString(string(m.Name)))
 		o.Set("state", a.NewString(m.State.String()))
 		o.Set("failure-domain", a.NewString(string(m.Domain)))
-		o.Set("incarnation", oper.Number(a, m.Incarnation))
+		o.Set("incarnation", oper.JSONUint(a, m.Incarnation))
 		out.SetArrayItem(i, o)
 	}
 	return out
@@ -103,7 +103,7 @@
 }
 
 // BurnReport implements oper.VM.
-func (v *VM) Burn(ctx context.Context, merged bool, only ident.Workspace) ([]byte, error) {
+func (v *VM) BurnReport(ctx context.Context, merged bool, only ident.Workspace) ([]byte, error) {
 	rep := v.meter.Snapshot(time.Now())
 	if merged {
 		v.mergePeerBurn(ctx, rep)
--- a/internal/proc/serve/usage.go
+++ b/internal/proc/serve/usage.go
@@ -11,16 +11,16 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/peer/oper"
-	"umberladder/internal/route/gate"
+	"umberladder/internal/route/limits"
 	"umberladder/internal/state/config"
 	"umberladder/internal/state/member"
 )
 
 // Usage implements nodes.Reporter.
-func (v *VM) Usage(name ident.Workspace) (gate.Usage, bool) {
+func (v *VM) Usage(name ident.Workspace) (limits.Usage, bool) {
 	w := v.settings.Load().Workspace(name)
 	if w == nil {
-		return gate.Usage{}, false
+		return limits.Usage{}, false
 	}
 	return v.limiter.Usage(w, time.Now()), true
 }
@@ -28,13 +28,13 @@
 // vmUsage is one VM's usage of a workspace's limits.
 type vmUsage struct {
 	vm    ident.VM
-	usage gate.Usage
+	usage limits.Usage
 	known bool // false if the VM did not respond
 }
 
 // WorkspaceUsage implements oper.VM. It returns the workspace's usage of its
 // limits on every VM, or nil if the workspace does not exist.
-func (v *VM) Workspace(ctx context.Context, a *fastjson.Arena, name ident.Workspace) *fastjson.Value {
+func (v *VM) WorkspaceUsage(ctx context.Context, a *fastjson.Arena, name ident.Workspace) *fastjson.Value {
 	w := v.settings.Load().Workspace(name)
 	if w == nil {
 		return nil
@@ -84,7 +84,7 @@
 func usageValue(a *fastjson.Arena, u vmUsage) *fastjson.Value {
 	o := a.NewObject()
 	o.Set("vm", a.NewString(string(u.vm)))
-	o.Set("settings-version", oper.Number(a, u.usage.Version))
+	o.Set("settings-version", oper.JSONUint(a, u.usage.Version))
 	o.Set("open", a.NewNumberInt(u.usage.Open))
 	o.Set("open-share", a.NewNumberInt(u.usage.OpenShare))
 	o.Set("tokens-left", a.NewNumberInt(int(u.usage.TokensLeft)))
--- a/internal/proc/serve/vm.go
+++ b/internal/proc/serve/vm.go
@@ -17,7 +17,7 @@
 	"umberladder/internal/core/seal"
 	"umberladder/internal/peer/caller"
 	"umberladder/internal/peer/engine"
-	"umberladder/internal/peer/link"
+	"umberladder/internal/peer/httpc"
 	"umberladder/internal/peer/nodes"
 	"umberladder/internal/peer/oper"
 	peerplain "umberladder/internal/peer/plain"
@@ -27,21 +27,21 @@
 	"umberladder/internal/policy/retry"
 	"umberladder/internal/proc/burn"
 	"umberladder/internal/proc/conf"
-	"umberladder/internal/proc/tally"
-	"umberladder/internal/route/cell"
+	"umberladder/internal/proc/record"
 	"umberladder/internal/route/entry"
-	"umberladder/internal/route/gate"
-	"umberladder/internal/route/gener"
+	"umberladder/internal/route/infer"
+	"umberladder/internal/route/limits"
 	"umberladder/internal/route/loads"
 	"umberladder/internal/route/plain"
 	"umberladder/internal/route/pool"
-	"umberladder/internal/state/amend"
+	"umberladder/internal/route/sched"
 	"umberladder/internal/state/claim"
 	"umberladder/internal/state/direct"
+	"umberladder/internal/state/edit"
 	"umberladder/internal/state/fleet"
-	"umberladder/internal/state/keeper"
 	"umberladder/internal/state/member"
-	"umberladder/internal/state/spread"
+	"umberladder/internal/state/shards"
+	"umberladder/internal/state/syncer"
 )
 
 const (
@@ -59,8 +59,8 @@
 	cfg            *conf.Node
 	log            *zap.Logger
 	metricSet      *metrics.Set
-	invariants     *invar.Book
-	keyRing        *seal.Ring
+	invariants     *invar.Checker
+	keyRing        *seal.KeyRing
 	rng            *rand.Rand
 	group          *errgroup.Group
 	ctx            context.Context // ends after the last request has ended
@@ -69,21 +69,21 @@
 
 	drainOnce sync.Once
 
-	settings        *spread.Book
+	settings        *syncer.Current
 	store           *store.Client
-	peers           *nodes.Peers
-	clients         *nodes.Clients
+	peers           *nodes.Client
+	clients         *nodes.ClientPool
 	socket          *nodes.Socket
 	traffic         nodes.Traffic
-	fleet           *fleet.Fleet
-	follower        *spread.Follower
-	shards          *keeper.Keeper
-	limiter         *gate.Gate
+	fleet           *fleet.Membership
+	follower        *syncer.Follower
+	shards          *shards.Manager
+	limiter         *limits.Limiter
 	meter           *burn.Meter
-	poller          *loads.Loads
-	coordinator     *cell.Home
-	placementClient *cell.Desk
-	handler         *entry.Entry
+	poller          *loads.Poller
+	coordinator     *sched.Coordinator
+	placementClient *sched.Client
+	handler         *entry.Handler
 	callerServer    *caller.Server
 	operatorServer  *oper.Server
 }
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	v.group, v.ctx = errgroup.WithContext(ctx)
 	v.cancel = cancel
-	v.invariants = &invar.Book{Report: func(n invar.Name, detail string) {
+	v.invariants = &invar.Checker{OnViolation: func(n invar.Invariant, detail string) {
 		log.Error("invariant violated", zap.Stringer("invariant", n), zap.String("detail", detail))
 	}}
 	if v.socket, err = nodes.Listen(cfg.Peers, ring, &v.traffic); err != nil {
@@ -127,12 +127,12 @@
 // membership and idempotency keys.
 func (v *VM) buildState() {
 	cfg := v.cfg
-	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, peerTimeout, maxIdleConns)
-	v.settings = spread.NewBook(v.invariants)
+	dialer := httpc.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, peerTimeout, maxIdleConns)
+	v.settings = syncer.NewCurrent(v.invariants)
 	v.store = store.New(dialer, cfg.Store, string(cfg.Name), cfg.StoreBudget.CallsPerSecond, cfg.StoreBudget.Burst)
-	v.clients = nodes.NewClients(v.keyRing, peerTimeout)
-	v.peers = nodes.NewPeers(v.clients)
-	v.follower = spread.NewFollower(v.settings, v.store, v.peers, v.group, v.log, v.newRand())
+	v.clients = nodes.NewClientPool(v.keyRing, peerTimeout)
+	v.peers = nodes.NewClient(v.clients)
+	v.follower = syncer.NewFollower(v.settings, v.store, v.peers, v.group, v.log, v.newRand())
 	self := member.Member{
 		Name:        cfg.Name,
 		Address:     cfg.Peers,
@@ -140,46 +140,46 @@
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
 	table := member.New(member.DefaultConfig(), self, v.newRand())
-	v.fleet = fleet.New(table, v.socket, vmlist.New(dialer, cfg.VMList), v.follower.Mark, v.follower.Heard)
-	v.follower.Start(v.fleet)
-	v.shards = keeper.New(cfg.Name, cfg.ClaimTTL, v.store, v.fleet, v.peers, v.log)
+	v.fleet = fleet.New(table, v.socket, vmlist.New(dialer, cfg.VMList), v.follower.SettingsVersion, v.follower.HandlePeerVersion)
+	v.follower.SetFleet(v.fleet)
+	v.shards = shards.New(cfg.Name, cfg.ClaimTTL, v.store, v.fleet, v.peers, v.log)
 }
 
 // buildRoute creates the components of the request path.
 func (v *VM) buildRoute() {
 	cfg := v.cfg
-	dialer := link.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, cfg.Limits.EngineIdleTimeout, maxIdleConns)
-	v.limiter = gate.New(v.fleet)
-	rec := tally.New(v.log, v.metricSet, v.invariants, v.meter)
+	dialer := httpc.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, cfg.Limits.EngineIdleTimeout, maxIdleConns)
+	v.limiter = limits.New(v.fleet)
+	rec := record.New(v.log, v.metricSet, v.invariants, v.meter)
 	engines := engine.New(dialer)
 	budget := retry.NewBudget()
 	v.poller = loads.New(engines, v.loadInterval, v.chooser, v.placingVMs, v.invariants, v.rng.Uint64())
 	v.settings.Watch(v.poller.Update)
-	v.coordinator = cell.NewHome(cfg.Name, v.fleet, v.settings, v.poller.Pool, pool.NewAsk, v.group)
-	v.placementClient = cell.NewDesk(cfg.Name, v.fleet, v.settings, v.poller.Pool, v.peers)
-	v.handler = entry.New(entry.Parts{
-		VM:       cfg.Name,
-		Settings: v.settings,
-		Gate:     v.limiter,
-		Claims:   claim.New(cfg.Name, v.fleet, v.shards, direct.New(v.store), v.peers),
-		Placers:  v.placementClient.Placer,
-		Runner:   gener.New(cfg.Generation, engines, budget, v.invariants, rec, v.group, v.newRand()),
-		Plain:    plain.New(peerplain.New(dialer, cfg.Limits.MaxResponseBytes), budget, v.invariants, v.newRand()),
-		Ring:     v.keyRing,
-		Book:     v.invariants,
-		Recorder: rec,
+	v.coordinator = sched.NewCoordinator(cfg.Name, v.fleet, v.settings, v.poller.Pool, pool.NewRequest, v.group)
+	v.placementClient = sched.NewClient(cfg.Name, v.fleet, v.settings, v.poller.Pool, v.peers)
+	v.handler = entry.New(entry.Deps{
+		VM:         cfg.Name,
+		Settings:   v.settings,
+		Limiter:    v.limiter,
+		Claims:     claim.New(cfg.Name, v.fleet, v.shards, direct.New(v.store), v.peers),
+		Placers:    v.placementClient.Placer,
+		Runner:     infer.New(cfg.Generation, engines, budget, v.invariants, rec, v.group, v.newRand()),
+		Plain:      plain.New(peerplain.New(dialer, cfg.Limits.MaxResponseBytes), budget, v.invariants, v.newRand()),
+		Ring:       v.keyRing,
+		Invariants: v.invariants,
+		Recorder:   rec,
 	})
 	v.callerServer = caller.New(v.ctx, caller.Config{
-		Body:       cfg.Limits.MaxBodyBytes,
-		Header:     cfg.Limits.MaxHeaderBytes,
-		Read:       cfg.Limits.ReadTimeout,
-		Idle:       cfg.Limits.IdleTimeout,
-		Stall:      cfg.Limits.WriteTimeout,
-		MaxConns:   cfg.Limits.MaxConns,
-		DrainDelay: cfg.Limits.DrainDelay,
-		Log:        httpLog{v.log},
+		MaxBodyBytes:   cfg.Limits.MaxBodyBytes,
+		MaxHeaderBytes: cfg.Limits.MaxHeaderBytes,
+		ReadTimeout:    cfg.Limits.ReadTimeout,
+		IdleTimeout:    cfg.Limits.IdleTimeout,
+		WriteTimeout:   cfg.Limits.WriteTimeout,
+		MaxConns:       cfg.Limits.MaxConns,
+		DrainDelay:     cfg.Limits.DrainDelay,
+		Log:            httpLog{v.log},
 	}, v.handler, v.writeMetrics)
-	v.operatorServer = oper.New(v.settings, amend.New(v.store, v.follower, v.settings.Load), v, cfg.OperatorKeys, httpLog{v.log})
+	v.operatorServer = oper.New(v.settings, edit.New(v.store, v.follower, v.settings.Load), v, cfg.OperatorKeys, httpLog{v.log})
 }
 
 // httpLog adapts the log to fasthttp. The library's messages are mostly about
@@ -195,7 +195,7 @@
 // generations itself only when the coordinator does not respond, and then all
 // live VMs do.
 func (v *VM) placingVMs(m ident.Model) int {
-	home, ok := cell.HomeOf(m, v.fleet.View().Live)
+	home, ok := sched.CoordinatorOf(m, v.fleet.View().Live)
 	if ok && home.Name == v.cfg.Name {
 		return 1
 	}
@@ -207,7 +207,7 @@
 // than the model's coordinator read it less often, because the coordinator
 // places for all VMs.
 func (v *VM) loadInterval(m ident.Model) time.Duration {
-	home, ok := cell.HomeOf(m, v.fleet.View().Live)
+	home, ok := sched.CoordinatorOf(m, v.fleet.View().Live)
 	if ok && home.Name != v.cfg.Name {
 		return remoteLoadFactor * v.cfg.Limits.LoadInterval
 	}
