--- a/internal/route/seats/tracker.go
+++ b/internal/route/alloc/tracker.go
@@ -1,4 +1,4 @@
-package seats
+package alloc
 
 import (
 	"maps"
@@ -19,24 +19,24 @@
 
 // Load is the work in flight at one server.
 type Load struct {
-	Seats   int // calls
-	Tokens  int // expected memory of the calls at their end
-	Backlog int // prompt tokens not known to be prefilled yet
-	Copies  int // KV caches in transit to the server
-	Sends   int // KV caches in transit from the server, except copies that grow with their runs
+	Calls     int // calls
+	Tokens    int // expected memory of the calls at their end
+	Backlog   int // prompt tokens not known to be prefilled yet
+	CopiesIn  int // KV caches in transit to the server
+	CopiesOut int // KV caches in transit from the server, except copies that grow with their runs
 }
 
 // Plus returns the sum of the loads.
 func (l Load) Plus(o Load) Load {
-	return Load{Seats: l.Seats + o.Seats, Tokens: l.Tokens + o.Tokens, Backlog: l.Backlog + o.Backlog, Copies: l.Copies + o.Copies, Sends: l.Sends + o.Sends}
+	return Load{Calls: l.Calls + o.Calls, Tokens: l.Tokens + o.Tokens, Backlog: l.Backlog + o.Backlog, CopiesIn: l.CopiesIn + o.CopiesIn, CopiesOut: l.CopiesOut + o.CopiesOut}
 }
 
 func (l Load) minus(o Load) Load {
-	return Load{Seats: l.Seats - o.Seats, Tokens: l.Tokens - o.Tokens, Backlog: l.Backlog - o.Backlog, Copies: l.Copies - o.Copies, Sends: l.Sends - o.Sends}
+	return Load{Calls: l.Calls - o.Calls, Tokens: l.Tokens - o.Tokens, Backlog: l.Backlog - o.Backlog, CopiesIn: l.CopiesIn - o.CopiesIn, CopiesOut: l.CopiesOut - o.CopiesOut}
 }
 
 // Tracker tracks the loads of all VMs. It is safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	mu        sync.Mutex
 	local     map[ident.Server]Load
 	peers     map[ident.VM]peer
@@ -53,8 +53,8 @@
 }
 
 // New returns an empty Tracker.
-func New() *Book {
-	return &Book{
+func New() *Tracker {
+	return &Tracker{
 		local:     make(map[ident.Server]Load),
 		peers:     make(map[ident.VM]peer),
 		peerTotal: make(map[ident.Server]Load),
@@ -64,24 +64,24 @@
 }
 
 // Reservation is one call's part of a server's load.
-type Seat struct {
-	tracker  *Book
+type Reservation struct {
+	tracker  *Tracker
 	server   ident.Server
 	load     Load
 	released bool
 }
 
 // Reserve adds a call to the load of a server.
-func (t *Book) Take(server ident.Server, l Load) *Seat {
+func (t *Tracker) Reserve(server ident.Server, l Load) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.local[server] = t.local[server].Plus(l)
 	t.markDirty(l)
-	return &Seat{tracker: t, server: server, load: l}
+	return &Reservation{tracker: t, server: server, load: l}
 }
 
 // Resize changes the load of the call.
-func (r *Seat) Resize(l Load) {
+func (r *Reservation) Resize(l Load) {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
 	if r.released || l == r.load {
@@ -93,14 +93,14 @@
 }
 
 // Load returns the load of the call.
-func (r *Seat) Load() Load {
+func (r *Reservation) Load() Load {
 	r.tracker.mu.Lock()
 	defer r.tracker.mu.Unlock()
 	return r.load
 }
 
 // Release removes the call's load. Further calls do nothing.
-func (r *Seat) Release() {
+func (r *Reservation) Release() {
 	if r == nil {
 		return
 	}
@@ -123,8 +123,8 @@
 // markDirty records that local loads changed. Calls to plain servers end before
 // other VMs could use the information; they are reported with the next regular
 // message.
-func (t *Book) markDirty(l Load) {
-	if l.Tokens == 0 && l.Sends == 0 {
+func (t *Tracker) markDirty(l Load) {
+	if l.Tokens == 0 && l.CopiesOut == 0 {
 		return
 	}
 	select {
@@ -133,24 +133,24 @@
 	}
 }
 
-func (t *Book) signalChanged() {
+func (t *Tracker) signalChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
 // Dirty returns a channel that has an element once local loads changed since the
 // last receive.
-func (t *Book) Dirty() <-chan struct{} { return t.dirty }
+func (t *Tracker) Dirty() <-chan struct{} { return t.dirty }
 
 // Changed returns a channel that is closed once capacity may have become free.
-func (t *Book) Changed() <-chan struct{} {
+func (t *Tracker) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
 // Local returns this VM's loads.
-func (t *Book) Own() map[ident.Server]Load {
+func (t *Tracker) Local() map[ident.Server]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.local)
@@ -158,7 +158,7 @@
 
 // UpdatePeer replaces another VM's loads, unless later ones were received before.
 // The loads of further parts of the same message are added.
-func (t *Book) Hear(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
+func (t *Tracker) UpdatePeer(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[vm]
@@ -179,7 +179,7 @@
 }
 
 // subtract removes a peer's loads from the total.
-func (t *Book) subtract(p peer) {
+func (t *Tracker) subtract(p peer) {
 	for s, l := range p.load {
 		rest := t.peerTotal[s].minus(l)
 		if rest == (Load{}) {
@@ -191,7 +191,7 @@
 }
 
 // All returns the loads of all VMs that reported recently.
-func (t *Book) All(now time.Time) map[ident.Server]Load {
+func (t *Tracker) All(now time.Time) map[ident.Server]Load {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for vm, p := range t.peers {
--- a/internal/route/homes/coord.go
+++ b/internal/route/coord/coord.go
@@ -1,4 +1,4 @@
-package homes
+package coord
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/policy/queue"
+	"umberladder/internal/route/alloc"
 	"umberladder/internal/route/pick"
-	"umberladder/internal/route/seats"
 )
 
 const (
@@ -47,10 +47,10 @@
 )
 
 // Request is a VM's request to place one run.
-type Ask struct {
-	VM     ident.VM
-	Number uint64 // unique among the VM's requests
-	Want   pick.Want
+type Request struct {
+	VM  ident.VM
+	ID  uint64 // unique among the VM's requests
+	Run pick.Request
 }
 
 // State is the state of a request.
@@ -60,23 +60,23 @@
 const (
 	Waiting State = iota // queued until an engine has capacity
 	Granted
-	Full     // rejected: no engine will have capacity in time
-	NoServer // rejected: no server accepts work
+	NoCapacity // rejected: no engine will have capacity in time
+	NoServer   // rejected: no server accepts work
 )
 
 // Response is the coordinator's response to a Request.
-type Answer struct {
-	Number uint64
-	State  State
-	Server ident.Server  // set if granted
-	Backup ident.Server  // keeps a copy of the KV cache; empty: none
-	Ahead  int           // runs queued before this one
-	Retry  time.Duration // delay after which capacity is likely, if rejected for lack of it
+type Response struct {
+	ID         uint64
+	State      State
+	Server     ident.Server  // set if granted
+	Backup     ident.Server  // keeps a copy of the KV cache; empty: none
+	Ahead      int           // runs queued before this one
+	RetryAfter time.Duration // delay after which capacity is likely, if rejected for lack of it
 }
 
 // Coordinator places the runs of all VMs that send it requests. It is safe for
 // concurrent use.
-type Home struct {
+type Coordinator struct {
 	chooser *pick.Chooser
 
 	mu       sync.Mutex
@@ -93,12 +93,12 @@
 
 // request is a queued or answered Request.
 type request struct {
-	Ask
-	respond  func(Answer)
+	Request
+	respond  func(Response)
 	lastSeen time.Time
 	startBy  time.Time // latest start that is in time
 	deadline time.Time // end of the wait
-	response Answer
+	response Response
 	level    int
 	entry    *queue.Entry[*request]
 }
@@ -125,17 +125,17 @@
 // grant is capacity granted to a VM that may not have reported it yet.
 type grant struct {
 	server ident.Server
-	load   seats.Load
+	load   alloc.Load
 	until  time.Time
 }
 
 // New returns a Coordinator without queued requests.
-func NewHome(c *pick.Chooser) *Home {
-	return &Home{chooser: c, requests: make(map[requestKey]*request), queues: make(map[ident.Service]*serviceQueue), refused: make(map[uint64]time.Time)}
+func New(c *pick.Chooser) *Coordinator {
+	return &Coordinator{chooser: c, requests: make(map[requestKey]*request), queues: make(map[ident.Service]*serviceQueue), refused: make(map[uint64]time.Time)}
 }
 
 // Run serves the queued requests until ctx ends.
-func (c *Home) Run(ctx context.Context) {
+func (c *Coordinator) Run(ctx context.Context) {
 	t := time.NewTicker(serveInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
@@ -150,10 +150,10 @@
 
 // Submit handles a new or repeated request. It calls reply with each response;
 // reply must not call the Coordinator.
-func (c *Home) Take(r Ask, reply func(Answer), now time.Time) {
+func (c *Coordinator) Submit(r Request, reply func(Response), now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	key := requestKey{vm: r.VM, id: r.Number}
+	key := requestKey{vm: r.VM, id: r.ID}
 	old := c.requests[key]
 	if old != nil {
 		old.lastSeen, old.respond = now, reply
@@ -161,15 +161,15 @@
 		return
 	}
 	req := &request{
-		Ask: r, respond: reply, lastSeen: now, startBy: now.Add(r.Want.Due), deadline: now.Add(r.Want.Wait),
-		response: Answer{Number: r.Number},
+		Request: r, respond: reply, lastSeen: now, startBy: now.Add(r.Run.TargetWait), deadline: now.Add(r.Run.MaxWait),
+		response: Response{ID: r.ID},
 	}
-	if at, ok := c.refused[r.Want.Mark]; ok && now.Sub(at) < refusedTTL {
+	if at, ok := c.refused[r.Run.RetryKey]; ok && now.Sub(at) < refusedTTL {
 		req.startBy = now
 	}
 	c.requests[key] = req
-	c.chooser.Failed(r.Want.Failed, now)
-	sq := c.queueFor(r.Want.Service)
+	c.chooser.MarkUnreachable(r.Run.Unreachable, now)
+	sq := c.queueFor(r.Run.Service)
 	sq.decayRates(now)
 	if !sq.mustQueue(req) {
 		if done, _ := c.tryPlace(sq, req, now); done {
@@ -185,7 +185,7 @@
 }
 
 // QueueLen returns the number of queued requests of all services.
-func (c *Home) Waiting() int {
+func (c *Coordinator) QueueLen() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -195,7 +195,7 @@
 	return n
 }
 
-func (c *Home) queueFor(s ident.Service) *serviceQueue {
+func (c *Coordinator) queueFor(s ident.Service) *serviceQueue {
 	sq := c.queues[s]
 	if sq == nil {
 		sq = &serviceQueue{}
@@ -208,7 +208,7 @@
 }
 
 // serve grants capacity to queued requests, in order, until there is none left.
-func (c *Home) serve(now time.Time) {
+func (c *Coordinator) serve(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, sq := range c.queues {
@@ -234,7 +234,7 @@
 // serveMigrations grants capacity to migrating runs, one per source engine at a
 // time: KV caches that share a link would all arrive late. It reports whether
 // no migration lacks capacity.
-func (c *Home) serveMigrations(sq *serviceQueue, now time.Time) bool {
+func (c *Coordinator) serveMigrations(sq *serviceQueue, now time.Time) bool {
 	hasCapacity := true
 	for _, e := range sq.queues[migrationLevel].Sorted() {
 		r := e.Value
@@ -257,7 +257,7 @@
 
 // serveLevel removes expired requests of a level and grants capacity to the
 // others. It reports whether there may be capacity left.
-func (c *Home) serveLevel(sq *serviceQueue, level int, hasCapacity bool, now time.Time) bool {
+func (c *Coordinator) serveLevel(sq *serviceQueue, level int, hasCapacity bool, now time.Time) bool {
 	for {
 		e := sq.queues[level].Peek()
 		if e == nil {
@@ -289,48 +289,48 @@
 // tryPlace grants the request capacity, or answers it with NoServer. It reports
 // whether the request was answered, and if not, whether the reason is a lack of
 // capacity rather than a busy link.
-func (c *Home) tryPlace(sq *serviceQueue, r *request, now time.Time) (done, noCapacity bool) {
-	placement, err := c.chooser.Choose(&r.Want, c.pendingGrants(now), now)
+func (c *Coordinator) tryPlace(sq *serviceQueue, r *request, now time.Time) (done, noCapacity bool) {
+	placement, err := c.chooser.Choose(&r.Run, c.pendingGrants(now), now)
 	switch {
 	case errors.Is(err, pick.ErrNoServer):
 		r.response.State = NoServer
 	case err != nil:
-		var full *pick.NoRoomError
+		var full *pick.NoCapacityError
 		return false, !errors.As(err, &full) || !full.LinkBusy
 	default:
 		r.response.State, r.response.Server = Granted, placement.Server.ID
-		c.grants = append(c.grants, grant{server: placement.Server.ID, load: r.Want.Load(), until: now.Add(grantTTL)})
-		if r.Want.Source != "" {
-			c.grants = append(c.grants, grant{server: r.Want.Source, load: seats.Load{Sends: 1}, until: now.Add(grantTTL)})
+		c.grants = append(c.grants, grant{server: placement.Server.ID, load: r.Run.Load(), until: now.Add(grantTTL)})
+		if r.Run.Source != "" {
+			c.grants = append(c.grants, grant{server: r.Run.Source, load: alloc.Load{CopiesOut: 1}, until: now.Add(grantTTL)})
 		}
 		if placement.Backup != nil {
 			r.response.Backup = placement.Backup.ID
-			c.grants = append(c.grants, grant{server: placement.Backup.ID, load: r.Want.BackupLoad(), until: now.Add(grantTTL)})
+			c.grants = append(c.grants, grant{server: placement.Backup.ID, load: r.Run.BackupLoad(), until: now.Add(grantTTL)})
 		}
-		sq.grantRate[r.levelAt(now)] += float64(r.Want.Need) / rateWindow.Seconds()
+		sq.grantRate[r.levelAt(now)] += float64(r.Run.Need) / rateWindow.Seconds()
 	}
 	r.respond(r.response)
 	return true, false
 }
 
 // refuse answers the request with NoCapacity.
-func (c *Home) refuse(sq *serviceQueue, r *request) {
-	if r.Want.Mark != 0 {
-		c.refused[r.Want.Mark] = r.lastSeen
+func (c *Coordinator) refuse(sq *serviceQueue, r *request) {
+	if r.Run.RetryKey != 0 {
+		c.refused[r.Run.RetryKey] = r.lastSeen
 	}
-	r.response.State = Full
-	r.response.Retry = min(max(sq.estimateWait(r, onTimeLevel), MinRetryAfter), maxRetryAfter)
+	r.response.State = NoCapacity
+	r.response.RetryAfter = min(max(sq.estimateWait(r, onTimeLevel), MinRetryAfter), maxRetryAfter)
 	r.respond(r.response)
 }
 
 // pendingGrants returns the granted loads that VMs may not have reported yet.
-func (c *Home) pendingGrants(now time.Time) map[ident.Server]seats.Load {
+func (c *Coordinator) pendingGrants(now time.Time) map[ident.Server]alloc.Load {
 	n := 0
 	for n < len(c.grants) && now.After(c.grants[n].until) {
 		n++
 	}
 	c.grants = c.grants[n:]
-	out := make(map[ident.Server]seats.Load, len(c.grants))
+	out := make(map[ident.Server]alloc.Load, len(c.grants))
 	for _, g := range c.grants {
 		out[g.server] = out[g.server].Plus(g.load)
 	}
@@ -366,7 +366,7 @@
 // levelAt returns the priority level of the request at a given time.
 func (r *request) levelAt(now time.Time) int {
 	switch {
-	case r.Want.Use != pick.Call:
+	case r.Run.Purpose != pick.NewRun:
 		return migrationLevel
 	case !now.Before(r.startBy):
 		return lateLevel
@@ -377,7 +377,7 @@
 
 // mustQueue reports whether other requests have to be served before a new one.
 func (sq *serviceQueue) mustQueue(r *request) bool {
-	if r.Want.Use != pick.Call {
+	if r.Run.Purpose != pick.NewRun {
 		return sq.migrationsBlocked
 	}
 	return sq.migrationsBlocked || sq.queues[onTimeLevel].Len() > 0
@@ -385,7 +385,7 @@
 
 // isUrgent reports whether the request is a migration or has rank 0, and so precedes
 // the other calls.
-func (r *request) isUrgent() bool { return r.Want.Use != pick.Call || r.Want.Rank == 0 }
+func (r *request) isUrgent() bool { return r.Run.Purpose != pick.NewRun || r.Run.Rank == 0 }
 
 // maxEstimate caps wait estimates; it is longer than any wait.
 const maxEstimate = time.Hour
@@ -393,13 +393,13 @@
 // estimateWait returns how long it takes to serve the request and all that
 // precede it at a level, at the recent grant rate; zero if that is not known.
 func (sq *serviceQueue) estimateWait(r *request, level int) time.Duration {
-	tokens, rate := r.Want.Need, 0.0
+	tokens, rate := r.Run.Need, 0.0
 	for i := range level + 1 {
 		tokens += sq.queuedTokens[i]
 		rate += sq.grantRate[i]
 	}
 	if r.isUrgent() {
-		tokens = r.Want.Need + sq.urgentTokens
+		tokens = r.Run.Need + sq.urgentTokens
 	}
 	busy := sq.updatedAt.Sub(sq.busySince)
 	if busy < minBusyTime {
@@ -429,15 +429,15 @@
 		bound = r.startBy.Sub(now)
 	}
 	r.level = level
-	r.entry = sq.queues[level].Push(r, r.Want.Rank, now, bound)
-	sq.addTokens(r, r.Want.Need)
+	r.entry = sq.queues[level].Push(r, r.Run.Rank, now, bound)
+	sq.addTokens(r, r.Run.Need)
 	return true
 }
 
 func (sq *serviceQueue) remove(r *request) {
 	sq.queues[r.level].Remove(r.entry)
 	r.entry = nil
-	sq.addTokens(r, -r.Want.Need)
+	sq.addTokens(r, -r.Run.Need)
 }
 
 func (sq *serviceQueue) addTokens(r *request, tokens int) {
--- a/internal/route/homes/doc.go
+++ b/internal/route/coord/doc.go
@@ -14,4 +14,4 @@
 // first are not answered; a VM that gets no response from either places its
 // runs itself. Two VMs that place runs concurrently can only overcommit
 // engines, and an overcommitted engine rejects the run.
-package homes
+package coord
--- a/internal/route/entry/claims.go
+++ b/internal/route/entry/claims.go
@@ -39,7 +39,7 @@
 }
 
 // acquireClaim claims the request's idempotency key, if it has one.
-func (h *Entry) acquireClaim(ctx context.Context, info *callInfo, key string, sum [32]byte) (*claim, *refuse.Refusal) {
+func (h *Handler) acquireClaim(ctx context.Context, info *callInfo, key string, sum [32]byte) (*claim, *refuse.Refusal) {
 	c := &claim{}
 	if key == "" {
 		return c, nil
--- a/internal/route/entry/entry.go
+++ b/internal/route/entry/entry.go
@@ -7,14 +7,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/invar"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 	"umberladder/internal/core/seal"
 	"umberladder/internal/peer/caller"
-	"umberladder/internal/route/gate"
-	"umberladder/internal/route/gener"
+	"umberladder/internal/route/infer"
+	"umberladder/internal/route/limits"
 	"umberladder/internal/route/plain"
 	"umberladder/internal/route/pool"
 	"umberladder/internal/state/config"
@@ -39,61 +39,61 @@
 
 // Handler serves the requests of callers. It implements caller.Handler and is
 // safe for concurrent use.
-type Entry struct {
+type Handler struct {
 	vm         ident.VM
 	settings   Settings
-	limiter    *gate.Gate
+	limiter    *limits.Limiter
 	claims     Claims
-	placers    func(ident.Model) (gener.Placer, bool)
-	runner     *gener.Runner
+	placers    func(ident.Model) (infer.Placer, bool)
+	runner     *infer.Runner
 	plain      *plain.Router
-	ring       *seal.Ring
-	invariants *invar.Book
-	recorder   final.Recorder
+	ring       *seal.KeyRing
+	invariants *invar.Checker
+	recorder   result.Recorder
 	ready      atomic.Bool
 	draining   atomic.Bool
 	pending    atomic.Int64 // requests started whose end is not recorded yet
 }
 
 // Deps holds the dependencies of a Handler.
-type Parts struct {
-	VM       ident.VM
-	Settings Settings
-	Gate     *gate.Gate
-	Claims   Claims
-	Placers  func(ident.Model) (gener.Placer, bool)
-	Runner   *gener.Runner
-	Plain    *plain.Router
-	Ring     *seal.Ring
-	Book     *invar.Book
-	Recorder final.Recorder
+type Deps struct {
+	VM         ident.VM
+	Settings   Settings
+	Limiter    *limits.Limiter
+	Claims     Claims
+	Placers    func(ident.Model) (infer.Placer, bool)
+	Runner     *infer.Runner
+	Plain      *plain.Router
+	Ring       *seal.KeyRing
+	Invariants *invar.Checker
+	Recorder   result.Recorder
 }
 
 // New returns a Handler with the given dependencies.
-func New(p Parts) *Entry {
-	return &Entry{
+func New(p Deps) *Handler {
+	return &Handler{
 		vm:         p.VM,
 		settings:   p.Settings,
-		limiter:    p.Gate,
+		limiter:    p.Limiter,
 		claims:     p.Claims,
 		placers:    p.Placers,
 		runner:     p.Runner,
 		plain:      p.Plain,
 		ring:       p.Ring,
-		invariants: p.Book,
+		invariants: p.Invariants,
 		recorder:   p.Recorder,
 	}
 }
 
 // MarkReady lets Ready report true once the VM has settings.
-func (h *Entry) Join() { h.ready.Store(true) }
+func (h *Handler) MarkReady() { h.ready.Store(true) }
 
 // Drain makes Ready report false, so that the load balancer sends no new
 // callers.
-func (h *Entry) Drain() { h.draining.Store(true) }
+func (h *Handler) Drain() { h.draining.Store(true) }
 
 // Ready implements caller.Handler.
-func (h *Entry) Ready() bool {
+func (h *Handler) Ready() bool {
 	return h.ready.Load() && !h.draining.Load() && h.settings.Load().System != nil
 }
 
@@ -109,15 +109,15 @@
 
 // resolve looks up the workspace of the API key, the service and the priority
 // class of a request.
-func (h *Entry) resolve(key string, name ident.Service, kind config.Kind, class ident.Class) (callInfo, *refuse.Refusal) {
+func (h *Handler) resolve(key string, name ident.Service, kind config.Kind, class ident.Class) (callInfo, *refuse.Refusal) {
 	h.pending.Add(1)
 	info := callInfo{request: ident.NewRequest(), start: time.Now()}
 	snap := h.settings.Load()
 	if snap.System == nil {
-		return info, refuse.New(refuse.SettingsMissing, "no settings have reached this VM").After(time.Second)
+		return info, refuse.New(refuse.SettingsMissing, "no settings have reached this VM").WithRetryAfter(time.Second)
 	}
 	info.system = snap.System
-	if info.workspace = snap.Caller(key); info.workspace == nil {
+	if info.workspace = snap.WorkspaceByKey(key); info.workspace == nil {
 		return info, refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace")
 	}
 	info.service = info.workspace.Service(name)
@@ -139,18 +139,18 @@
 
 // placementRequest returns the request that asks the pool to place the
 // generation.
-func (info *callInfo) placementRequest(prompt string) pool.Ask {
-	req := pool.NewAsk(info.workspace, info.service, info.class, info.system)
+func (info *callInfo) placementRequest(prompt string) pool.Request {
+	req := pool.NewRequest(info.workspace, info.service, info.class, info.system)
 	req.Prompt = promptTokens(prompt)
 	req.Prefix = xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
 	return req
 }
 
 // Services implements caller.Handler.
-func (h *Entry) Services(key string) ([]ident.Service, *refuse.Refusal) {
-	w := h.settings.Load().Caller(key)
+func (h *Handler) Services(key string) ([]ident.Service, *refuse.Refusal) {
+	w := h.settings.Load().WorkspaceByKey(key)
 	if w == nil {
-		return nil, h.Refuse(refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace"))
+		return nil, h.RecordRefusal(refuse.New(refuse.WrongKey, "the Authorization header must be \"Bearer\" and a key of a workspace"))
 	}
 	var out []ident.Service
 	for _, s := range w.Services {
@@ -162,25 +162,25 @@
 	return out, nil
 }
 
-// Refuse implements caller.Handler: it annotates and records a refusal made
+// RecordRefusal implements caller.Handler: it annotates and records a refusal made
 // before the request was resolved.
-func (h *Entry) Refuse(r *refuse.Refusal) *refuse.Refusal {
+func (h *Handler) RecordRefusal(r *refuse.Refusal) *refuse.Refusal {
 	h.pending.Add(1)
 	info := callInfo{request: ident.NewRequest(), start: time.Now()}
-	return h.recordRefusal(&info, &final.Record{}, r)
+	return h.recordRefusal(&info, &result.Record{}, r)
 }
 
 // recordRefusal annotates a refusal and records the request's end.
-func (h *Entry) recordRefusal(info *callInfo, rec *final.Record, r *refuse.Refusal) *refuse.Refusal {
+func (h *Handler) recordRefusal(info *callInfo, rec *result.Record, r *refuse.Refusal) *refuse.Refusal {
 	h.annotate(info, r)
-	rec.Outcome = final.Refused
+	rec.Outcome = result.Refused
 	rec.Refusal = r
 	h.recordEnd(info, rec)
 	return r
 }
 
 // annotate sets the request, VM, time and workspace of a refusal.
-func (h *Entry) annotate(info *callInfo, r *refuse.Refusal) {
+func (h *Handler) annotate(info *callInfo, r *refuse.Refusal) {
 	r.Request = info.request
 	r.VM = h.vm
 	r.At = time.Now()
@@ -190,7 +190,7 @@
 }
 
 // recordEnd completes the record of a request and passes it to the recorder.
-func (h *Entry) recordEnd(info *callInfo, rec *final.Record) {
+func (h *Handler) recordEnd(info *callInfo, rec *result.Record) {
 	rec.Request = info.request
 	rec.Start = info.start
 	rec.Total = time.Since(info.start)
@@ -210,7 +210,7 @@
 // AssertIdle asserts at shutdown that no request is open. It first waits up to
 // closeTimeout, because the disconnection of a caller is noticed only when the
 // next token is written.
-func (h *Entry) Ended() {
+func (h *Handler) AssertIdle() {
 	for end := time.Now().Add(closeTimeout); h.pending.Load() > 0 && time.Now().Before(end); {
 		time.Sleep(closeTimeout / 100)
 	}
@@ -219,11 +219,11 @@
 }
 
 // Code implements caller.Handler.
-func (h *Entry) Code(r *refuse.Refusal) string { return refuse.Code(h.ring, r) }
+func (h *Handler) Code(r *refuse.Refusal) string { return refuse.Code(h.ring, r) }
 
 // Explain implements caller.Handler.
-func (h *Entry) Explain(code string) (*refuse.Refusal, error) {
+func (h *Handler) Explain(code string) (*refuse.Refusal, error) {
 	return refuse.Decode(h.ring, code)
 }
 
-var _ caller.Handler = (*Entry)(nil)
+var _ caller.Handler = (*Handler)(nil)
--- a/internal/route/entry/generate.go
+++ b/internal/route/entry/generate.go
@@ -8,14 +8,14 @@
 	"github.com/gravitational/trace"
 	pb "google.golang.org/protobuf/proto"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 	"umberladder/internal/peer/caller"
 	"umberladder/internal/peer/openai"
 	"umberladder/internal/peer/proto"
-	"umberladder/internal/route/gate"
-	"umberladder/internal/route/gener"
+	"umberladder/internal/route/infer"
+	"umberladder/internal/route/limits"
 	"umberladder/internal/state/config"
 )
 
@@ -23,7 +23,7 @@
 const resumeHandlePurpose = "resume"
 
 // Stream implements caller.Handler.
-func (h *Entry) Stream(ctx context.Context, g caller.Generation) (caller.Stream, *refuse.Refusal) {
+func (h *Handler) Stream(ctx context.Context, g caller.GenerationRequest) (caller.Stream, *refuse.Refusal) {
 	s, refusal := h.open(ctx, g)
 	if refusal != nil {
 		return nil, refusal
@@ -31,23 +31,23 @@
 	return s, nil
 }
 
-// Whole implements caller.Handler.
-func (h *Entry) Whole(ctx context.Context, g caller.Generation) (openai.Whole, *refuse.Refusal) {
+// Generate implements caller.Handler.
+func (h *Handler) Generate(ctx context.Context, g caller.GenerationRequest) (openai.Completion, *refuse.Refusal) {
 	s, refusal := h.open(ctx, g)
 	if refusal != nil {
-		return openai.Whole{}, refusal
+		return openai.Completion{}, refusal
 	}
-	w := openai.Whole{Request: s.info.request, PromptTokens: promptTokens(g.Prompt)}
+	w := openai.Completion{Request: s.info.request, PromptTokens: promptTokens(g.Prompt)}
 	if stored := s.claim.stored; stored != nil {
-		w.Text, w.Finish = string(stored.GetBody()), stored.GetContentType()
+		w.Text, w.FinishReason = string(stored.GetBody()), stored.GetContentType()
 		s.complete(len(w.Text))
 		return w, nil
 	}
-	if w.Text, w.Finish, refusal = s.stream.ReadAll(); refusal != nil {
-		return openai.Whole{}, s.refuse(refusal)
+	if w.Text, w.FinishReason, refusal = s.stream.ReadAll(); refusal != nil {
+		return openai.Completion{}, s.refuse(refusal)
 	}
-	s.response = generationResponse(w.Text, w.Finish)
-	w.Tokens = s.stream.Record.Tokens
+	s.response = generationResponse(w.Text, w.FinishReason)
+	w.CompletionTokens = s.stream.Record.Tokens
 	s.complete(len(w.Text))
 	return w, nil
 }
@@ -56,8 +56,8 @@
 func promptTokens(prompt string) int { return len(prompt)/bytesPerToken + 1 }
 
 // open checks a request, places it on an engine and waits for its first token.
-func (h *Entry) open(ctx context.Context, g caller.Generation) (*callerStream, *refuse.Refusal) {
-	rec := &final.Record{}
+func (h *Handler) open(ctx context.Context, g caller.GenerationRequest) (*callerStream, *refuse.Refusal) {
+	rec := &result.Record{}
 	info, refusal := h.resolve(g.Key, g.Service, config.ModelService, g.Class)
 	if refusal != nil {
 		return nil, h.recordRefusal(&info, rec, refusal)
@@ -75,9 +75,9 @@
 	}
 	placer, ok := h.placers(info.service.Model)
 	if !ok {
-		return nil, s.refuse(refuse.New(refuse.NoServer, "the settings name no engine for model %s", info.service.Model).After(time.Second))
+		return nil, s.refuse(refuse.New(refuse.NoServer, "the settings name no engine for model %s", info.service.Model).WithRetryAfter(time.Second))
 	}
-	s.stream, refusal = h.runner.Open(ctx, placer, gener.Call{
+	s.stream, refusal = h.runner.Open(ctx, placer, infer.Call{
 		Request:    info.request,
 		Service:    info.service,
 		Class:      info.class,
@@ -93,16 +93,16 @@
 }
 
 // Resume implements caller.Handler.
-func (h *Entry) Resume(ctx context.Context, r caller.Resume) (caller.Stream, *refuse.Refusal) {
+func (h *Handler) Resume(ctx context.Context, r caller.ResumeRequest) (caller.Stream, *refuse.Refusal) {
 	rh, err := h.openHandle(r.Handle)
 	if err != nil {
-		return nil, h.Refuse(refuse.New(refuse.NotFound, "%s", trace.UserMessage(err)))
+		return nil, h.RecordRefusal(refuse.New(refuse.NotFound, "%s", trace.UserMessage(err)))
 	}
-	rec := &final.Record{}
+	rec := &result.Record{}
 	info, refusal := h.resolve(r.Key, ident.Service(rh.GetService()), config.ModelService, ident.Class(rh.GetClass()))
 	info.request = ident.Request(rh.GetRequest())
 	if refusal != nil {
-		return nil, h.recordRefusal(&info, rec, refusal.With(refuse.RanPartial))
+		return nil, h.recordRefusal(&info, rec, refusal.WithRan(refuse.RanPartial))
 	}
 	if string(info.workspace.Name) != rh.GetWorkspace() {
 		return nil, h.recordRefusal(&info, rec, refuse.New(refuse.NotFound, "the handle belongs to another workspace"))
@@ -112,7 +112,7 @@
 		return nil, h.recordRefusal(&info, rec, refuse.New(refuse.NotFound, "the handle names no engine"))
 	}
 	s := &callerStream{handler: h, info: info, chat: rh.GetChat()}
-	call := gener.Call{Request: info.request, Service: info.service, Class: info.class}
+	call := infer.Call{Request: info.request, Service: info.service, Class: info.class}
 	s.stream, refusal = h.runner.Reattach(ctx, call, addr, ident.Generation(rh.GetGeneration()), r.Next)
 	if refusal != nil {
 		return nil, s.refuse(refusal)
@@ -121,7 +121,7 @@
 }
 
 // openHandle decrypts a resume handle.
-func (h *Entry) openHandle(handle string) (*proto.ResumeHandle, error) {
+func (h *Handler) openHandle(handle string) (*proto.ResumeHandle, error) {
 	data, err := h.ring.OpenToken(resumeHandlePurpose, handle)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -134,11 +134,11 @@
 // caller.Stream and ends exactly once: complete, refused, or abandoned by its
 // caller.
 type callerStream struct {
-	handler  *Entry
+	handler  *Handler
 	info     callInfo
-	permit   *gate.Permit
+	permit   *limits.Permit
 	claim    *claim
-	stream   *gener.Stream
+	stream   *infer.Stream
 	chat     bool
 	ended    bool // Next returned the end of the response
 	closed   bool
@@ -176,7 +176,7 @@
 		// JSON or from the settings.
 		return ""
 	}
-	return s.handler.ring.Token(resumeHandlePurpose, data)
+	return s.handler.ring.SealToken(resumeHandlePurpose, data)
 }
 
 // Next implements caller.Stream.
@@ -190,7 +190,7 @@
 	}
 	s.ended = t.End()
 	s.bufferText(t)
-	return openai.Token{Index: t.Index, Text: t.Text, Finish: t.Finish}, nil
+	return openai.Token{Index: t.Index, Text: t.Text, FinishReason: t.Finish}, nil
 }
 
 // replay returns the next token of a stored response: its text as one token,
@@ -202,12 +202,12 @@
 		return openai.Token{Text: string(s.text)}
 	}
 	s.ended = true
-	return openai.Token{Index: 1, Finish: stored.GetContentType()}
+	return openai.Token{Index: 1, FinishReason: stored.GetContentType()}
 }
 
 // bufferText collects the text of a stream with an idempotency key and sets the
 // response to store when the stream ends.
-func (s *callerStream) bufferText(t gener.Token) {
+func (s *callerStream) bufferText(t infer.Token) {
 	if !s.claim.active() || len(s.text) > maxStoredResponse {
 		return
 	}
@@ -224,26 +224,26 @@
 	case s.ended && !callerLeft:
 		s.complete(bytes)
 	default:
-		s.end(final.Left, nil, bytes)
+		s.end(result.Abandoned, nil, bytes)
 	}
 }
 
 // complete ends the stream as delivered in full.
-func (s *callerStream) complete(bytes int) { s.end(final.Complete, nil, bytes) }
+func (s *callerStream) complete(bytes int) { s.end(result.Complete, nil, bytes) }
 
 // refuse ends the stream with a refusal.
 func (s *callerStream) refuse(r *refuse.Refusal) *refuse.Refusal {
 	s.handler.annotate(&s.info, r)
-	s.end(final.Refused, r, 0)
+	s.end(result.Refused, r, 0)
 	return r
 }
 
 // end releases what the stream holds and records its outcome.
-func (s *callerStream) end(o final.Outcome, r *refuse.Refusal, bytes int) {
+func (s *callerStream) end(o result.Outcome, r *refuse.Refusal, bytes int) {
 	if !s.handler.markEnded(&s.closed, &s.info) {
 		return
 	}
-	rec := &final.Record{}
+	rec := &result.Record{}
 	if s.stream != nil {
 		s.stream.Close(r)
 		rec = &s.stream.Record
--- a/internal/route/entry/plain.go
+++ b/internal/route/entry/plain.go
@@ -7,10 +7,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/invar"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 	"umberladder/internal/peer/caller"
 	peer "umberladder/internal/peer/plain"
 	"umberladder/internal/peer/proto"
@@ -24,20 +24,20 @@
 }
 
 // Plain implements caller.Handler.
-func (h *Entry) Plain(ctx context.Context, p caller.Plain) (caller.Answer, *refuse.Refusal) {
-	rec := &final.Record{}
+func (h *Handler) Plain(ctx context.Context, p caller.PlainRequest) (caller.PlainResponse, *refuse.Refusal) {
+	rec := &result.Record{}
 	info, refusal := h.resolve(p.Key, p.Service, config.PlainService, "")
 	if refusal != nil {
-		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
+		return caller.PlainResponse{}, h.recordRefusal(&info, rec, refusal)
 	}
 	permit, refusal := h.limiter.Admit(info.workspace, info.start)
 	if refusal != nil {
-		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
+		return caller.PlainResponse{}, h.recordRefusal(&info, rec, refusal)
 	}
 	defer func() { permit.Release(0, time.Now()) }()
 	claim, refusal := h.acquireClaim(ctx, &info, p.IdempotencyKey, fingerprint(p.Method+" "+p.Path, string(p.Body)))
 	if refusal != nil {
-		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
+		return caller.PlainResponse{}, h.recordRefusal(&info, rec, refusal)
 	}
 	if claim.stored != nil {
 		rec.Bytes = len(claim.stored.GetBody())
@@ -46,10 +46,10 @@
 	}
 	response, server, refusal := h.plain.Do(ctx, info.request, info.service, info.plainCall(p))
 	rec.Server = server
-	rec.First = time.Since(info.start)
+	rec.TimeToFirst = time.Since(info.start)
 	if refusal != nil {
 		claim.finish(refusal.Ran != refuse.RanNo, nil)
-		return caller.Answer{}, h.recordRefusal(&info, rec, refusal)
+		return caller.PlainResponse{}, h.recordRefusal(&info, rec, refusal)
 	}
 	claim.finish(true, &proto.Answer{
 		Status:      uint32(response.Status),
@@ -58,20 +58,20 @@
 	})
 	rec.Bytes = len(response.Body)
 	h.recordEnd(&info, rec)
-	return caller.Answer{Request: info.request, Status: response.Status, ContentType: response.ContentType, Body: response.Body}, nil
+	return caller.PlainResponse{Request: info.request, Status: response.Status, ContentType: response.ContentType, Body: response.Body}, nil
 }
 
 // plainCall returns the call to send to a server of a plain service.
-func (info *callInfo) plainCall(p caller.Plain) peer.Call {
+func (info *callInfo) plainCall(p caller.PlainRequest) peer.Call {
 	c := peer.Call{
 		Method:      p.Method,
 		Path:        p.Path,
 		ContentType: p.ContentType,
 		Body:        p.Body,
 		Timeout:     info.service.Timeout,
-		Repeatable:  !info.service.AtMostOnce && p.IdempotencyKey == "" && slices.Contains(idempotentMethods, p.Method),
+		Retryable:   !info.service.AtMostOnce && p.IdempotencyKey == "" && slices.Contains(idempotentMethods, p.Method),
 		Headers: [][2]string{
-			{peer.EchoHeader, string(info.request)},
+			{peer.RequestIDHeader, string(info.request)},
 			{"Umberladder-Workspace", string(info.workspace.Name)},
 		},
 	}
@@ -82,8 +82,8 @@
 }
 
 // callerResponse returns a stored response as an answer to the caller.
-func callerResponse(r ident.Request, a *proto.Answer) caller.Answer {
-	return caller.Answer{
+func callerResponse(r ident.Request, a *proto.Answer) caller.PlainResponse {
+	return caller.PlainResponse{
 		Request:     r,
 		Status:      int(a.GetStatus()),
 		ContentType: a.GetContentType(),
@@ -93,7 +93,7 @@
 
 // markEnded sets ended and asserts that it was not set before. It reports
 // whether the request had not ended yet.
-func (h *Entry) markEnded(ended *bool, info *callInfo) bool {
+func (h *Handler) markEnded(ended *bool, info *callInfo) bool {
 	if !h.invariants.Assert(invar.OneOutcome, !*ended, "request %s ends twice", info.request) {
 		return false
 	}
--- a/internal/route/gener/doc.go
+++ b/internal/route/infer/doc.go
@@ -5,4 +5,4 @@
 // generation is run again on another engine, but only while no token has reached
 // the caller and the call may be repeated; otherwise the stream ends with a refusal
 // that states how much of it ran.
-package gener
+package infer
--- a/internal/route/gener/flight.go
+++ b/internal/route/infer/flight.go
@@ -1,4 +1,4 @@
-package gener
+package infer
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/invar"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 	"umberladder/internal/core/token"
 	"umberladder/internal/peer/engine"
 	"umberladder/internal/route/pool"
@@ -19,7 +19,7 @@
 
 // Stream delivers the tokens of one generation. It is not safe for concurrent use.
 type Stream struct {
-	Record final.Record // measurements; the user of the stream adds the identity and outcome of the request
+	Record result.Record // measurements; the user of the stream adds the identity and outcome of the request
 
 	runner  *Runner
 	placer  Placer
@@ -28,7 +28,7 @@
 	cancel  context.CancelFunc
 	exclude map[ident.Server]struct{}
 
-	reservation Seat
+	reservation Reservation
 	engineAddr  netip.AddrPort
 	cursor      *token.Cursor // nil: no generation is running
 	conn        *engine.Stream
@@ -60,7 +60,7 @@
 		return nil, refusal
 	}
 	s.firstToken = &t
-	s.Record.First = time.Since(s.Record.Start)
+	s.Record.TimeToFirst = time.Since(s.Record.Start)
 	return s, nil
 }
 
@@ -117,7 +117,7 @@
 	}
 	s.closed = true
 	s.disconnect()
-	s.release(pool.CutOff)
+	s.release(pool.Cancelled)
 	s.cancel()
 	ranCorrect := refusal == nil || refusal.Ran != refuse.RanNo || !s.started
 	s.runner.invariants.Assert(invar.NotRun, ranCorrect, "request %s was started, and its refusal says it never ran", s.call.Request)
@@ -159,7 +159,7 @@
 		case token.Accept:
 			s.recordToken()
 			return Token{Index: ev.Index, Text: ev.Text}, true
-		case token.Gap, token.Foreign:
+		case token.Gap, token.WrongGeneration:
 			s.disconnect()
 			s.failedResumes++
 		}
@@ -170,15 +170,15 @@
 // handleDone accepts the end of the generation if every token before it was received;
 // otherwise the stream is resumed.
 func (s *Stream) handleDone(ev engine.Event) (Token, bool) {
-	if ev.Generation != s.cursor.Generation() || ev.Index != s.cursor.Next() || ev.Finish == "" {
+	if ev.Generation != s.cursor.Generation() || ev.Index != s.cursor.Next() || ev.FinishReason == "" {
 		s.disconnect()
 		s.failedResumes++
 		return Token{}, false
 	}
 	s.disconnect()
-	s.release(pool.Whole)
+	s.release(pool.Completed)
 	s.runner.invariants.Assert(invar.TokenOrder, s.cursor.Next() == ev.Index, "%d tokens in place of %d", s.cursor.Next(), ev.Index)
-	return Token{Index: ev.Index, Finish: ev.Finish}, true
+	return Token{Index: ev.Index, Finish: ev.FinishReason}, true
 }
 
 // recordToken updates the record for one received token.
@@ -187,7 +187,7 @@
 	gap := now.Sub(s.lastTokenAt)
 	if gap > s.expectedGap {
 		s.Record.Stall += gap - s.expectedGap
-		s.Record.Slow++
+		s.Record.LateTokens++
 	}
 	if s.Record.Tokens > 0 {
 		s.runner.recorder.Gap(gap)
@@ -206,14 +206,14 @@
 	if s.cursor == nil {
 		return s.start()
 	}
-	if s.failedResumes > s.runner.cfg.ResumeTry {
+	if s.failedResumes > s.runner.cfg.ResumeTries {
 		return s.engineLost(refuse.ServerDied, "the engine could not be reached again")
 	}
 	if n := max(s.failedResumes, s.disconnects); n > 0 && !s.sleep(s.runner.backoff(n)) {
 		return s.engineLost(refuse.CallerStalled, "the request was cut off")
 	}
-	if time.Since(s.lastTokenAt) > s.runner.cfg.Patience {
-		return s.engineLost(refuse.ServerSilent, "the engine produced no token for "+s.runner.cfg.Patience.String())
+	if time.Since(s.lastTokenAt) > s.runner.cfg.TokenTimeout {
+		return s.engineLost(refuse.ServerSilent, "the engine produced no token for "+s.runner.cfg.TokenTimeout.String())
 	}
 	conn, err := s.runner.engines.Resume(s.ctx, s.engineAddr, s.cursor.Generation(), s.cursor.Next())
 	if err != nil {
@@ -245,11 +245,11 @@
 	wasConnected := s.conn != nil
 	s.disconnect()
 	var e *engine.Error
-	if errors.As(err, &e) && e.Fault == engine.Unknown {
+	if errors.As(err, &e) && e.Kind == engine.NotFound {
 		return s.engineLost(refuse.ServerDied, "the engine no longer knows the generation")
 	}
 	switch {
-	case wasConnected && e != nil && e.Fault == engine.Silent:
+	case wasConnected && e != nil && e.Kind == engine.Timeout:
 		// The engine responded on this connection, and the generation may only be
 		// waiting for memory. Resuming it shows whether the engine is alive.
 	case wasConnected:
@@ -263,7 +263,7 @@
 // engineLost abandons the engine. It prepares to run the generation again on another
 // engine, or returns the refusal that ends the stream.
 func (s *Stream) engineLost(reason refuse.Reason, detail string) *refuse.Refusal {
-	s.release(pool.Lost)
+	s.release(pool.EngineLost)
 	if s.canRerun() {
 		s.exclude[s.Record.Server] = struct{}{}
 		s.runner.cancelGeneration(s.engineAddr, s.cursor.Generation())
@@ -277,17 +277,17 @@
 	if s.delivered {
 		ran = refuse.RanPartial
 	}
-	return refuse.New(reason, "%s; %d tokens had come", detail, s.cursor.Next()).With(ran).After(time.Second)
+	return refuse.New(reason, "%s; %d tokens had come", detail, s.cursor.Next()).WithRan(ran).WithRetryAfter(time.Second)
 }
 
 // canRerun reports whether the generation may be run again. It takes a retry from the
 // budget.
 func (s *Stream) canRerun() bool {
-	return !s.delivered && !s.call.AtMostOnce && s.ctx.Err() == nil && s.runner.budget.Spend()
+	return !s.delivered && !s.call.AtMostOnce && s.ctx.Err() == nil && s.runner.budget.AllowRetry()
 }
 
 // release releases the reservation, if any.
-func (s *Stream) release(end pool.Ending) {
+func (s *Stream) release(end pool.Outcome) {
 	if s.reservation != nil {
 		s.reservation.Release(end, time.Now())
 		s.reservation = nil
--- a/internal/route/gener/flight_test.go
+++ b/internal/route/infer/flight_test.go
@@ -1,4 +1,4 @@
-package gener
+package infer
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/invar"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 	"umberladder/internal/peer/engine"
 	"umberladder/internal/policy/place"
 	"umberladder/internal/policy/retry"
@@ -32,7 +32,7 @@
 // numTokens is the number of tokens of every generation in these tests.
 const numTokens = 6
 
-var errUnreachable = &engine.Error{Fault: engine.Unsent, Err: io.EOF}
+var errUnreachable = &engine.Error{Kind: engine.Unsent, Err: io.EOF}
 
 // behaviour describes an engine's response to one call: it fails, or sends tokens
 // [from, to) and then ends in the given way.
@@ -50,7 +50,7 @@
 	calls   []string
 }
 
-func (f *fakeEngines) Start(_ context.Context, addr netip.AddrPort, s engine.Start) (*engine.Stream, error) {
+func (f *fakeEngines) Start(_ context.Context, addr netip.AddrPort, s engine.StartRequest) (*engine.Stream, error) {
 	return f.serve("start", addr, s.Generation, 0)
 }
 
@@ -107,7 +107,7 @@
 // localPlacer places generations with one pool.
 type localPlacer struct{ *pool.Pool }
 
-func (p localPlacer) Acquire(ctx context.Context, req *pool.Ask) (Seat, *refuse.Refusal) {
+func (p localPlacer) Acquire(ctx context.Context, req *pool.Request) (Reservation, *refuse.Refusal) {
 	s, refusal := p.Pool.Acquire(ctx, req)
 	if refusal != nil {
 		return nil, refusal
@@ -117,13 +117,13 @@
 
 type noopRecorder struct{}
 
-func (noopRecorder) Done(*final.Record) {}
-func (noopRecorder) Gap(time.Duration)  {}
+func (noopRecorder) Done(*result.Record) {}
+func (noopRecorder) Gap(time.Duration)   {}
 
 // harness is a runner with fake engines.
 type harness struct {
 	engines    *fakeEngines
-	invariants *invar.Book
+	invariants *invar.Checker
 	runner     *Runner
 	pool       *pool.Pool
 	group      *errgroup.Group
@@ -131,10 +131,10 @@
 }
 
 func newHarness(respond func(string, netip.AddrPort, uint64) behaviour) *harness {
-	h := &harness{engines: &fakeEngines{respond: respond, started: map[ident.Generation]int{}}, invariants: &invar.Book{}, group: &errgroup.Group{}}
+	h := &harness{engines: &fakeEngines{respond: respond, started: map[ident.Generation]int{}}, invariants: &invar.Checker{}, group: &errgroup.Group{}}
 	rng := rand.New(rand.NewPCG(1, 1))
 	h.runner = New(DefaultConfig(), h.engines, retry.NewBudget(), h.invariants, noopRecorder{}, h.group, rng)
-	h.pool = pool.New("m", place.Predicted{}, func() int { return 1 }, h.invariants, rng)
+	h.pool = pool.New("m", place.PredictedLoad{}, func() int { return 1 }, h.invariants, rng)
 	var servers []config.Server
 	for i := range 3 {
 		addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1))
@@ -144,13 +144,13 @@
 	h.reportLoads()
 	class := &config.Class{Name: "standard", Rank: 1, MaxWait: 10 * time.Second}
 	service := &config.Service{Name: "s", OverflowChance: 0.05}
-	h.call = Call{Request: "r", Service: service, Class: class, Placement: pool.Ask{Service: service, Class: class, Prompt: 4}}
+	h.call = Call{Request: "r", Service: service, Class: class, Placement: pool.Request{Service: service, Class: class, Prompt: 4}}
 	return h
 }
 
 func (h *harness) reportLoads() {
 	for _, s := range h.pool.Servers() {
-		h.pool.Report(s.Name, engine.Load{MemorySize: 1 << 20, At: time.Now()}, time.Now())
+		h.pool.HandleReport(s.Name, engine.Load{MemorySize: 1 << 20, AsOf: time.Now()}, time.Now())
 	}
 }
 
@@ -308,8 +308,8 @@
 }
 
 func TestStartFails(t *testing.T) {
-	refused := &engine.Error{Fault: engine.Refused, RetryAfter: 7 * time.Second, Err: io.EOF}
-	maybe := &engine.Error{Fault: engine.Maybe, Err: io.EOF}
+	refused := &engine.Error{Kind: engine.Refused, RetryAfter: 7 * time.Second, Err: io.EOF}
+	maybe := &engine.Error{Kind: engine.OutcomeUnknown, Err: io.EOF}
 	for name, c := range map[string]struct {
 		err        error
 		atMostOnce bool
@@ -348,7 +348,7 @@
 		got, refusal := h.stream()
 		check.Refusal(t, refusal, refuse.ServerSilent, refuse.RanPartial)
 		assert.Equal(t, len(got), 2)
-		assert.Assert(t, time.Since(start) < DefaultConfig().Patience+10*time.Second)
+		assert.Assert(t, time.Since(start) < DefaultConfig().TokenTimeout+10*time.Second)
 	})
 }
 
@@ -357,7 +357,7 @@
 // whether the call ran, an at-most-once call must be given to at most one engine, and the
 // stream must end.
 func TestRandomFaults(t *testing.T) {
-	check.Checks(t, 400)
+	check.RapidChecks(t, 400)
 	rapid.Check(t, func(rt *rapid.T) {
 		atMostOnce := rapid.Bool().Draw(rt, "at most once")
 		synctest.Test(t, func(t *testing.T) {
@@ -366,12 +366,12 @@
 				case 0:
 					return behaviour{err: errUnreachable}
 				case 1:
-					return behaviour{err: &engine.Error{Fault: engine.Maybe, Err: io.EOF}}
+					return behaviour{err: &engine.Error{Kind: engine.OutcomeUnknown, Err: io.EOF}}
 				case 2:
 					if call == "start" {
-						return behaviour{err: &engine.Error{Fault: engine.Refused, Err: io.EOF}}
+						return behaviour{err: &engine.Error{Kind: engine.Refused, Err: io.EOF}}
 					}
-					return behaviour{err: &engine.Error{Fault: engine.Unknown, Err: io.EOF}}
+					return behaviour{err: &engine.Error{Kind: engine.NotFound, Err: io.EOF}}
 				}
 				from := next
 				if call == "resume" {
--- a/internal/route/gener/runner.go
+++ b/internal/route/infer/runner.go
@@ -1,4 +1,4 @@
-package gener
+package infer
 
 import (
 	"context"
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"umberladder/internal/core/final"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/invar"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/result"
 	"umberladder/internal/core/token"
 	"umberladder/internal/peer/engine"
 	"umberladder/internal/policy/retry"
@@ -20,48 +20,48 @@
 
 // Config holds the timeouts and retry limits of streams.
 type Config struct {
-	Patience   time.Duration // maximum time without a token from a live engine
-	Detach     time.Duration // how long an engine continues a generation that nobody reads
-	ResumeBase time.Duration // initial backoff before a generation is resumed
-	ResumeMax  time.Duration // maximum backoff
-	ResumeTry  int           // consecutive failed resumes after which an engine is considered lost
-	StartTry   int           // maximum number of engines tried while each provably did not start the generation
-	FirstPace  time.Duration // expected time to the first token
-	TokenPace  time.Duration // expected time between two tokens
+	TokenTimeout     time.Duration // maximum time without a token from a live engine
+	DetachTimeout    time.Duration // how long an engine continues a generation that nobody reads
+	ResumeDelay      time.Duration // initial backoff before a generation is resumed
+	ResumeDelayLimit time.Duration // maximum backoff
+	ResumeTries      int           // consecutive failed resumes after which an engine is considered lost
+	StartTries       int           // maximum number of engines tried while each provably did not start the generation
+	FirstTokenPace   time.Duration // expected time to the first token
+	TokenPace        time.Duration // expected time between two tokens
 }
 
 // DefaultConfig returns the values that docs/SETTINGS.md lists.
 func DefaultConfig() Config {
 	return Config{
-		Patience:   60 * time.Second,
-		Detach:     15 * time.Second,
-		ResumeBase: 100 * time.Millisecond,
-		ResumeMax:  time.Second,
-		ResumeTry:  4,
-		StartTry:   3,
-		FirstPace:  440 * time.Millisecond,
-		TokenPace:  100 * time.Millisecond,
+		TokenTimeout:     60 * time.Second,
+		DetachTimeout:    15 * time.Second,
+		ResumeDelay:      100 * time.Millisecond,
+		ResumeDelayLimit: time.Second,
+		ResumeTries:      4,
+		StartTries:       3,
+		FirstTokenPace:   440 * time.Millisecond,
+		TokenPace:        100 * time.Millisecond,
 	}
 }
 
 // EngineClient is the part of the engine protocol that streams use.
 type EngineClient interface {
-	Start(ctx context.Context, addr netip.AddrPort, s engine.Start) (*engine.Stream, error)
+	Start(ctx context.Context, addr netip.AddrPort, s engine.StartRequest) (*engine.Stream, error)
 	Resume(ctx context.Context, addr netip.AddrPort, g ident.Generation, next uint64) (*engine.Stream, error)
 	Cancel(ctx context.Context, addr netip.AddrPort, g ident.Generation) error
 }
 
 // Reservation is the capacity reserved for a generation on an engine.
-type Seat interface {
-	At() config.Server
+type Reservation interface {
+	Engine() config.Server
 	Progress(n int)
-	Release(end pool.Ending, now time.Time)
+	Release(end pool.Outcome, now time.Time)
 }
 
 // Placer reserves capacity for generations of one model.
 type Placer interface {
 	Model() ident.Model
-	Acquire(ctx context.Context, req *pool.Ask) (Seat, *refuse.Refusal)
+	Acquire(ctx context.Context, req *pool.Request) (Reservation, *refuse.Refusal)
 }
 
 // Call describes a generation requested by a caller.
@@ -72,7 +72,7 @@
 	Prompt     string
 	MaxTokens  int
 	AtMostOnce bool // the generation must not be started more than once
-	Placement  pool.Ask
+	Placement  pool.Request
 }
 
 // Token is one token for the caller, or the end of the response.
@@ -95,8 +95,8 @@
 	cfg        Config
 	engines    EngineClient
 	budget     *retry.Budget
-	invariants *invar.Book
-	recorder   final.Recorder
+	invariants *invar.Checker
+	recorder   result.Recorder
 	group      Group
 
 	mu  sync.Mutex
@@ -104,13 +104,13 @@
 }
 
 // New returns a Runner.
-func New(cfg Config, engines EngineClient, budget *retry.Budget, book *invar.Book, rec final.Recorder, group Group, rng *rand.Rand) *Runner {
+func New(cfg Config, engines EngineClient, budget *retry.Budget, book *invar.Checker, rec result.Recorder, group Group, rng *rand.Rand) *Runner {
 	return &Runner{cfg: cfg, engines: engines, budget: budget, invariants: book, recorder: rec, group: group, rng: rng}
 }
 
 // Open starts a generation and returns its stream once the first token has been received.
 func (r *Runner) Open(ctx context.Context, p Placer, call Call) (*Stream, *refuse.Refusal) {
-	r.budget.Earn()
+	r.budget.RecordFirstAttempt()
 	ctx, cancel := context.WithCancel(ctx)
 	s := &Stream{
 		runner:      r,
@@ -120,7 +120,7 @@
 		cancel:      cancel,
 		exclude:     map[ident.Server]struct{}{},
 		lastTokenAt: time.Now(),
-		expectedGap: r.cfg.FirstPace,
+		expectedGap: r.cfg.FirstTokenPace,
 	}
 	s.Record.Start = s.lastTokenAt
 	return s.awaitFirst()
@@ -140,7 +140,7 @@
 		started:     true,
 		delivered:   true,
 		lastTokenAt: time.Now(),
-		expectedGap: r.cfg.FirstPace,
+		expectedGap: r.cfg.FirstTokenPace,
 	}
 	s.Record.Start = s.lastTokenAt
 	return s.awaitFirst()
@@ -150,5 +150,5 @@
 func (r *Runner) backoff(attempt int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return retry.Delay(r.rng, attempt, r.cfg.ResumeBase, r.cfg.ResumeMax)
+	return retry.Backoff(r.rng, attempt, r.cfg.ResumeDelay, r.cfg.ResumeDelayLimit)
 }
--- a/internal/route/gener/start.go
+++ b/internal/route/infer/start.go
@@ -1,4 +1,4 @@
-package gener
+package infer
 
 import (
 	"context"
@@ -23,22 +23,22 @@
 	req.Exclude = s.exclude
 	waitStart := time.Now()
 	reservation, refusal := s.placer.Acquire(s.ctx, &req)
-	s.Record.Queued += time.Since(waitStart)
+	s.Record.QueueTime += time.Since(waitStart)
 	if refusal != nil {
 		return s.correctRan(refusal)
 	}
 	s.reservation = reservation
-	s.engineAddr = reservation.At().Address
-	s.Record.Server = reservation.At().Name
+	s.engineAddr = reservation.Engine().Address
+	s.Record.Server = reservation.Engine().Name
 	g := ident.NewGeneration()
 	s.runner.invariants.Assert(invar.AtMostOnce, !s.call.AtMostOnce || !s.started, "request %s is started twice", s.call.Request)
-	conn, err := s.runner.engines.Start(s.ctx, s.engineAddr, engine.Start{
-		Generation: g,
-		Model:      s.placer.Model(),
-		Prompt:     s.call.Prompt,
-		MaxTokens:  s.call.MaxTokens,
-		Priority:   s.call.Class.Rank,
-		Detach:     s.runner.cfg.Detach,
+	conn, err := s.runner.engines.Start(s.ctx, s.engineAddr, engine.StartRequest{
+		Generation:    g,
+		Model:         s.placer.Model(),
+		Prompt:        s.call.Prompt,
+		MaxTokens:     s.call.MaxTokens,
+		Priority:      s.call.Class.Rank,
+		DetachTimeout: s.runner.cfg.DetachTimeout,
 	})
 	if err != nil {
 		return s.startFailed(g, err)
@@ -57,11 +57,11 @@
 		return s.handleNotStarted(e)
 	}
 	s.started = true
-	s.release(pool.Lost)
+	s.release(pool.EngineLost)
 	s.runner.cancelGeneration(s.engineAddr, g)
 	if !s.canRerun() {
 		return refuse.New(refuse.ServerSilent, "engine %s was given the request and did not answer", s.Record.Server).
-			With(refuse.RanMaybe).After(time.Second)
+			WithRan(refuse.RanMaybe).WithRetryAfter(time.Second)
 	}
 	s.Record.Reruns++
 	return nil
@@ -71,16 +71,16 @@
 // returns nil if another engine should be tried.
 func (s *Stream) handleNotStarted(e *engine.Error) *refuse.Refusal {
 	end := pool.Refused
-	if e.Fault == engine.Unsent {
-		end = pool.Lost
+	if e.Kind == engine.Unsent {
+		end = pool.EngineLost
 	}
 	s.release(end)
 	s.rejections++
-	if s.rejections < s.runner.cfg.StartTry && s.runner.budget.Spend() {
+	if s.rejections < s.runner.cfg.StartTries && s.runner.budget.AllowRetry() {
 		return nil
 	}
-	return s.correctRan(refuse.New(refuse.ServerRefused, "engine %s did not start the request (%s)", s.Record.Server, e.Fault).
-		After(max(e.RetryAfter, time.Second)))
+	return s.correctRan(refuse.New(refuse.ServerRefused, "engine %s did not start the request (%s)", s.Record.Server, e.Kind).
+		WithRetryAfter(max(e.RetryAfter, time.Second)))
 }
 
 // correctRan marks the refusal of a request that an engine received earlier as possibly
--- a/internal/route/gate/limiter.go
+++ b/internal/route/limits/limiter.go
@@ -1,6 +1,6 @@
 // Package limits enforces the limits of workspaces on this VM. Each limit is
 // divided among the live VMs; see package limit.
-package gate
+package limits
 
 import (
 	"sync"
@@ -25,7 +25,7 @@
 
 // Limiter admits requests within this VM's share of the workspace limits. It is
 // safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	fleet Fleet
 
 	mu         sync.Mutex
@@ -39,19 +39,19 @@
 }
 
 // New returns a Limiter that takes its share of each limit from fleet.
-func New(fleet Fleet) *Gate {
-	return &Gate{fleet: fleet, workspaces: map[ident.Workspace]*counters{}}
+func New(fleet Fleet) *Limiter {
+	return &Limiter{fleet: fleet, workspaces: map[ident.Workspace]*counters{}}
 }
 
 // Permit represents one admitted request. Release must be called exactly once.
 type Permit struct {
-	limiter  *Gate
+	limiter  *Limiter
 	counters *counters
 }
 
 // Admit admits a request of w, or returns a refusal that names the limit
 // reached.
-func (l *Gate) Admit(w *config.Workspace, now time.Time) (*Permit, *refuse.Refusal) {
+func (l *Limiter) Admit(w *config.Workspace, now time.Time) (*Permit, *refuse.Refusal) {
 	i, n := l.rank(w)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,13 +59,13 @@
 	share := openShare(w, i, n)
 	if u.open >= share {
 		return nil, refuse.New(refuse.Concurrency, "this VM is one of %d and holds a share of %d open requests", n, share).
-			Under(limitRule(w, "concurrency", w.Limits.Concurrency, u.open)).After(concurrencyRetryAfter)
+			WithRule(limitRule(w, "concurrency", w.Limits.Concurrency, u.open)).WithRetryAfter(concurrencyRetryAfter)
 	}
 	rate := limit.Share(w.Limits.TokensPerSecond, i, n)
 	u.tokens.SetRate(float64(rate), now)
 	if wait := u.tokens.Wait(now); wait > 0 {
 		return nil, refuse.New(refuse.TokenRate, "this VM is one of %d and holds a share of %d tokens a second", n, rate).
-			Under(limitRule(w, "tokens-per-second", w.Limits.TokensPerSecond, rate-int(u.tokens.Level(now)))).After(wait)
+			WithRule(limitRule(w, "tokens-per-second", w.Limits.TokensPerSecond, rate-int(u.tokens.Level(now)))).WithRetryAfter(wait)
 	}
 	u.open++
 	return &Permit{limiter: l, counters: u}, nil
@@ -80,7 +80,7 @@
 	}
 }
 
-func (l *Gate) countersOf(w *config.Workspace, now time.Time) *counters {
+func (l *Limiter) countersOf(w *config.Workspace, now time.Time) *counters {
 	u := l.workspaces[w.Name]
 	if u == nil {
 		u = &counters{tokens: limit.NewBucket(float64(w.Limits.TokensPerSecond), now)}
--- a/internal/route/gate/limiter_test.go
+++ b/internal/route/limits/limiter_test.go
@@ -1,4 +1,4 @@
-package gate
+package limits
 
 import (
 	"testing"
@@ -16,7 +16,7 @@
 	partition []int  // side of a network partition; a VM sees only VMs on its side
 	crashed   []bool // the VM no longer serves requests
 	knownDead []bool // the other VMs have noticed the crash
-	limiters  []*Gate
+	limiters  []*Limiter
 	permits   [][]*Permit
 }
 
@@ -73,7 +73,7 @@
 // side, and once the VMs agree on the membership again, the full limit must be
 // available.
 func TestAcrossVMs(t *testing.T) {
-	check.Checks(t, 500)
+	check.RapidChecks(t, 500)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "vms")
 		bound := rapid.IntRange(1, 40).Draw(t, "limit")
--- a/internal/route/gate/usage.go
+++ b/internal/route/limits/usage.go
@@ -1,4 +1,4 @@
-package gate
+package limits
 
 import (
 	"time"
@@ -17,7 +17,7 @@
 }
 
 // Usage returns the usage of w on this VM.
-func (l *Gate) Usage(w *config.Workspace, now time.Time) Usage {
+func (l *Limiter) Usage(w *config.Workspace, now time.Time) Usage {
 	i, n := l.rank(w)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +36,7 @@
 // rank returns the index i of this VM among the n live VMs for dividing the
 // limits of w. The index is offset by the length of the workspace's name, so that
 // the remainders of the division do not go to the same VMs for every workspace.
-func (l *Gate) rank(w *config.Workspace) (i, n int) {
+func (l *Limiter) rank(w *config.Workspace) (i, n int) {
 	i, n = l.fleet.Rank()
 	return (i + len(w.Name)) % n, n
 }
--- a/internal/route/loads/loads.go
+++ b/internal/route/loads/loads.go
@@ -28,12 +28,12 @@
 
 // Poller holds a pool for each model and polls its engines. It is safe for
 // concurrent use.
-type Loads struct {
+type Poller struct {
 	reader     Reader
 	interval   func(ident.Model) time.Duration
 	chooser    func() place.Chooser
 	vms        func(ident.Model) int
-	invariants *invar.Book
+	invariants *invar.Checker
 	seed       uint64
 
 	mu      sync.Mutex
@@ -50,8 +50,8 @@
 
 // New returns a Poller. interval returns how often the load reports of a model's
 // engines are read, and vms how many VMs place generations of a model.
-func New(reader Reader, interval func(ident.Model) time.Duration, chooser func() place.Chooser, vms func(ident.Model) int, invariants *invar.Book, seed uint64) *Loads {
-	return &Loads{
+func New(reader Reader, interval func(ident.Model) time.Duration, chooser func() place.Chooser, vms func(ident.Model) int, invariants *invar.Checker, seed uint64) *Poller {
+	return &Poller{
 		reader:     reader,
 		interval:   interval,
 		chooser:    chooser,
@@ -66,14 +66,14 @@
 }
 
 // Pool returns a model's pool, or nil.
-func (l *Loads) Pool(m ident.Model) *pool.Pool {
+func (l *Poller) Pool(m ident.Model) *pool.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.pools[m]
 }
 
 // Pools returns every pool.
-func (l *Loads) Pools() []*pool.Pool {
+func (l *Poller) Pools() []*pool.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]*pool.Pool, 0, len(l.pools))
@@ -84,7 +84,7 @@
 }
 
 // Update sets the models and engines that the settings list.
-func (l *Loads) Update(s *config.Snapshot) {
+func (l *Poller) Update(s *config.Snapshot) {
 	if s.System == nil {
 		return
 	}
@@ -115,7 +115,7 @@
 }
 
 // Run polls the engines until ctx ends.
-func (l *Loads) Run(ctx context.Context, g Group) error {
+func (l *Poller) Run(ctx context.Context, g Group) error {
 	for {
 		l.reconcile(ctx, g)
 		select {
@@ -127,7 +127,7 @@
 }
 
 // reconcile starts a poller for each target engine and stops the others.
-func (l *Loads) reconcile(ctx context.Context, g Group) {
+func (l *Poller) reconcile(ctx context.Context, g Group) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for addr, cancel := range l.pollers {
@@ -153,16 +153,16 @@
 
 // poll reads one engine's load reports, at random intervals so that VMs do not
 // poll in step.
-func (l *Loads) poll(ctx context.Context, addr netip.AddrPort, t target, rng *rand.Rand) {
+func (l *Poller) poll(ctx context.Context, addr netip.AddrPort, t target, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		l.read(ctx, addr, t)
 		interval := l.interval(t.pool.Model())
 		wait := interval/2 + time.Duration(rng.Int64N(int64(interval)))
-		retry.Pause(ctx, wait)
+		retry.Sleep(ctx, wait)
 	}
 }
 
-func (l *Loads) read(ctx context.Context, addr netip.AddrPort, t target) {
+func (l *Poller) read(ctx context.Context, addr netip.AddrPort, t target) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	report, err := l.reader.Load(ctx, addr)
@@ -170,5 +170,5 @@
 		t.pool.ReportFailure(t.name, time.Now())
 		return
 	}
-	t.pool.Report(t.name, report, time.Now())
+	t.pool.HandleReport(t.name, report, time.Now())
 }
--- a/internal/route/mover/doc.go
+++ b/internal/route/migr/doc.go
@@ -4,4 +4,4 @@
 // Copies queue on the engines' links, and a stopped run produces nothing while
 // its last copy is queued. Therefore a run is stopped only when all of its KV
 // cache is copied except for what it produced in the last milliseconds.
-package mover
+package migr
--- a/internal/route/mover/migrator.go
+++ b/internal/route/migr/migrator.go
@@ -1,4 +1,4 @@
-package mover
+package migr
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/route/port"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 // ErrBudgetExhausted reports that the run was not migrated because the retry
 // budget is used up.
-var ErrUnpaid = errors.New("mover: the retry budget is used up")
+var ErrBudgetExhausted = errors.New("mover: the retry budget is used up")
 
 // Group starts goroutines.
 type Group interface {
@@ -46,7 +46,7 @@
 }
 
 // Migrator orders the KV cache copies of one run.
-type Mover struct {
+type Migrator struct {
 	backend port.Backend
 	group   Group
 	run     ident.Request
@@ -56,18 +56,18 @@
 }
 
 // Stopped reports whether the run's engine was ordered to stop it.
-func (m *Mover) Stopped() bool { return m.stopped.Load() }
+func (m *Migrator) Stopped() bool { return m.stopped.Load() }
 
 // New returns the Migrator of a run.
-func New(b port.Backend, g Group, run ident.Request, log func(string, ...zap.Field)) *Mover {
-	return &Mover{backend: b, group: g, run: run, log: log}
+func New(b port.Backend, g Group, run ident.Request, log func(string, ...zap.Field)) *Migrator {
+	return &Migrator{backend: b, group: g, run: run, log: log}
 }
 
 // Move copies the run's KV cache while the run continues, then stops the run and
 // copies the rest. Before the stop it repeats the copy of new tokens until one
 // meets no queue or copyPhaseTime is over; the last copy then usually takes 8 ms
 // instead of a median of 0.4 s. The run is stopped only if spend returns true.
-func (m *Mover) Move(ctx context.Context, from, to *backs.Server, spend func() bool) (port.Moved, error) {
+func (m *Migrator) Move(ctx context.Context, from, to *srvtab.Server, spend func() bool) (port.MoveResult, error) {
 	m.stopped.Store(false)
 	deadline := time.Now().Add(copyPhaseTime)
 	handle := ""
@@ -86,7 +86,7 @@
 	}
 	if !spend() {
 		m.freeCopy(from, handle)
-		return port.Moved{}, ErrUnpaid
+		return port.MoveResult{}, ErrBudgetExhausted
 	}
 	m.stopped.Store(true)
 	c, err := m.orderCopy(ctx, from, to, true, copyTimeout)
@@ -97,14 +97,14 @@
 }
 
 // Recover stops a run whose connection broke and copies its KV cache.
-func (m *Mover) Rescue(ctx context.Context, from, to *backs.Server) (port.Moved, error) {
+func (m *Migrator) Recover(ctx context.Context, from, to *srvtab.Server) (port.MoveResult, error) {
 	return m.orderCopy(ctx, from, to, true, copyTimeout)
 }
 
 // Stop makes sure that an engine no longer works on the run. Most engines drop it
 // with the connection; the others are ordered to stop it, with a copy to an
 // engine that already has the KV cache.
-func (m *Mover) Stop(ctx context.Context, from, to *backs.Server) {
+func (m *Migrator) Stop(ctx context.Context, from, to *srvtab.Server) {
 	done := make(chan struct{})
 	m.group.Go(func() error {
 		defer close(done)
@@ -124,7 +124,7 @@
 
 // freeCopy frees a copy that is not used, so that it does not take memory until
 // it expires.
-func (m *Mover) freeCopy(from *backs.Server, handle string) {
+func (m *Migrator) freeCopy(from *srvtab.Server, handle string) {
 	if handle == "" {
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 // orderCopy has an engine copy the run's KV cache.
-func (m *Mover) orderCopy(ctx context.Context, from, to *backs.Server, stopRun bool, timeout time.Duration) (port.Moved, error) {
+func (m *Migrator) orderCopy(ctx context.Context, from, to *srvtab.Server, stopRun bool, timeout time.Duration) (port.MoveResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -9,17 +9,17 @@
 	"umberladder/internal/policy/assign"
 	"umberladder/internal/policy/health"
 	"umberladder/internal/policy/rates"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/state/srvtab"
 )
 
 // Chooser chooses engines by what this VM knows of all of them. It is safe for
 // concurrent use.
 type Chooser struct {
-	servers *backs.Table
-	tracker *seats.Book
-	health  *health.Book
-	rates   *rates.Book
+	servers *srvtab.Table
+	tracker *alloc.Tracker
+	health  *health.Tracker
+	rates   *rates.Limiter
 
 	mu         sync.Mutex
 	avoidUntil map[ident.Server]time.Time // by server, until when it gets no runs
@@ -27,12 +27,12 @@
 }
 
 // NewChooser returns a Chooser.
-func NewChooser(servers *backs.Table, tracker *seats.Book, h *health.Book, r *rates.Book) *Chooser {
+func NewChooser(servers *srvtab.Table, tracker *alloc.Tracker, h *health.Tracker, r *rates.Limiter) *Chooser {
 	return &Chooser{servers: servers, tracker: tracker, health: h, rates: r, avoidUntil: make(map[ident.Server]time.Time)}
 }
 
 // View returns the servers known now.
-func (c *Chooser) View() *backs.View { return c.servers.View() }
+func (c *Chooser) View() *srvtab.View { return c.servers.View() }
 
 // Changed returns a channel that is closed once capacity may have become free.
 func (c *Chooser) Changed() <-chan struct{} { return c.tracker.Changed() }
@@ -73,7 +73,7 @@
 const avoidTime = 400 * time.Millisecond
 
 // MarkUnreachable records servers that a VM could not connect to.
-func (c *Chooser) Failed(list []ident.Server, now time.Time) {
+func (c *Chooser) MarkUnreachable(list []ident.Server, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range list {
@@ -107,72 +107,72 @@
 
 // Choose returns the placement of a run. pending are loads that no VM has
 // reported yet. It returns ErrNoServer or a *NoCapacityError if there is none.
-func (c *Chooser) Choose(r *Want, pending map[ident.Server]seats.Load, now time.Time) (Spot, error) {
+func (c *Chooser) Choose(r *Request, pending map[ident.Server]alloc.Load, now time.Time) (Placement, error) {
 	loads := c.tracker.All(now)
 	for id, l := range pending {
 		loads[id] = loads[id].Plus(l)
 	}
 	// KV caches that share a link would all arrive late, after their engine has
 	// terminated.
-	if r.Source != "" && loads[r.Source].Sends > 0 {
-		return Spot{}, &NoRoomError{LinkBusy: true}
+	if r.Source != "" && loads[r.Source].CopiesOut > 0 {
+		return Placement{}, &NoCapacityError{LinkBusy: true}
 	}
-	keepCopies := c.fillRatio(r, loads) < assign.CopyFill(c.hadRecentLoss(now))
-	if r.Use == Keep && !keepCopies {
-		return Spot{}, &NoRoomError{}
+	keepCopies := c.fillRatio(r, loads) < assign.MaxServiceFillForCopies(c.hadRecentLoss(now))
+	if r.Purpose == Backup && !keepCopies {
+		return Placement{}, &NoCapacityError{}
 	}
-	s, known := c.choose(r, r.Use, loads, r.From, r.Skip, now)
+	s, known := c.choose(r, r.Purpose, loads, r.From, r.Exclude, now)
 	if !known {
-		return Spot{}, ErrNoServer
+		return Placement{}, ErrNoServer
 	}
 	if s == nil {
-		return Spot{}, &NoRoomError{}
+		return Placement{}, &NoCapacityError{}
 	}
-	if r.Use != Keep {
+	if r.Purpose != Backup {
 		c.rates.Grant(s.ID, now)
 	}
-	placement := Spot{Server: s}
+	placement := Placement{Server: s}
 	if r.Backup && keepCopies {
-		exclude := append(slices.Clone(r.Skip), s.ID)
-		placement.Backup, _ = c.choose(r, Keep, loads, s.Domain, exclude, now)
+		exclude := append(slices.Clone(r.Exclude), s.ID)
+		placement.Backup, _ = c.choose(r, Backup, loads, s.Domain, exclude, now)
 	}
 	return placement, nil
 }
 
 // choose returns an engine with capacity for a purpose of the run; known reports
 // whether there is any engine that is not excluded.
-func (c *Chooser) choose(r *Want, purpose Use, loads map[ident.Server]seats.Load, from ident.Domain, exclude []ident.Server, now time.Time) (s *backs.Server, known bool) {
+func (c *Chooser) choose(r *Request, purpose Purpose, loads map[ident.Server]alloc.Load, from ident.FailureDomain, exclude []ident.Server, now time.Time) (s *srvtab.Server, known bool) {
 	list := c.servers.View().Service(r.Service)
 	servers := make([]assign.Server, len(list))
 	for i, s := range list {
 		l := loads[s.ID]
 		servers[i] = assign.Server{
-			Slots:   s.Slots,
-			Reads:   r.Read > 0,
-			Memory:  r.Memory,
-			Seats:   l.Seats,
-			Tokens:  l.Tokens,
-			Backlog: l.Backlog,
-			Copies:  purpose.transfersAhead(l),
-			Far:     s.Domain != from,
-			Weight:  c.health.Weight(s.ID, now),
-			Skip:    slices.Contains(exclude, s.ID),
+			Slots:          s.Slots,
+			NeedsPrefill:   r.Prefill > 0,
+			Memory:         r.EngineMemory,
+			InFlight:       l.Calls,
+			ReservedTokens: l.Tokens,
+			PrefillBacklog: l.Backlog,
+			IncomingCopies: purpose.transfersAhead(l),
+			CrossDomain:    s.Domain != from,
+			Weight:         c.health.Weight(s.ID, now),
+			Skip:           slices.Contains(exclude, s.ID),
 		}
 		known = known || !servers[i].Skip
-		servers[i].Skip = servers[i].Skip || c.isAvoided(s.ID, now) || purpose != Keep && !c.rates.CanGrant(s.ID, now)
+		servers[i].Skip = servers[i].Skip || c.isAvoided(s.ID, now) || purpose != Backup && !c.rates.CanGrant(s.ID, now)
 	}
-	if i := assign.Choose(r.Need, purpose.maxFill(), purpose.crossDomainWeight(), servers, assign.Random()); i >= 0 {
+	if i := assign.ChooseEngine(r.Need, purpose.maxFill(), purpose.crossDomainWeight(), servers, assign.NewRand()); i >= 0 {
 		return list[i], true
 	}
 	return nil, known
 }
 
 // fillRatio returns how full the service's engines are in total.
-func (c *Chooser) fillRatio(r *Want, loads map[ident.Server]seats.Load) float64 {
+func (c *Chooser) fillRatio(r *Request, loads map[ident.Server]alloc.Load) float64 {
 	list := c.servers.View().Service(r.Service)
 	tokens := 0
 	for _, s := range list {
 		tokens += loads[s.ID].Tokens
 	}
-	return float64(tokens) / (float64(r.Memory) * float64(max(len(list), 1)))
+	return float64(tokens) / (float64(r.EngineMemory) * float64(max(len(list), 1)))
 }
--- a/internal/route/desk/placer.go
+++ b/internal/route/placer/placer.go
@@ -1,4 +1,4 @@
-package desk
+package placer
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 
 	"umberladder/internal/core/ident"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/route/pick"
 	"umberladder/internal/state/hubs"
 )
@@ -38,23 +38,23 @@
 )
 
 // Transport sends requests to other VMs.
-type Post interface {
-	Ask(to netip.AddrPort, r homes.Ask)
+type Transport interface {
+	SendRequest(to netip.AddrPort, r coord.Request)
 }
 
 // Placer places the runs of one VM. It is safe for concurrent use.
-type Desk struct {
+type Placer struct {
 	vm          ident.VM
 	chooser     *pick.Chooser
-	coordinator *homes.Home
-	order       func(ident.Service, time.Time) []hubs.Rank
-	transport   Post
+	coordinator *coord.Coordinator
+	order       func(ident.Service, time.Time) []hubs.CoordinatorCandidate
+	transport   Transport
 	count       func(outcome string)
 	log         *zap.Logger
 
 	mu           sync.Mutex
 	lastID       uint64
-	pending      map[uint64]chan homes.Answer
+	pending      map[uint64]chan coord.Response
 	avoidUntil   map[ident.VM]time.Time // until when a VM gets no requests
 	coordinators map[ident.Service]ident.VM
 }
@@ -62,10 +62,10 @@
 // New returns a Placer. order returns the VMs that may coordinate a service, in
 // order; coordinator is this VM's own. Request IDs start after boot. count is
 // called with the outcome of each placement.
-func New(vm ident.VM, boot uint64, c *pick.Chooser, coordinator *homes.Home, order func(ident.Service, time.Time) []hubs.Rank, transport Post, count func(outcome string), log *zap.Logger) *Desk {
-	return &Desk{
+func New(vm ident.VM, boot uint64, c *pick.Chooser, coordinator *coord.Coordinator, order func(ident.Service, time.Time) []hubs.CoordinatorCandidate, transport Transport, count func(outcome string), log *zap.Logger) *Placer {
+	return &Placer{
 		vm: vm, chooser: c, coordinator: coordinator, order: order, transport: transport, count: count, log: log,
-		lastID: boot, pending: make(map[uint64]chan homes.Answer), avoidUntil: make(map[ident.VM]time.Time),
+		lastID: boot, pending: make(map[uint64]chan coord.Response), avoidUntil: make(map[ident.VM]time.Time),
 		coordinators: make(map[ident.Service]ident.VM),
 	}
 }
@@ -81,9 +81,9 @@
 
 // Place returns the placement of a run. Its error is pick.ErrNoServer, a
 // *pick.NoCapacityError or the context's error.
-func (p *Desk) Place(ctx context.Context, r pick.Want) (pick.Spot, error) {
+func (p *Placer) Place(ctx context.Context, r pick.Request) (pick.Placement, error) {
 	placement, outcome, err := p.place(ctx, r)
-	var noCapacity *pick.NoRoomError
+	var noCapacity *pick.NoCapacityError
 	switch {
 	case errors.As(err, &noCapacity):
 		outcome = outcomeNoCapacity
@@ -97,20 +97,20 @@
 }
 
 // place returns the placement of a run and the outcome to count.
-func (p *Desk) place(ctx context.Context, r pick.Want) (pick.Spot, string, error) {
+func (p *Placer) place(ctx context.Context, r pick.Request) (pick.Placement, string, error) {
 	start := time.Now()
-	r.Skip = append(slices.Clone(r.Skip), p.chooser.Paused(r.Service, start)...)
+	r.Exclude = append(slices.Clone(r.Exclude), p.chooser.Paused(r.Service, start)...)
 	req := r
-	req.Skip = append(slices.Clone(r.Skip), p.chooser.Unhealthy(r.Service, start)...)
+	req.Exclude = append(slices.Clone(r.Exclude), p.chooser.Unhealthy(r.Service, start)...)
 	for range maxUnusable {
 		resp, err := p.requestPlacement(ctx, req)
 		if err != nil {
 			break
 		}
 		switch resp.State {
-		case homes.Full:
-			return pick.Spot{}, outcomeCoordinator, &pick.NoRoomError{Retry: resp.Retry, Ahead: resp.Ahead}
-		case homes.NoServer:
+		case coord.NoCapacity:
+			return pick.Placement{}, outcomeCoordinator, &pick.NoCapacityError{RetryAfter: resp.RetryAfter, Ahead: resp.Ahead}
+		case coord.NoServer:
 			// The coordinator may know fewer servers than this VM.
 			placement, err := p.placeLocally(ctx, r, start)
 			return placement, outcomeLocal, err
@@ -121,12 +121,12 @@
 			backup = nil
 		}
 		if server != nil && !server.Leaving && !p.chooser.IsPaused(server.ID, time.Now()) {
-			return pick.Spot{Server: server, Backup: backup}, outcomeCoordinator, nil
+			return pick.Placement{Server: server, Backup: backup}, outcomeCoordinator, nil
 		}
-		req.Skip = append(req.Skip, resp.Server)
+		req.Exclude = append(req.Exclude, resp.Server)
 	}
 	if err := ctx.Err(); err != nil {
-		return pick.Spot{}, outcomeCoordinator, err
+		return pick.Placement{}, outcomeCoordinator, err
 	}
 	placement, err := p.placeLocally(ctx, r, start)
 	return placement, outcomeLocal, err
@@ -134,29 +134,29 @@
 
 // placeLocally places the run by what this VM knows. Runs that wait here are not
 // ordered by priority, so none waits after it can no longer start in time.
-func (p *Desk) placeLocally(ctx context.Context, r pick.Want, start time.Time) (pick.Spot, error) {
-	timer := time.NewTimer(max(0, min(r.Due, r.Wait)-time.Since(start)))
+func (p *Placer) placeLocally(ctx context.Context, r pick.Request, start time.Time) (pick.Placement, error) {
+	timer := time.NewTimer(max(0, min(r.TargetWait, r.MaxWait)-time.Since(start)))
 	defer timer.Stop()
 	for {
 		changed := p.chooser.Changed()
 		placement, err := p.chooser.Choose(&r, nil, time.Now())
-		var noCapacity *pick.NoRoomError
+		var noCapacity *pick.NoCapacityError
 		if !errors.As(err, &noCapacity) {
 			return placement, err
 		}
 		select {
 		case <-ctx.Done():
-			return pick.Spot{}, ctx.Err()
+			return pick.Placement{}, ctx.Err()
 		case <-changed:
 		case <-timer.C:
-			return pick.Spot{}, &pick.NoRoomError{Retry: homes.MinRetryAfter}
+			return pick.Placement{}, &pick.NoCapacityError{RetryAfter: coord.MinRetryAfter}
 		}
 	}
 }
 
 // requestPlacement asks the coordinator, or the next VM in order if it does not
 // respond.
-func (p *Desk) requestPlacement(ctx context.Context, r pick.Want) (homes.Answer, error) {
+func (p *Placer) requestPlacement(ctx context.Context, r pick.Request) (coord.Response, error) {
 	tried := 0
 	order := p.order(r.Service, time.Now())
 	p.logCoordinatorChange(r.Service, order)
@@ -173,11 +173,11 @@
 			break
 		}
 	}
-	return homes.Answer{}, errNoResponse
+	return coord.Response{}, errNoResponse
 }
 
 // logCoordinatorChange logs that the coordinator of a service has changed.
-func (p *Desk) logCoordinatorChange(s ident.Service, order []hubs.Rank) {
+func (p *Placer) logCoordinatorChange(s ident.Service, order []hubs.CoordinatorCandidate) {
 	if len(order) == 0 {
 		return
 	}
@@ -191,38 +191,38 @@
 	}
 }
 
-func (p *Desk) isAvoided(vm ident.VM) bool {
+func (p *Placer) isAvoided(vm ident.VM) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Now().Before(p.avoidUntil[vm])
 }
 
-func (p *Desk) avoid(vm ident.VM) {
+func (p *Placer) avoid(vm ident.VM) {
 	p.mu.Lock()
 	p.avoidUntil[vm] = time.Now().Add(avoidTime)
 	p.mu.Unlock()
 	p.log.Info("home does not answer", zap.String("home", string(vm)))
 }
 
-func (p *Desk) newRequest() (uint64, chan homes.Answer) {
+func (p *Placer) newRequest() (uint64, chan coord.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastID++
-	ch := make(chan homes.Answer, 2*maxTries)
+	ch := make(chan coord.Response, 2*maxTries)
 	p.pending[p.lastID] = ch
 	return p.lastID, ch
 }
 
-func (p *Desk) forget(id uint64) {
+func (p *Placer) forget(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, id)
 }
 
 // HandleResponse handles a response to a request.
-func (p *Desk) Answered(resp homes.Answer) {
+func (p *Placer) HandleResponse(resp coord.Response) {
 	p.mu.Lock()
-	ch := p.pending[resp.Number]
+	ch := p.pending[resp.ID]
 	p.mu.Unlock()
 	select {
 	case ch <- resp:
@@ -232,21 +232,21 @@
 }
 
 // requestFrom sends a request to one VM, and repeats it until the VM decides.
-func (p *Desk) requestFrom(ctx context.Context, cand hubs.Rank, r pick.Want) (homes.Answer, error) {
+func (p *Placer) requestFrom(ctx context.Context, cand hubs.CoordinatorCandidate, r pick.Request) (coord.Response, error) {
 	id, ch := p.newRequest()
 	defer p.forget(id)
 	start := time.Now()
 	lastHeard, interval := start, firstTimeout/maxTries
 	for {
 		r := r
-		r.Wait = max(0, r.Wait-time.Since(start))
-		r.Due = max(0, r.Due-time.Since(start))
-		p.send(cand, homes.Ask{VM: p.vm, Number: id, Want: r})
+		r.MaxWait = max(0, r.MaxWait-time.Since(start))
+		r.TargetWait = max(0, r.TargetWait-time.Since(start))
+		p.send(cand, coord.Request{VM: p.vm, ID: id, Run: r})
 		timer := time.NewTimer(interval)
 		select {
 		case resp := <-ch:
 			timer.Stop()
-			if resp.State != homes.Waiting {
+			if resp.State != coord.Waiting {
 				return resp, nil
 			}
 			lastHeard, interval = time.Now(), renewInterval
@@ -258,36 +258,36 @@
 			timer.Stop()
 		}
 		if err := ctx.Err(); err != nil {
-			return homes.Answer{}, err
+			return coord.Response{}, err
 		}
 		if time.Since(lastHeard) >= maxTries*interval {
-			return homes.Answer{}, errNoResponse
+			return coord.Response{}, errNoResponse
 		}
 	}
 }
 
 // awaitDecision waits for the decision on a queued request.
-func (p *Desk) awaitDecision(ctx context.Context, ch chan homes.Answer, timeout time.Duration) (homes.Answer, bool) {
+func (p *Placer) awaitDecision(ctx context.Context, ch chan coord.Response, timeout time.Duration) (coord.Response, bool) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	for {
 		select {
 		case resp := <-ch:
-			if resp.State != homes.Waiting {
+			if resp.State != coord.Waiting {
 				return resp, true
 			}
 		case <-t.C:
-			return homes.Answer{}, false
+			return coord.Response{}, false
 		case <-ctx.Done():
-			return homes.Answer{}, false
+			return coord.Response{}, false
 		}
 	}
 }
 
-func (p *Desk) send(cand hubs.Rank, r homes.Ask) {
+func (p *Placer) send(cand hubs.CoordinatorCandidate, r coord.Request) {
 	if cand.Addr.IsValid() {
-		p.transport.Ask(cand.Addr, r)
+		p.transport.SendRequest(cand.Addr, r)
 		return
 	}
-	p.coordinator.Take(r, p.Answered, time.Now())
+	p.coordinator.Submit(r, p.HandleResponse, time.Now())
 }
--- a/internal/route/desk/placer_test.go
+++ b/internal/route/placer/placer_test.go
@@ -1,4 +1,4 @@
-package desk
+package placer
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 	"umberladder/internal/core/ident"
 	"umberladder/internal/policy/health"
 	"umberladder/internal/policy/rates"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/route/pick"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
 	"umberladder/internal/state/hubs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -35,10 +35,10 @@
 type vm struct {
 	name         ident.VM
 	addr         netip.AddrPort
-	tracker      *seats.Book
-	servers      *backs.Table
-	coordinator  *homes.Home
-	placer       *Desk
+	tracker      *alloc.Tracker
+	servers      *srvtab.Table
+	coordinator  *coord.Coordinator
+	placer       *Placer
 	unresponsive atomic.Bool
 	mu           sync.Mutex // serialises reports, so that they arrive in order of seq
 	seq          uint64
@@ -57,33 +57,33 @@
 	from  *vm
 }
 
-func (t transport) Ask(to netip.AddrPort, r homes.Ask) {
+func (t transport) SendRequest(to netip.AddrPort, r coord.Request) {
 	t.fleet.group.Go(func() error {
 		time.Sleep(netDelay)
 		for _, v := range t.fleet.vms {
 			if v.addr == to && !v.unresponsive.Load() {
-				v.coordinator.Take(r, t.answer, time.Now())
+				v.coordinator.Submit(r, t.answer, time.Now())
 			}
 		}
 		return nil
 	})
 }
 
-func (t transport) answer(resp homes.Answer) {
+func (t transport) answer(resp coord.Response) {
 	t.fleet.group.Go(func() error {
 		time.Sleep(netDelay)
-		t.from.placer.Answered(resp)
+		t.from.placer.HandleResponse(resp)
 		return nil
 	})
 }
 
 func newFleet(ctx context.Context, vms, engines int) *fleet {
 	f := &fleet{}
-	order := func(self *vm) func(ident.Service, time.Time) []hubs.Rank {
-		return func(ident.Service, time.Time) []hubs.Rank {
-			var out []hubs.Rank
+	order := func(self *vm) func(ident.Service, time.Time) []hubs.CoordinatorCandidate {
+		return func(ident.Service, time.Time) []hubs.CoordinatorCandidate {
+			var out []hubs.CoordinatorCandidate
 			for _, v := range f.vms[:2] {
-				rank := hubs.Rank{VM: v.name, Addr: v.addr}
+				rank := hubs.CoordinatorCandidate{VM: v.name, Addr: v.addr}
 				if v == self {
 					rank.Addr = netip.AddrPort{}
 				}
@@ -96,13 +96,13 @@
 		v := &vm{
 			name:    ident.VM(fmt.Sprintf("vm-%d", i)),
 			addr:    netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(1+i)),
-			tracker: seats.New(), servers: backs.NewTable(func() {}),
+			tracker: alloc.New(), servers: srvtab.NewTable(func() {}),
 		}
 		for e := range engines {
-			v.servers.Put(backs.Entry{ID: engine(e), Service: service, Domain: "a", Slots: 24})
+			v.servers.Put(srvtab.Entry{ID: engine(e), Service: service, Domain: "a", Slots: 24})
 		}
 		c := pick.NewChooser(v.servers, v.tracker, health.New(), rates.New(nil, nil))
-		v.coordinator = homes.NewHome(c)
+		v.coordinator = coord.New(c)
 		v.placer = New(v.name, 0, c, v.coordinator, order(v), transport{f, v}, func(string) {}, zap.NewNop())
 		f.vms = append(f.vms, v)
 		f.group.Go(func() error {
@@ -131,24 +131,24 @@
 	v.seq++
 	for _, to := range f.vms[:2] {
 		if to != v {
-			to.tracker.Hear(v.name, 1, v.seq, 0, v.tracker.Own(), time.Now())
+			to.tracker.UpdatePeer(v.name, 1, v.seq, 0, v.tracker.Local(), time.Now())
 		}
 	}
 }
 
 // newCall returns a placement request of typical size.
-func newCall() pick.Want {
-	return pick.Want{Service: service, Rank: 1, Need: 3300, Read: 3000, Memory: memory, From: "a", Due: 600 * time.Millisecond, Wait: 900 * time.Millisecond}
+func newCall() pick.Request {
+	return pick.Request{Service: service, Rank: 1, Need: 3300, Prefill: 3000, EngineMemory: memory, From: "a", TargetWait: 600 * time.Millisecond, MaxWait: 900 * time.Millisecond}
 }
 
 // placeAndHold places a run and holds its reservation for d, or forever if
 // d < 0.
-func (f *fleet) placeAndHold(v *vm, r pick.Want, d time.Duration) (pick.Spot, error) {
+func (f *fleet) placeAndHold(v *vm, r pick.Request, d time.Duration) (pick.Placement, error) {
 	placement, err := v.placer.Place(context.Background(), r)
 	if err != nil {
 		return placement, err
 	}
-	res := v.tracker.Take(placement.Server.ID, seats.Load{Seats: 1, Tokens: r.Need})
+	res := v.tracker.Reserve(placement.Server.ID, alloc.Load{Calls: 1, Tokens: r.Need})
 	f.reportLoads(v)
 	if d >= 0 {
 		time.AfterFunc(d, func() {
@@ -182,9 +182,9 @@
 }
 
 // assertNoCapacity fails the test unless err is a NoCapacityError.
-func assertNoCapacity(t *testing.T, err error) *pick.NoRoomError {
+func assertNoCapacity(t *testing.T, err error) *pick.NoCapacityError {
 	t.Helper()
-	var noCapacity *pick.NoRoomError
+	var noCapacity *pick.NoCapacityError
 	assert.Assert(t, errors.As(err, &noCapacity), "%v", err)
 	return noCapacity
 }
@@ -236,10 +236,10 @@
 					return nil
 				})
 			}
-			time.Sleep(newCall().Due + 50*time.Millisecond)
+			time.Sleep(newCall().TargetWait + 50*time.Millisecond)
 			start := time.Now()
 			_, err := f.placeAndHold(f.vms[2], newCall(), 0)
-			assert.Assert(t, assertNoCapacity(t, err).Retry >= homes.MinRetryAfter)
+			assert.Assert(t, assertNoCapacity(t, err).RetryAfter >= coord.MinRetryAfter)
 			assert.Assert(t, time.Since(start) < 10*time.Millisecond, "%s", time.Since(start))
 			assert.NilError(t, g.Wait())
 		})
@@ -257,7 +257,7 @@
 				case "urgent":
 					r.Rank = 0
 				case "move":
-					r.Use, r.Read = pick.Move, 0
+					r.Purpose, r.Prefill = pick.Migration, 0
 				}
 				g.Go(func() error {
 					_, err := f.placeAndHold(f.vms[2], r, 50*time.Millisecond)
@@ -276,14 +276,14 @@
 		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 			f.fillEngine(t, 1200*time.Millisecond)
 			repeated := newCall()
-			repeated.Mark = 7
+			repeated.RetryKey = 7
 			_, err := f.placeAndHold(f.vms[2], repeated, 0)
 			assertNoCapacity(t, err)
 			var mu sync.Mutex
 			var started []string
 			var g errgroup.Group
-			for name, r := range map[string]pick.Want{"back": repeated, "new": newCall()} {
-				r.Need, r.Due, r.Wait = 15_000, 2*time.Second, 3*time.Second
+			for name, r := range map[string]pick.Request{"back": repeated, "new": newCall()} {
+				r.Need, r.TargetWait, r.MaxWait = 15_000, 2*time.Second, 3*time.Second
 				g.Go(func() error {
 					_, err := f.placeAndHold(f.vms[2], r, 50*time.Millisecond)
 					mu.Lock()
@@ -303,13 +303,13 @@
 			for range 300 {
 				g.Go(func() error {
 					r := newCall()
-					r.Wait = 2 * time.Second
+					r.MaxWait = 2 * time.Second
 					start := time.Now()
 					_, err := f.placeAndHold(f.vms[2], r, 600*time.Millisecond)
 					if err != nil {
 						assertNoCapacity(t, err)
 					}
-					assert.Assert(t, time.Since(start) <= r.Wait+20*time.Millisecond, "%s", time.Since(start))
+					assert.Assert(t, time.Since(start) <= r.MaxWait+20*time.Millisecond, "%s", time.Since(start))
 					return nil
 				})
 				time.Sleep(20 * time.Millisecond)
@@ -330,7 +330,7 @@
 	})
 	t.Run("an engine with a large prefill backlog gets no more calls", func(t *testing.T) {
 		testFleet(t, 2, 1, func(t *testing.T, f *fleet) {
-			f.vms[1].tracker.Take(engine(0), seats.Load{Tokens: 6000, Backlog: 6000})
+			f.vms[1].tracker.Reserve(engine(0), alloc.Load{Tokens: 6000, Backlog: 6000})
 			f.reportLoads(f.vms[1])
 			_, err := f.placeAndHold(f.vms[1], newCall(), 0)
 			assertNoCapacity(t, err)
@@ -339,7 +339,7 @@
 }
 
 func TestBackup(t *testing.T) {
-	backup := func(t *testing.T, f *fleet) *backs.Server {
+	backup := func(t *testing.T, f *fleet) *srvtab.Server {
 		t.Helper()
 		r := newCall()
 		r.Backup = true
@@ -358,8 +358,8 @@
 	})
 	t.Run("none while calls fill the engines", func(t *testing.T) {
 		testFleet(t, 2, 2, func(t *testing.T, f *fleet) {
-			f.vms[1].tracker.Take(engine(0), seats.Load{Tokens: 13_000})
-			f.vms[1].tracker.Take(engine(1), seats.Load{Tokens: 13_000})
+			f.vms[1].tracker.Reserve(engine(0), alloc.Load{Tokens: 13_000})
+			f.vms[1].tracker.Reserve(engine(1), alloc.Load{Tokens: 13_000})
 			f.reportLoads(f.vms[1])
 			assert.Assert(t, backup(t, f) == nil)
 		})
@@ -370,18 +370,18 @@
 // engines have recently been lost without notice. Otherwise the copies would
 // take the capacity that streams need when their engines are retired.
 func TestCopiesByRisk(t *testing.T) {
-	placeOne := func(t *testing.T, unreachable bool) pick.Spot {
+	placeOne := func(t *testing.T, unreachable bool) pick.Placement {
 		t.Helper()
-		var placement pick.Spot
+		var placement pick.Placement
 		testFleet(t, 2, 4, func(t *testing.T, f *fleet) {
 			for e := range 4 {
-				f.vms[1].tracker.Take(engine(e), seats.Load{Tokens: memory * 2 / 5})
+				f.vms[1].tracker.Reserve(engine(e), alloc.Load{Tokens: memory * 2 / 5})
 			}
 			f.reportLoads(f.vms[1])
 			r := newCall()
 			r.Backup = true
 			if unreachable {
-				r.Failed = []ident.Server{engine(3)}
+				r.Unreachable = []ident.Server{engine(3)}
 			}
 			var err error
 			placement, err = f.placeAndHold(f.vms[1], r, -1)
@@ -402,18 +402,18 @@
 func TestDeadEngine(t *testing.T) {
 	testFleet(t, 10, 3, func(t *testing.T, f *fleet) {
 		for i := range 2 {
-			f.vms[1].tracker.Take(engine(1+i), seats.Load{Tokens: memory})
+			f.vms[1].tracker.Reserve(engine(1+i), alloc.Load{Tokens: memory})
 		}
 		f.reportLoads(f.vms[1])
 		attempts := 0
 		for i := range 30 {
 			r := newCall()
-			r.Wait = 0
+			r.MaxWait = 0
 			placement, err := f.vms[i%10].placer.Place(context.Background(), r)
 			for err == nil && placement.Server.ID == engine(0) {
 				attempts++
-				r.Skip = []ident.Server{engine(0)}
-				r.Failed = r.Skip
+				r.Exclude = []ident.Server{engine(0)}
+				r.Unreachable = r.Exclude
 				placement, err = f.vms[i%10].placer.Place(context.Background(), r)
 			}
 			assertNoCapacity(t, err)
@@ -450,7 +450,7 @@
 			f.fillEngine(t, 250*time.Millisecond)
 			time.AfterFunc(50*time.Millisecond, func() { f.vms[0].unresponsive.Store(true) })
 			r := newCall()
-			r.Wait = 2 * time.Second
+			r.MaxWait = 2 * time.Second
 			_, err := f.placeAndHold(f.vms[3], r, -1)
 			assert.NilError(t, err)
 		})
@@ -463,7 +463,7 @@
 	})
 	t.Run("a granted server that the requesting VM knows to be retired is declined", func(t *testing.T) {
 		testFleet(t, 3, 2, func(t *testing.T, f *fleet) {
-			f.vms[2].servers.Put(backs.Entry{ID: engine(0), Service: service, Domain: "a", Slots: 24, Leaving: true})
+			f.vms[2].servers.Put(srvtab.Entry{ID: engine(0), Service: service, Domain: "a", Slots: 24, Leaving: true})
 			for range 4 {
 				placement, err := f.placeAndHold(f.vms[2], newCall(), -1)
 				assert.NilError(t, err)
@@ -482,8 +482,8 @@
 		notice  = 1800 * time.Millisecond
 	)
 	move := newCall()
-	move.Use, move.Read, move.Due, move.Wait = pick.Move, 0, 0, 2*time.Second
-	move.Source, move.Skip = engine(0), []ident.Server{engine(0)}
+	move.Purpose, move.Prefill, move.TargetWait, move.MaxWait = pick.Migration, 0, 0, 2*time.Second
+	move.Source, move.Exclude = engine(0), []ident.Server{engine(0)}
 	t.Run("its runs migrate one after the other", func(t *testing.T) {
 		testFleet(t, 6, 4, func(t *testing.T, f *fleet) {
 			var g errgroup.Group
@@ -495,7 +495,7 @@
 						return err
 					}
 					maxCopies.Store(max(maxCopies.Load(), copies.Add(1)))
-					link := v.tracker.Take(engine(0), seats.Load{Sends: 1})
+					link := v.tracker.Reserve(engine(0), alloc.Load{CopiesOut: 1})
 					f.reportLoads(v)
 					time.Sleep(copying)
 					copies.Add(-1)
@@ -514,7 +514,7 @@
 	})
 	t.Run("a migration that waits for the link does not block those of other engines", func(t *testing.T) {
 		testFleet(t, 3, 4, func(t *testing.T, f *fleet) {
-			f.vms[1].tracker.Take(engine(0), seats.Load{Sends: 1})
+			f.vms[1].tracker.Reserve(engine(0), alloc.Load{CopiesOut: 1})
 			f.reportLoads(f.vms[1])
 			ctx, cancel := context.WithCancel(context.Background())
 			var g errgroup.Group
@@ -524,7 +524,7 @@
 			})
 			time.Sleep(50 * time.Millisecond)
 			other := move
-			other.Source, other.Skip = engine(1), []ident.Server{engine(1)}
+			other.Source, other.Exclude = engine(1), []ident.Server{engine(1)}
 			start := time.Now()
 			_, err := f.placeAndHold(f.vms[2], other, -1)
 			assert.NilError(t, err)
--- a/internal/route/desk/size_test.go
+++ b/internal/route/placer/size_test.go
@@ -1,4 +1,4 @@
-package desk
+package placer
 
 import (
 	"math/rand/v2"
@@ -9,7 +9,7 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"umberladder/internal/policy/room"
+	"umberladder/internal/policy/admit"
 	"umberladder/internal/route/pick"
 )
 
@@ -49,8 +49,8 @@
 			if n%2 == 0 {
 				calls.Go(func() error {
 					r := newCall()
-					r.Due = room.Due(1800*time.Millisecond, 0, r.Read)
-					r.Wait = room.Wait(r.Due, 39*time.Second, 0)
+					r.TargetWait = admit.OnTimeWait(1800*time.Millisecond, 0, r.Prefill)
+					r.MaxWait = admit.MaxWait(r.TargetWait, 39*time.Second, 0)
 					_, err := f.placeAndHold(v, r, 1200*time.Millisecond)
 					long.record(err == nil)
 					return nil
@@ -58,13 +58,13 @@
 			} else {
 				large := n%20 == 1
 				calls.Go(func() error {
-					r := pick.Want{Service: service, Need: 2300, Read: 2200, Memory: memory, From: "a"}
+					r := pick.Request{Service: service, Need: 2300, Prefill: 2200, EngineMemory: memory, From: "a"}
 					if large {
-						r.Need, r.Read = 5700, 5600
+						r.Need, r.Prefill = 5700, 5600
 					}
-					r.Due = room.Due(target, 0, r.Read)
-					r.Wait = room.Wait(r.Due, patience, 0)
-					_, err := f.placeAndHold(v, r, time.Duration(r.Read)*time.Second/14_000)
+					r.TargetWait = admit.OnTimeWait(target, 0, r.Prefill)
+					r.MaxWait = admit.MaxWait(r.TargetWait, patience, 0)
+					_, err := f.placeAndHold(v, r, time.Duration(r.Prefill)*time.Second/14_000)
 					short.record(err == nil)
 					if large {
 						largest.record(err == nil)
--- a/internal/route/plain/router.go
+++ b/internal/route/plain/router.go
@@ -23,14 +23,14 @@
 
 // Client sends calls to plain servers.
 type Client interface {
-	Do(ctx context.Context, addr netip.AddrPort, call plain.Call) (plain.Answer, error)
+	Do(ctx context.Context, addr netip.AddrPort, call plain.Call) (plain.Response, error)
 }
 
 // Router sends calls to the servers of plain services. It is safe for concurrent use.
 type Router struct {
 	client     Client
 	budget     *retry.Budget
-	invariants *invar.Book
+	invariants *invar.Checker
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -44,23 +44,23 @@
 }
 
 // New returns a Router that sends calls with client.
-func New(client Client, budget *retry.Budget, book *invar.Book, rng *rand.Rand) *Router {
+func New(client Client, budget *retry.Budget, book *invar.Checker, rng *rand.Rand) *Router {
 	return &Router{client: client, budget: budget, invariants: book, rng: rng, servers: map[netip.AddrPort]*serverState{}}
 }
 
 // Do sends the call of a request to a server of the service. It returns the response and
 // the server, or a refusal that states whether the call ran.
-func (r *Router) Do(ctx context.Context, id ident.Request, svc *config.Service, call plain.Call) (plain.Answer, ident.Server, *refuse.Refusal) {
-	r.budget.Earn()
+func (r *Router) Do(ctx context.Context, id ident.Request, svc *config.Service, call plain.Call) (plain.Response, ident.Server, *refuse.Refusal) {
+	r.budget.RecordFirstAttempt()
 	failed := map[netip.AddrPort]struct{}{}
 	ran := refuse.RanNo
 	for {
 		server := r.pick(svc.Servers, failed)
 		if server == nil {
-			return plain.Answer{}, "", refuse.New(refuse.NoServer, "none of the %d servers of service %s takes calls now",
-				len(svc.Servers), svc.Name).With(ran).After(retryAfter)
+			return plain.Response{}, "", refuse.New(refuse.NoServer, "none of the %d servers of service %s takes calls now",
+				len(svc.Servers), svc.Name).WithRan(ran).WithRetryAfter(retryAfter)
 		}
-		r.invariants.Assert(invar.AtMostOnce, call.Repeatable || ran == refuse.RanNo, "call %s may have run and is written again", id)
+		r.invariants.Assert(invar.AtMostOnce, call.Retryable || ran == refuse.RanNo, "call %s may have run and is written again", id)
 		resp, err := r.client.Do(ctx, server.Address, call)
 		r.recordResult(server.Address, err)
 		if err == nil && r.isOwnResponse(id, server, resp) {
@@ -70,35 +70,35 @@
 		ran = max(ran, refusal.Ran)
 		refusal.Ran = ran
 		failed[server.Address] = struct{}{}
-		mayRepeat := refusal.Ran == refuse.RanNo || call.Repeatable
-		if !mayRepeat || len(failed) >= maxAttempts || !r.budget.Spend() {
-			return plain.Answer{}, server.Name, refusal
+		mayRepeat := refusal.Ran == refuse.RanNo || call.Retryable
+		if !mayRepeat || len(failed) >= maxAttempts || !r.budget.AllowRetry() {
+			return plain.Response{}, server.Name, refusal
 		}
 	}
 }
 
 // isOwnResponse reports whether a response belongs to the request: a server that returns
 // a request identifier must return that of the request.
-func (r *Router) isOwnResponse(id ident.Request, server *config.Server, resp plain.Answer) bool {
-	return r.invariants.Assert(invar.OwnAnswer, resp.Echo == "" || resp.Echo == string(id),
-		"server %s answers request %s with the answer to %s", server.Name, id, resp.Echo)
+func (r *Router) isOwnResponse(id ident.Request, server *config.Server, resp plain.Response) bool {
+	return r.invariants.Assert(invar.OwnAnswer, resp.RequestID == "" || resp.RequestID == string(id),
+		"server %s answers request %s with the answer to %s", server.Name, id, resp.RequestID)
 }
 
 // refusalFor returns the refusal for an attempt at server that failed with err.
 func refusalFor(server *config.Server, err error) *refuse.Refusal {
 	var e *plain.Error
 	if !errors.As(err, &e) {
-		return refuse.New(refuse.ServerDied, "server %s failed", server.Name).With(refuse.RanMaybe).After(retryAfter)
+		return refuse.New(refuse.ServerDied, "server %s failed", server.Name).WithRan(refuse.RanMaybe).WithRetryAfter(retryAfter)
 	}
-	switch e.Fault {
+	switch e.Kind {
 	case plain.Unsent:
-		return refuse.New(refuse.NoServer, "server %s can't be reached", server.Name).After(retryAfter)
-	case plain.Silent:
+		return refuse.New(refuse.NoServer, "server %s can't be reached", server.Name).WithRetryAfter(retryAfter)
+	case plain.Timeout:
 		return refuse.New(refuse.ServerSilent, "server %s was given the call and did not answer in time", server.Name).
-			With(refuse.RanMaybe).After(retryAfter)
+			WithRan(refuse.RanMaybe).WithRetryAfter(retryAfter)
 	default:
 		return refuse.New(refuse.ServerDied, "server %s was given the call and the answer broke off", server.Name).
-			With(refuse.RanMaybe).After(retryAfter)
+			WithRan(refuse.RanMaybe).WithRetryAfter(retryAfter)
 	}
 }
 
@@ -130,7 +130,7 @@
 // due for a probe, for which the call is used.
 func (r *Router) isAvailable(addr netip.AddrPort, now time.Time) bool {
 	s := r.state(addr)
-	return !s.breaker.Open() || s.breaker.Trial(now) && s.inFlight == 0
+	return !s.breaker.Open() || s.breaker.ProbeAllowed(now) && s.inFlight == 0
 }
 
 // state returns the state of the server at addr, creating it if necessary.
--- a/internal/route/pool/engine.go
+++ b/internal/route/pool/engine.go
@@ -29,10 +29,10 @@
 	drainingSince time.Time // when it was first reported as draining; zero: it is not
 	localStreams  int       // this VM's streams
 	localMemory   int       // memory of this VM's streams, in tokens
-	localShare    length.Share
+	localShare    length.Forecast
 	changes       []change // of this VM's streams since the report
 	breaker       retry.Breaker
-	inferred      length.Share // predicted memory of other VMs' streams
+	inferred      length.Forecast // predicted memory of other VMs' streams
 }
 
 // change is a start or end of a local stream after the last report.
@@ -48,31 +48,31 @@
 
 // usable reports whether the engine may get new work.
 func (n *node) usable(now time.Time) bool {
-	return n.reported && !n.report.Leaving && now.Sub(n.report.At) < staleAfter && !n.breaker.Open()
+	return n.reported && !n.report.Draining && now.Sub(n.report.AsOf) < staleAfter && !n.breaker.Open()
 }
 
 // update stores a load report and infers the streams of other VMs: those in the
 // report less this VM's own at that time, assumed to be observed at random
 // moments of their runs.
 func (n *node) update(l engine.Load, curve *length.Curve, now time.Time) {
-	if n.reported && l.At.Before(n.report.At) {
+	if n.reported && l.AsOf.Before(n.report.AsOf) {
 		return
 	}
-	if l.Leaving && n.drainingSince.IsZero() {
+	if l.Draining && n.drainingSince.IsZero() {
 		n.drainingSince = now
 	}
-	if !l.Leaving {
+	if !l.Draining {
 		n.drainingSince = time.Time{}
 	}
 	n.report = l
 	n.reported = true
-	n.dropReported(l.At)
+	n.dropReported(l.AsOf)
 	streams, memory := l.Running+l.Waiting-n.localStreams, l.MemoryUsed-n.localMemory
 	for _, c := range n.changes {
 		streams += c.streams
 		memory += c.memory
 	}
-	n.inferred = curve.Running(streams, float64(memory))
+	n.inferred = curve.ForecastRunning(streams, float64(memory))
 }
 
 // dropReported drops the changes that a report made at t includes.
@@ -89,18 +89,18 @@
 // policyView returns the engine as the placement policy sees it. It adds streams
 // of other VMs that are not in the report yet: about unreportedRate per second,
 // since the load balancer spreads callers evenly.
-func (n *node) policyView(now time.Time, unreportedRate float64, newShare *length.Share, prefix uint64) place.Engine {
+func (n *node) policyView(now time.Time, unreportedRate float64, newShare *length.Forecast, prefix uint64) place.Engine {
 	e := place.Engine{
-		Size:      float64(n.report.MemorySize),
-		Reported:  float64(n.report.MemoryUsed),
-		Own:       n.localStreams,
-		Predicted: n.localShare,
-		Weight:    n.breaker.Weight(now),
-		Affinity:  rendezvousScore(n.hash, prefix),
-		Skip:      !n.usable(now),
+		Memory:         float64(n.report.MemorySize),
+		ReportedMemory: float64(n.report.MemoryUsed),
+		OwnStreams:     n.localStreams,
+		Predicted:      n.localShare,
+		Weight:         n.breaker.Weight(now),
+		Affinity:       rendezvousScore(n.hash, prefix),
+		Skip:           !n.usable(now),
 	}
 	e.Predicted.Add(&n.inferred, 1)
-	e.Predicted.Add(newShare, unreportedRate*now.Sub(n.report.At).Seconds())
+	e.Predicted.Add(newShare, unreportedRate*now.Sub(n.report.AsOf).Seconds())
 	return e
 }
 
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -19,21 +19,21 @@
 )
 
 // Request is a generation to be placed.
-type Ask struct {
-	Service *config.Service
-	Class   *config.Class
-	Rule    refuse.Rule               // the class's wait limit, as named in refusals
-	Reserve float64                   // memory share kept free for higher classes
-	Prompt  int                       // in tokens
-	Prefix  uint64                    // hash of the start of the prompt
-	Exclude map[ident.Server]struct{} // engines that failed this request
-	Learn   ident.Workspace           // whose generation lengths are learned and used
+type Request struct {
+	Service   *config.Service
+	Class     *config.Class
+	Rule      refuse.Rule               // the class's wait limit, as named in refusals
+	Reserve   float64                   // memory share kept free for higher classes
+	Prompt    int                       // in tokens
+	Prefix    uint64                    // hash of the start of the prompt
+	Exclude   map[ident.Server]struct{} // engines that failed this request
+	Workspace ident.Workspace           // whose generation lengths are learned and used
 }
 
 // NewRequest returns the request for a generation of a service and class, without
 // its prompt.
-func NewAsk(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) Ask {
-	return Ask{
+func NewRequest(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) Request {
+	return Request{
 		Service: s,
 		Class:   c,
 		Rule: refuse.Rule{
@@ -41,8 +41,8 @@
 			Version: sys.Version,
 			Limit:   c.MaxWait.Seconds(),
 		},
-		Reserve: reserve(c, sys),
-		Learn:   w.Name,
+		Reserve:   reserve(c, sys),
+		Workspace: w.Name,
 	}
 }
 
@@ -64,7 +64,7 @@
 // use.
 type Pool struct {
 	model      ident.Model
-	invariants *invar.Book
+	invariants *invar.Checker
 	liveVMs    func() int // number of live VMs, including this one
 
 	mu            sync.Mutex
@@ -85,12 +85,12 @@
 }
 
 type waiter struct {
-	req    *Ask
-	placed chan *Seat
+	req    *Request
+	placed chan *Reservation
 }
 
 // New returns the pool of a model whose placements chooser decides.
-func New(model ident.Model, chooser place.Chooser, vms func() int, invariants *invar.Book, rng *rand.Rand) *Pool {
+func New(model ident.Model, chooser place.Chooser, vms func() int, invariants *invar.Checker, rng *rand.Rand) *Pool {
 	return &Pool{
 		model:      model,
 		invariants: invariants,
@@ -145,7 +145,7 @@
 
 // HandleReport handles a load report of an engine and places queued generations
 // that now fit.
-func (p *Pool) Report(name ident.Server, l engine.Load, now time.Time) {
+func (p *Pool) HandleReport(name ident.Server, l engine.Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := p.find(name)
@@ -153,7 +153,7 @@
 		return
 	}
 	n.update(l, p.typicalCurve(), now)
-	if n.breaker.Open() && n.breaker.Trial(now) {
+	if n.breaker.Open() && n.breaker.ProbeAllowed(now) {
 		n.breaker.Success(now)
 	}
 	p.dispatch(now)
@@ -185,7 +185,7 @@
 // Acquire returns a reservation for the generation, or the refusal that explains
 // why there is none. It waits for at most the class's limit, and refuses at once
 // if the predicted wait exceeds it.
-func (p *Pool) Acquire(ctx context.Context, req *Ask) (*Seat, *refuse.Refusal) {
+func (p *Pool) Acquire(ctx context.Context, req *Request) (*Reservation, *refuse.Refusal) {
 	now := time.Now()
 	w, e, res, refusal := p.admit(req, now)
 	if res != nil || refusal != nil {
@@ -203,13 +203,13 @@
 }
 
 // admit places the generation, refuses it, or queues it.
-func (p *Pool) admit(req *Ask, now time.Time) (*waiter, *queue.Entry[*waiter], *Seat, *refuse.Refusal) {
+func (p *Pool) admit(req *Request, now time.Time) (*waiter, *queue.Entry[*waiter], *Reservation, *refuse.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.anyUsable(now, req.Exclude) {
 		return nil, nil, nil, refuse.New(refuse.NoServer,
 			"of the %d engines of model %s, %d failed this request and no other takes new work now",
-			len(p.nodes), p.model, len(req.Exclude)).After(time.Second)
+			len(p.nodes), p.model, len(req.Exclude)).WithRetryAfter(time.Second)
 	}
 	ahead := p.queue.Ahead(req.Class.Rank, now, req.Class.MaxWait)
 	if ahead == 0 {
@@ -222,9 +222,9 @@
 		rule.Observed = wait.Seconds()
 		return nil, nil, nil, refuse.New(refuse.PredictedWait,
 			"%d requests wait before this one for model %s", ahead, p.model).
-			Under(rule).After(p.throughput.scheduleRetry(req.Class.Rank, wait-req.Class.MaxWait+time.Second, now))
+			WithRule(rule).WithRetryAfter(p.throughput.scheduleRetry(req.Class.Rank, wait-req.Class.MaxWait+time.Second, now))
 	}
-	w := &waiter{req: req, placed: make(chan *Seat, 1)}
+	w := &waiter{req: req, placed: make(chan *Reservation, 1)}
 	if p.queue.Len() == 0 {
 		p.throughput.start(now)
 	}
@@ -232,7 +232,7 @@
 }
 
 // withdraw removes a waiter from the queue, unless it was placed meanwhile.
-func (p *Pool) withdraw(w *waiter, e *queue.Entry[*waiter], req *Ask, since time.Time) (*Seat, *refuse.Refusal) {
+func (p *Pool) withdraw(w *waiter, e *queue.Entry[*waiter], req *Request, since time.Time) (*Reservation, *refuse.Refusal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.queue.Remove(e) {
@@ -246,7 +246,7 @@
 		after = p.throughput.scheduleRetry(req.Class.Rank, after+wait, now)
 	}
 	return nil, refuse.New(refuse.WaitedOut, "no engine of model %s had room in time", p.model).
-		Under(rule).After(after)
+		WithRule(rule).WithRetryAfter(after)
 }
 
 // anyUsable reports whether some engine accepts new work and has not failed this
@@ -260,12 +260,12 @@
 
 // tryPlace places the request on the engine that the chooser selects, or returns
 // nil.
-func (p *Pool) tryPlace(req *Ask, now time.Time) *Seat {
-	est := p.estimator(estimatorKey{req.Learn, req.Service.Name, req.Class.Name})
-	share := est.Curve().Share(0, req.Prompt)
+func (p *Pool) tryPlace(req *Request, now time.Time) *Reservation {
+	est := p.estimator(estimatorKey{req.Workspace, req.Service.Name, req.Class.Name})
+	share := est.Curve().Forecast(0, req.Prompt)
 	p.views = p.views[:0]
 	unreportedRate := p.placementRate.rate(now) * float64(p.liveVMs()-1) / float64(len(p.nodes))
-	newShare := p.typicalCurve().Share(0, req.Prompt)
+	newShare := p.typicalCurve().Forecast(0, req.Prompt)
 	for _, n := range p.nodes {
 		v := n.policyView(now, unreportedRate, &newShare, req.Prefix)
 		if _, failed := req.Exclude[n.server.Name]; failed {
@@ -273,7 +273,7 @@
 		}
 		p.views = append(p.views, v)
 	}
-	placeReq := place.Ask{Share: share, Z: length.Z(req.Service.OverflowChance), Room: 1 - req.Reserve, Prompt: req.Prompt}
+	placeReq := place.Request{Forecast: share, OverflowZ: length.NormalQuantile(req.Service.OverflowChance), MaxFill: 1 - req.Reserve, PromptTokens: req.Prompt}
 	i := p.chooser.Choose(&placeReq, p.views, p.rng)
 	if i < 0 {
 		return nil
@@ -281,7 +281,7 @@
 	return p.reserve(p.nodes[i], req, est, share, now)
 }
 
-func (p *Pool) reserve(n *node, req *Ask, est *length.Estimator, share length.Share, now time.Time) *Seat {
+func (p *Pool) reserve(n *node, req *Request, est *length.Estimator, share length.Forecast, now time.Time) *Reservation {
 	p.invariants.Assert(invar.LeavingServer, n.drainingSince.IsZero() || now.Sub(n.drainingSince) < DrainGrace,
 		"%s has been draining since %s", n.server.Name, n.drainingSince)
 	n.localStreams++
@@ -289,7 +289,7 @@
 	n.localShare.Add(&share, 1)
 	n.changes = append(n.changes, change{at: now, streams: 1, memory: req.Prompt})
 	p.placementRate.record(now)
-	return &Seat{
+	return &Reservation{
 		Server:          n.server,
 		pool:            p,
 		node:            n,
@@ -298,7 +298,7 @@
 		prompt:          req.Prompt,
 		countedMemory:   req.Prompt,
 		share:           share,
-		nextBound:       length.Bound(1),
+		nextBound:       length.BucketStart(1),
 	}
 }
 
@@ -323,7 +323,7 @@
 }
 
 // QueueLen returns the number of queued generations.
-func (p *Pool) Depth() int {
+func (p *Pool) QueueLen() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Len()
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -21,9 +21,9 @@
 	"umberladder/internal/test/check"
 )
 
-func newPool(engines int) (*Pool, *invar.Book) {
-	invariants := &invar.Book{}
-	p := New("m", place.Predicted{}, func() int { return 1 }, invariants, rand.New(rand.NewPCG(1, 1)))
+func newPool(engines int) (*Pool, *invar.Checker) {
+	invariants := &invar.Checker{}
+	p := New("m", place.PredictedLoad{}, func() int { return 1 }, invariants, rand.New(rand.NewPCG(1, 1)))
 	var servers []config.Server
 	for i := range engines {
 		servers = append(servers, config.Server{Name: engineName(i)})
@@ -34,8 +34,8 @@
 
 func engineName(i int) ident.Server { return ident.Server(fmt.Sprintf("e%d", i)) }
 
-func newRequest(class string, rank int, wait time.Duration) *Ask {
-	return &Ask{
+func newRequest(class string, rank int, wait time.Duration) *Request {
+	return &Request{
 		Service: &config.Service{Name: "s", OverflowChance: 0.3},
 		Class:   &config.Class{Name: ident.Class(class), Rank: rank, MaxWait: wait},
 		Prompt:  10,
@@ -63,14 +63,14 @@
 					lag := time.Duration(rapid.IntRange(0, 300).Draw(rt, "lag")) * time.Millisecond
 					reportedAt := time.Now().Add(-lag)
 					leaving := !drainingSince[i].IsZero() && !reportedAt.Before(drainingSince[i])
-					p.Report(engineName(i), engine.Load{MemorySize: 1 << 20, Leaving: leaving, At: reportedAt}, time.Now())
+					p.HandleReport(engineName(i), engine.Load{MemorySize: 1 << 20, Draining: leaving, AsOf: reportedAt}, time.Now())
 				default:
 					res, refusal := p.Acquire(context.Background(), newRequest("standard", 1, 100*time.Millisecond))
 					if refusal != nil {
 						continue
 					}
 					for j := range engines {
-						if res.At().Name == engineName(j) && !drainingSince[j].IsZero() {
+						if res.Engine().Name == engineName(j) && !drainingSince[j].IsZero() {
 							assert.Assert(t, time.Since(drainingSince[j]) <= DrainGrace, "%s began to drain %s ago", engineName(j), time.Since(drainingSince[j]))
 						}
 					}
@@ -86,8 +86,8 @@
 func TestUrgentIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPool(1)
-		p.Report(engineName(0), engine.Load{MemorySize: 2000, At: time.Now().Add(time.Hour)}, time.Now())
-		var reservations []*Seat
+		p.HandleReport(engineName(0), engine.Load{MemorySize: 2000, AsOf: time.Now().Add(time.Hour)}, time.Now())
+		var reservations []*Reservation
 		for {
 			res, refusal := p.Acquire(context.Background(), newRequest("batch", 2, time.Millisecond))
 			if refusal != nil {
@@ -111,7 +111,7 @@
 		}
 		enqueue("urgent", 0, 2*time.Minute) // its deadline is after those of all others
 		for len(placed) == 0 {
-			reservations[0].Release(Whole, time.Now())
+			reservations[0].Release(Completed, time.Now())
 			reservations = reservations[1:]
 			synctest.Wait()
 		}
@@ -128,7 +128,7 @@
 func TestRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newPool(1)
-		p.Report(engineName(0), engine.Load{MemorySize: 1, At: time.Now().Add(time.Hour)}, time.Now())
+		p.HandleReport(engineName(0), engine.Load{MemorySize: 1, AsOf: time.Now().Add(time.Hour)}, time.Now())
 		for range 30 {
 			time.AfterFunc(0, func() { _, _ = p.Acquire(context.Background(), newRequest("batch", 2, 20*time.Second)) })
 		}
--- a/internal/route/pool/reservation.go
+++ b/internal/route/pool/reservation.go
@@ -9,7 +9,7 @@
 
 // Reservation is a generation's place on an engine. It is used by one goroutine
 // and released once.
-type Seat struct {
+type Reservation struct {
 	Server config.Server
 
 	pool            *Pool
@@ -21,32 +21,32 @@
 	countedMemory   int // memory counted in the node, in tokens
 	nextBound       int // lower bound of the next length bucket
 	bucket          int
-	share           length.Share
+	share           length.Forecast
 	released        bool
 }
 
 // Engine returns the engine.
-func (r *Seat) At() config.Server { return r.Server }
+func (r *Reservation) Engine() config.Server { return r.Server }
 
 // Progress records that the generation has produced n tokens in total. It is
 // cheap unless n reaches the next length bucket.
-func (r *Seat) Progress(n int) {
+func (r *Reservation) Progress(n int) {
 	r.produced = n
 	if n < r.nextBound {
 		return
 	}
-	for n >= length.Bound(r.bucket+1) && r.bucket < length.Buckets-1 {
+	for n >= length.BucketStart(r.bucket+1) && r.bucket < length.Buckets-1 {
 		r.estimator.Passed(r.bucket)
 		r.commonEstimator.Passed(r.bucket)
 		r.bucket++
 	}
-	r.nextBound = length.Bound(r.bucket + 1)
+	r.nextBound = length.BucketStart(r.bucket + 1)
 	r.refreshShare()
 }
 
 // refreshShare updates the predicted memory of the stream.
-func (r *Seat) refreshShare() {
-	share := r.estimator.Curve().Share(r.produced, r.prompt)
+func (r *Reservation) refreshShare() {
+	share := r.estimator.Curve().Forecast(r.produced, r.prompt)
 	memory := r.prompt + r.produced
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
@@ -58,23 +58,23 @@
 }
 
 // Outcome is how a generation ended on its engine.
-type Ending uint8
+type Outcome uint8
 
 // The outcomes.
 const (
-	Whole   Ending = iota // it ran to its end
-	CutOff                // it was cancelled or the caller disconnected
-	Lost                  // the engine was lost or failed
-	Refused               // the engine refused to start it
+	Completed  Outcome = iota // it ran to its end
+	Cancelled                 // it was cancelled or the caller disconnected
+	EngineLost                // the engine was lost or failed
+	Refused                   // the engine refused to start it
 )
 
 // Release returns the reserved capacity and records the outcome.
-func (r *Seat) Release(end Ending, now time.Time) {
+func (r *Reservation) Release(end Outcome, now time.Time) {
 	if r.released {
 		return
 	}
 	r.released = true
-	if end == Whole {
+	if end == Completed {
 		r.estimator.Ended(r.bucket)
 		r.commonEstimator.Ended(r.bucket)
 	}
@@ -86,13 +86,13 @@
 	r.node.localMemory -= r.countedMemory
 	r.node.localShare.Add(&r.share, -1)
 	if r.node.localStreams == 0 {
-		r.node.localShare = length.Share{}
+		r.node.localShare = length.Forecast{}
 		r.node.localMemory = 0
 	}
 	switch end {
-	case Lost:
+	case EngineLost:
 		r.node.breaker.Failure(now, p.rng.Float64())
-	case Whole:
+	case Completed:
 		r.node.breaker.Success(now)
 	}
 	p.dispatch(now)
--- a/internal/route/port/port.go
+++ b/internal/route/port/port.go
@@ -8,36 +8,36 @@
 
 	"umberladder/internal/core/call"
 	"umberladder/internal/core/ident"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 // Attempt is one attempt to have a server run a call.
-type Send struct {
-	Call      *call.Call
-	Server    *backs.Server
-	Workspace ident.Workspace // empty: the route is public
-	Left      time.Duration   // after it the response is of no use
-	Backup    netip.AddrPort  // engine that keeps a copy of the cache; not valid: none
-	Copy      Copy            // KV cache to continue from
-	After     string          // ID of the last event that the client received
+type Attempt struct {
+	Call        *call.Call
+	Server      *srvtab.Server
+	Workspace   ident.Workspace // empty: the route is public
+	Timeout     time.Duration   // after it the response is of no use
+	Backup      netip.AddrPort  // engine that keeps a copy of the cache; not valid: none
+	Copy        CacheRef        // KV cache to continue from
+	LastEventID string          // ID of the last event that the client received
 }
 
 // CacheRef identifies the KV cache of a run that continues on another engine.
-type Copy struct {
-	At netip.AddrPort // engine that has the cache; not valid: none
-	ID string
+type CacheRef struct {
+	Addr netip.AddrPort // engine that has the cache; not valid: none
+	ID   string
 }
 
 // Response is a server's response.
-type Answer struct {
-	Status int
-	Fields []call.Field // as sent by the server, without those of the connection
-	Signed bool         // carries a signature of the server
-	NotRun bool         // the server says that it did not run the call
-	Gone   bool         // another server responded at the address: the called one has terminated
-	Framed bool         // the end of the body is marked, so truncation is detected
+type Response struct {
+	Status      int
+	Fields      []call.Field // as sent by the server, without those of the connection
+	Signed      bool         // carries a signature of the server
+	NotExecuted bool         // the server says that it did not run the call
+	Replaced    bool         // another server responded at the address: the called one has terminated
+	Delimited   bool         // the end of the body is marked, so truncation is detected
 	// Draining reports that the server is draining: it accepts no new calls.
-	Leaving bool
+	Draining bool
 	// Pause is how long a server that rejects the call wants no calls from this VM;
 	// zero: it does not say.
 	Pause time.Duration
@@ -55,23 +55,23 @@
 }
 
 // MoveResult is the result of an order to copy a run's KV cache.
-type Moved struct {
+type MoveResult struct {
 	Handle string
 	Events int // produced so far
 }
 
 // EngineReport is the state that an engine reports of itself, with some delay.
-type Report struct {
-	Leaving bool
-	Left    time.Duration // until it ends; zero: not known
-	Born    time.Time     // when it started; zero: not reported
+type EngineReport struct {
+	Draining  bool
+	Remaining time.Duration // until it ends; zero: not known
+	StartedAt time.Time     // when it started; zero: not reported
 }
 
 // Errors of an order to copy a KV cache.
 var (
-	ErrNoRun  = errors.New("port: the engine has no such run")
-	ErrBusy   = errors.New("port: another order for the run is in progress")
-	ErrNoRoom = errors.New("port: the other engine has no capacity or is unreachable")
+	ErrNoRun      = errors.New("port: the engine has no such run")
+	ErrBusy       = errors.New("port: another order for the run is in progress")
+	ErrNoCapacity = errors.New("port: the other engine has no capacity or is unreachable")
 )
 
 // SendError is the error of an attempt without a response.
@@ -88,25 +88,25 @@
 type Backend interface {
 	// Send sends the call and returns once the head of the response has arrived. Its
 	// error is always a *SendError.
-	Send(ctx context.Context, a Send) (*Answer, error)
+	Send(ctx context.Context, a Attempt) (*Response, error)
 	// Move copies the KV cache of a run to another engine. With stopRun it stops the
 	// run first.
-	Move(ctx context.Context, from *backs.Server, id ident.Request, to netip.AddrPort, stopRun bool) (Moved, error)
+	Move(ctx context.Context, from *srvtab.Server, id ident.Request, to netip.AddrPort, stopRun bool) (MoveResult, error)
 	// Free frees a copy that is not used.
-	Free(ctx context.Context, from *backs.Server, handle string) error
+	Free(ctx context.Context, from *srvtab.Server, handle string) error
 	// RefusesConnections reports whether the server's address refuses connections,
 	// which means that its process has ended. Other connection failures prove
 	// nothing.
-	Refuses(ctx context.Context, s *backs.Server) bool
+	RefusesConnections(ctx context.Context, s *srvtab.Server) bool
 }
 
 // ResponseWriter writes the response to the client.
-type Reply interface {
-	Begun() bool
-	Whole(status int, fields []call.Field, body []byte) error
-	Start(status int, fields []call.Field) error
-	Piece(p []byte) error
-	End() error
+type ResponseWriter interface {
+	Started() bool
+	WriteResponse(status int, fields []call.Field, body []byte) error
+	WriteHeader(status int, fields []call.Field) error
+	WriteChunk(p []byte) error
+	Finish() error
 	Abort()
 }
 
--- a/internal/route/probe/probe.go
+++ b/internal/route/probe/probe.go
@@ -11,7 +11,7 @@
 	"umberladder/internal/core/ident"
 	"umberladder/internal/route/port"
 	"umberladder/internal/route/task"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -28,8 +28,8 @@
 )
 
 // Reporter reads the reports of engines.
-type Engines interface {
-	Report(ctx context.Context, s *backs.Server) (port.Report, error)
+type Reporter interface {
+	Report(ctx context.Context, s *srvtab.Server) (port.EngineReport, error)
 }
 
 // Group starts goroutines.
@@ -39,8 +39,8 @@
 
 // Prober asks the engines of services whether they are draining.
 type Prober struct {
-	table       *backs.Table
-	engines     Engines
+	table       *srvtab.Table
+	engines     Reporter
 	services    func(now time.Time) []ident.Service
 	unreachable func(ids []ident.Server, now time.Time)
 	group       Group
@@ -54,7 +54,7 @@
 // New returns a Prober. services returns the services whose engines are to be
 // asked at a given time; unreachable is called with engines that refuse
 // connections.
-func New(table *backs.Table, engines Engines, services func(now time.Time) []ident.Service,
+func New(table *srvtab.Table, engines Reporter, services func(now time.Time) []ident.Service,
 	unreachable func(ids []ident.Server, now time.Time), group Group, log *zap.Logger,
 ) *Prober {
 	return &Prober{
@@ -89,19 +89,19 @@
 }
 
 // due returns the engines to ask now, and records that they are asked.
-func (p *Prober) due(now time.Time) []*backs.Server {
-	var list []*backs.Server
+func (p *Prober) due(now time.Time) []*srvtab.Server {
+	var list []*srvtab.Server
 	view := p.table.View()
 	for _, name := range p.services(now) {
 		list = append(list, view.Service(name)...)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list = slices.DeleteFunc(list, func(s *backs.Server) bool {
+	list = slices.DeleteFunc(list, func(s *srvtab.Server) bool {
 		_, pending := p.inFlight[s.ID]
 		return pending
 	})
-	slices.SortStableFunc(list, func(a, b *backs.Server) int { return p.lastAsked[a.ID].Compare(p.lastAsked[b.ID]) })
+	slices.SortStableFunc(list, func(a, b *srvtab.Server) int { return p.lastAsked[a.ID].Compare(p.lastAsked[b.ID]) })
 	list = list[:min(len(list), maxPerRound)]
 	for _, s := range list {
 		p.inFlight[s.ID], p.lastAsked[s.ID] = struct{}{}, now
@@ -122,7 +122,7 @@
 
 // probe asks one engine. A missing response proves nothing: possibly only the
 // network path to this VM is broken.
-func (p *Prober) probe(ctx context.Context, s *backs.Server) {
+func (p *Prober) probe(ctx context.Context, s *srvtab.Server) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := p.engines.Report(ctx, s)
@@ -132,19 +132,19 @@
 	case err != nil:
 		p.log.Debug("engine report not read", zap.String("server", string(s.ID)), zap.Error(err))
 	case restarted(s, r):
-		if p.table.Left(s.ID) {
+		if p.table.MarkReplaced(s.ID) {
 			p.log.Info("server gone", zap.String("server", string(s.ID)), zap.String("reason", "it was restarted"))
 		}
-	case r.Leaving:
-		if p.table.Drain(s.ID, time.Now()) {
+	case r.Draining:
+		if p.table.MarkDraining(s.ID, time.Now()) {
 			p.log.Info("server drains", zap.String("server", string(s.ID)), zap.String("reported-by", "itself"),
-				zap.Duration("left", r.Left))
+				zap.Duration("left", r.Remaining))
 		}
 	}
 }
 
 // restarted reports whether the engine has been restarted under its name.
-func restarted(s *backs.Server, r port.Report) bool {
-	born := s.ID.Born()
-	return !born.IsZero() && !r.Born.IsZero() && !r.Born.Equal(born)
+func restarted(s *srvtab.Server, r port.EngineReport) bool {
+	born := s.ID.StartTime()
+	return !born.IsZero() && !r.StartedAt.IsZero() && !r.StartedAt.Equal(born)
 }
--- a/internal/route/probe/probe_test.go
+++ b/internal/route/probe/probe_test.go
@@ -14,7 +14,7 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/route/port"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 const service = ident.Service("s")
@@ -23,19 +23,19 @@
 
 // engines responds to all questions in the same way.
 type engines struct {
-	report port.Report
+	report port.EngineReport
 	err    error
 	after  time.Duration
 	asked  int
 }
 
-func (e *engines) Report(ctx context.Context, _ *backs.Server) (port.Report, error) {
+func (e *engines) Report(ctx context.Context, _ *srvtab.Server) (port.EngineReport, error) {
 	e.asked++
 	select {
 	case <-time.After(e.after):
 		return e.report, e.err
 	case <-ctx.Done():
-		return port.Report{}, ctx.Err()
+		return port.EngineReport{}, ctx.Err()
 	}
 }
 
@@ -44,8 +44,8 @@
 func probeForSecond(t *testing.T, e *engines, storeDown bool) (used bool, unreachable []ident.Server) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		tab := backs.NewTable(func() {})
-		tab.Put(backs.Entry{ID: firstStart, Service: service, Slots: 1})
+		tab := srvtab.NewTable(func() {})
+		tab.Put(srvtab.Entry{ID: firstStart, Service: service, Slots: 1})
 		services := func(time.Time) []ident.Service {
 			if !storeDown {
 				return nil
@@ -71,12 +71,12 @@
 		asked       int
 	}{
 		"healthy":            {used: true, asked: 5},
-		"draining":           {engines: engines{report: port.Report{Leaving: true}}, asked: 1},
-		"restarted":          {engines: engines{report: port.Report{Born: time.UnixMilli(2000)}}, asked: 1},
-		"same start time":    {engines: engines{report: port.Report{Born: time.UnixMilli(1000)}}, used: true, asked: 5},
+		"draining":           {engines: engines{report: port.EngineReport{Draining: true}}, asked: 1},
+		"restarted":          {engines: engines{report: port.EngineReport{StartedAt: time.UnixMilli(2000)}}, asked: 1},
+		"same start time":    {engines: engines{report: port.EngineReport{StartedAt: time.UnixMilli(1000)}}, used: true, asked: 5},
 		"connection refused": {engines: engines{err: &port.SendError{Unsent: true, Err: errors.New("refused")}}, used: true, unreachable: true, asked: 5},
 		"no response":        {engines: engines{after: time.Minute}, used: true, asked: 2},
-		"store reachable":    {storeUp: true, engines: engines{report: port.Report{Leaving: true}}, used: true},
+		"store reachable":    {storeUp: true, engines: engines{report: port.EngineReport{Draining: true}}, used: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			used, unreachable := probeForSecond(t, &tc.engines, !tc.storeUp)
@@ -91,10 +91,10 @@
 // all of them in turn.
 func TestMany(t *testing.T) {
 	const engines = 3000
-	tab := backs.NewTable(func() {})
-	var list []backs.Entry
+	tab := srvtab.NewTable(func() {})
+	var list []srvtab.Entry
 	for n := range engines {
-		list = append(list, backs.Entry{ID: ident.NewServer(fmt.Sprint("e-", n), time.UnixMilli(1000)), Service: service, Slots: 1})
+		list = append(list, srvtab.Entry{ID: ident.NewServer(fmt.Sprint("e-", n), time.UnixMilli(1000)), Service: service, Slots: 1})
 	}
 	now := time.Now()
 	tab.Replace(list, time.Time{}, now)
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -24,14 +24,14 @@
 // isQuarantined reports whether a call of the path would be refused by the
 // quarantine.
 func (h *harness) isQuarantined(path string) bool {
-	_, ok := h.quarantine.Until(h.call(path).Fingerprint("team"), time.Now())
+	_, ok := h.quarantine.QuarantinedUntil(h.call(path).Fingerprint("team"), time.Now())
 	return ok
 }
 
 // serveWithFreshSettings serves a call with settings that were just updated.
 func (h *harness) serveWithFreshSettings(t *testing.T, path string) (*client, *refuse.Refusal) {
 	t.Helper()
-	h.settings.Put(snapshot(1), h.clock())
+	h.settings.Update(snapshot(1), h.clock())
 	return h.serve(t.Context(), path)
 }
 
@@ -58,7 +58,7 @@
 				attempts := 0
 				for i := range servers {
 					id := ident.Server(fmt.Sprintf("s%d", i))
-					h.engines.respond[id] = func() (*port.Answer, error) {
+					h.engines.respond[id] = func() (*port.Response, error) {
 						attempts++
 						h.engines.terminated[id] = tc.ended
 						return failSilent()
@@ -108,7 +108,7 @@
 		n := 0
 		for i := range servers {
 			id := ident.Server(fmt.Sprintf("s%d", i))
-			h.engines.respond[id] = func() (*port.Answer, error) {
+			h.engines.respond[id] = func() (*port.Response, error) {
 				if n++; n%5 == 0 {
 					h.engines.terminated[id] = true
 					return failSilent()
--- a/internal/route/relay/fake_test.go
+++ b/internal/route/relay/fake_test.go
@@ -15,22 +15,22 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/call"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/policy/health"
 	"umberladder/internal/policy/poison"
 	"umberladder/internal/policy/rates"
-	"umberladder/internal/route/desk"
-	"umberladder/internal/route/homes"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/route/coord"
 	"umberladder/internal/route/pick"
+	"umberladder/internal/route/placer"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
 	"umberladder/internal/route/task"
-	"umberladder/internal/state/backs"
 	"umberladder/internal/state/hubs"
 	"umberladder/internal/state/routes"
+	"umberladder/internal/state/srvtab"
 )
 
 // fakeEngines is a set of servers in virtual time. A run produces one event per
@@ -40,7 +40,7 @@
 	mu         sync.Mutex
 	interval   time.Duration
 	events     int
-	respond    map[ident.Server]func() (*port.Answer, error)
+	respond    map[ident.Server]func() (*port.Response, error)
 	runs       map[string]*run // by server and request
 	started    []string        // servers that started the call from the beginning
 	continued  []string        // servers that continued the call from a copy
@@ -61,7 +61,7 @@
 	out          *io.PipeWriter
 	complete     atomic.Bool
 	copied       bool
-	server       *backs.Server
+	server       *srvtab.Server
 }
 
 // deltaCopyTime is how long it takes to copy what was generated since the last copy.
@@ -91,23 +91,23 @@
 	return b.PipeReader.Close()
 }
 
-func (e *fakeEngines) Send(_ context.Context, s port.Send) (*port.Answer, error) {
+func (e *fakeEngines) Send(_ context.Context, s port.Attempt) (*port.Response, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if f := e.respond[s.Server.ID]; f != nil {
 		return f()
 	}
 	base := int64(0)
-	if s.Copy.At.IsValid() {
+	if s.Copy.Addr.IsValid() {
 		if e.noCopy || e.copyPending(s.Call.ID) {
-			return &port.Answer{Status: 503, NotRun: true, Body: &textBody{}}, nil
+			return &port.Response{Status: 503, NotExecuted: true, Body: &textBody{}}, nil
 		}
 		e.continued = append(e.continued, string(s.Server.ID))
 	} else {
 		e.started = append(e.started, string(s.Server.ID))
 	}
-	if s.After != "" {
-		_, _ = fmt.Sscan(s.After, &base)
+	if s.LastEventID != "" {
+		_, _ = fmt.Sscan(s.LastEventID, &base)
 	}
 	pr, pw := io.Pipe()
 	r := &run{quit: make(chan struct{}), out: pw, server: s.Server}
@@ -117,7 +117,7 @@
 		e.generate(r)
 		return nil
 	})
-	return &port.Answer{Status: 200, Signed: true, Framed: true, Body: runBody{pr, r}}, nil
+	return &port.Response{Status: 200, Signed: true, Delimited: true, Body: runBody{pr, r}}, nil
 }
 
 // generate writes the run's events.
@@ -138,7 +138,7 @@
 	_ = r.out.Close()
 }
 
-func (e *fakeEngines) Move(_ context.Context, from *backs.Server, id ident.Request, _ netip.AddrPort, last bool) (port.Moved, error) {
+func (e *fakeEngines) Move(_ context.Context, from *srvtab.Server, id ident.Request, _ netip.AddrPort, last bool) (port.MoveResult, error) {
 	e.mu.Lock()
 	r := e.runs[runKey(from.ID, id)]
 	e.migrations++
@@ -151,16 +151,16 @@
 	}
 	e.mu.Unlock()
 	if r == nil || r.complete.Load() || r.stopped() {
-		return port.Moved{}, port.ErrNoRun
+		return port.MoveResult{}, port.ErrNoRun
 	}
 	if noCapacity {
-		return port.Moved{}, port.ErrNoRoom
+		return port.MoveResult{}, port.ErrNoCapacity
 	}
 	if last {
 		r.stop()
 	}
 	time.Sleep(wait)
-	return port.Moved{Handle: "h", Events: int(r.events.Load())}, nil
+	return port.MoveResult{Handle: "h", Events: int(r.events.Load())}, nil
 }
 
 func (r *run) stopped() bool {
@@ -172,13 +172,13 @@
 	}
 }
 
-func (e *fakeEngines) Refuses(_ context.Context, s *backs.Server) bool {
+func (e *fakeEngines) RefusesConnections(_ context.Context, s *srvtab.Server) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.terminated[s.ID]
 }
 
-func (e *fakeEngines) Free(context.Context, *backs.Server, string) error { return nil }
+func (e *fakeEngines) Free(context.Context, *srvtab.Server, string) error { return nil }
 
 // crash ends all runs of a server.
 func (e *fakeEngines) crash(id ident.Server) {
@@ -234,24 +234,24 @@
 	aborted bool
 }
 
-func (c *client) Begun() bool { return c.started }
+func (c *client) Started() bool { return c.started }
 
-func (c *client) Whole(status int, _ []call.Field, b []byte) error {
+func (c *client) WriteResponse(status int, _ []call.Field, b []byte) error {
 	c.started, c.ended, c.status, c.body = true, true, status, string(b)
 	return nil
 }
 
-func (c *client) Start(status int, _ []call.Field) error {
+func (c *client) WriteHeader(status int, _ []call.Field) error {
 	c.started, c.status = true, status
 	return nil
 }
 
-func (c *client) Piece(p []byte) error {
+func (c *client) WriteChunk(p []byte) error {
 	c.body += string(p)
 	return nil
 }
 
-func (c *client) End() error {
+func (c *client) Finish() error {
 	c.ended = true
 	return nil
 }
@@ -262,28 +262,28 @@
 type harness struct {
 	t          *testing.T
 	engines    *fakeEngines
-	table      *backs.Table
-	settings   *routes.Book
+	table      *srvtab.Table
+	settings   *routes.Current
 	budget     *fakeBudget
-	quarantine *poison.Book
+	quarantine *poison.Detector
 	relay      *Relay
 	group      *errgroup.Group
-	records    []*task.End
-	clock      func() awake.Instant
+	records    []*task.Result
+	clock      func() uptime.Instant
 	refresh    func() error
 }
 
 // fakeBudget is a retry budget with a fixed number of retries.
 type fakeBudget struct{ remaining int }
 
-func (b *fakeBudget) Earn(ident.Service, time.Time) {}
+func (b *fakeBudget) RecordFirstAttempt(ident.Service, time.Time) {}
 
-func (b *fakeBudget) Spend(ident.Service, time.Time) bool {
+func (b *fakeBudget) AllowRetry(ident.Service, time.Time) bool {
 	b.remaining--
 	return b.remaining >= 0
 }
 
-func (h *harness) Ended(e *task.End) { h.records = append(h.records, e) }
+func (h *harness) Ended(e *task.Result) { h.records = append(h.records, e) }
 
 func (h *harness) Refresh(context.Context, time.Duration) error {
 	if h.refresh == nil {
@@ -295,38 +295,38 @@
 func newHarness(t *testing.T, servers int) *harness {
 	h := &harness{t: t, group: &errgroup.Group{}, budget: &fakeBudget{remaining: 100}}
 	start := time.Now()
-	h.clock = func() awake.Instant { return awake.Instant(time.Since(start) + time.Hour) }
+	h.clock = func() uptime.Instant { return uptime.Instant(time.Since(start) + time.Hour) }
 	h.engines = &fakeEngines{
 		interval: 30 * time.Millisecond, events: 100, copyTime: 200 * time.Millisecond,
-		respond: make(map[ident.Server]func() (*port.Answer, error)), runs: make(map[string]*run),
+		respond: make(map[ident.Server]func() (*port.Response, error)), runs: make(map[string]*run),
 		terminated: make(map[ident.Server]bool),
 	}
-	h.table = backs.NewTable(func() {})
+	h.table = srvtab.NewTable(func() {})
 	for i := range servers {
 		h.table.Put(serverEntry(i))
 	}
-	h.settings = routes.NewBook(h.clock)
-	h.settings.Put(snapshot(1), h.clock())
-	reservations, health := seats.New(), health.New()
-	h.quarantine = poison.New(poison.Config{Crashes: 3, Time: time.Minute}, func(poison.Change) {})
+	h.settings = routes.NewCurrent(h.clock)
+	h.settings.Update(snapshot(1), h.clock())
+	reservations, health := alloc.New(), health.New()
+	h.quarantine = poison.New(poison.Config{CrashLimit: 3, Duration: time.Minute}, func(poison.Change) {})
 	chooser := pick.NewChooser(h.table, reservations, health, rates.New(nil, nil))
-	alone := func(ident.Service, time.Time) []hubs.Rank { return nil }
-	h.relay = New(task.Parts{
+	alone := func(ident.Service, time.Time) []hubs.CoordinatorCandidate { return nil }
+	h.relay = New(task.Deps{
 		Config: task.Config{
-			Domain: "a",
-			Revoke: func() time.Duration { return 5 * time.Second },
-			Apply:  func() time.Duration { return 3 * time.Second },
+			Domain:      "a",
+			RevokeDelay: func() time.Duration { return 5 * time.Second },
+			ApplyDelay:  func() time.Duration { return 3 * time.Second },
 		},
 		Settings: h.settings, Refresh: h, Servers: h.table,
-		Seats: reservations, Budget: h.budget, Health: health, Rates: rates.New(nil, nil), Poison: h.quarantine, Backend: h.engines, Clock: h.clock,
+		Alloc: reservations, Budget: h.budget, Health: health, Rates: rates.New(nil, nil), Poison: h.quarantine, Backend: h.engines, Clock: h.clock,
 		Log: zap.NewNop(), Group: h.group, Count: h,
-		Places: desk.New("vm", 0, chooser, homes.NewHome(chooser), alone, nil, func(string) {}, zap.NewNop()),
+		Placer: placer.New("vm", 0, chooser, coord.New(chooser), alone, nil, func(string) {}, zap.NewNop()),
 	})
 	return h
 }
 
-func serverEntry(i int) backs.Entry {
-	return backs.Entry{
+func serverEntry(i int) srvtab.Entry {
+	return srvtab.Entry{
 		ID: ident.Server(fmt.Sprintf("s%d", i)), Service: "engines", Domain: "a", Slots: 24,
 		Addr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(1000+i)),
 	}
@@ -334,18 +334,18 @@
 
 func snapshot(version uint64) *routes.Snapshot {
 	share := []routes.Share{{Service: "engines", Weight: 1}}
-	engine := &routes.Engine{Slots: 24, Memory: 34_000, Stride: 4, Moves: true, Backups: true}
+	engine := &routes.Engine{Slots: 24, KVCapacityTokens: 34_000, TokensPerEvent: 4, CanMove: true, CanBackUp: true}
 	route := func(prefix string, kind call.Kind, attempts int) *routes.Route {
 		return &routes.Route{
 			Name: prefix, Host: "h", Prefix: prefix, Kind: kind, Timeout: 39 * time.Second,
-			Target: 1800 * time.Millisecond, Attempts: attempts, Shares: share,
+			LatencyTarget: 1800 * time.Millisecond, MaxAttempts: attempts, Shares: share,
 		}
 	}
 	long, short := route("/long/", call.Stream, 1), route("/short/", call.Stream, 2)
 	short.Resumable = true
 	return routes.New(routes.Parts{
 		Version:  version,
-		Routes:   []*routes.Route{long, short, route("/once/", call.Once, 1), route("/get/", call.Idempotent, 2)},
+		Routes:   []*routes.Route{long, short, route("/once/", call.AtMostOnce, 1), route("/get/", call.Idempotent, 2)},
 		Services: []*routes.Service{{Name: "engines", Engine: engine}},
 		Workspaces: []*routes.Workspace{
 			{Name: "team", Keys: []string{"key"}},
@@ -363,8 +363,8 @@
 
 func (h *harness) call(path string) *call.Call {
 	return &call.Call{
-		ID: "r", Method: "POST", Host: "h", Path: path, Target: path, Key: "key", Arrived: time.Now(),
-		Woken: h.clock(), Patience: 39 * time.Second, Prompt: &call.Prompt{Tokens: 3000, Limit: 900},
+		ID: "r", Method: "POST", Host: "h", Path: path, Target: path, APIKey: "key", Arrived: time.Now(),
+		ArrivedUptime: h.clock(), ClientTimeout: 39 * time.Second, Prompt: &call.Prompt{Tokens: 3000, MaxTokens: 900},
 	}
 }
 
--- a/internal/route/relay/pause_test.go
+++ b/internal/route/relay/pause_test.go
@@ -23,9 +23,9 @@
 				h := newHarness(t, 2)
 				attempts := 0
 				pause := func(d time.Duration) respondFunc {
-					return func() (*port.Answer, error) {
+					return func() (*port.Response, error) {
 						attempts++
-						return &port.Answer{Status: 503, NotRun: true, Pause: d, Body: &textBody{}}, nil
+						return &port.Response{Status: 503, NotExecuted: true, Pause: d, Body: &textBody{}}, nil
 					}
 				}
 				h.engines.respond["s0"], h.engines.respond["s1"] = pause(short), pause(long)
--- a/internal/route/relay/plain_test.go
+++ b/internal/route/relay/plain_test.go
@@ -9,42 +9,42 @@
 	"gotest.tools/v3/assert"
 
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/route/alloc"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
 	"umberladder/internal/state/routes"
 	"umberladder/internal/test/check"
 )
 
-func (h *harness) fullLoad() seats.Load { return seats.Load{Seats: 24, Tokens: 34_000} }
+func (h *harness) fullLoad() alloc.Load { return alloc.Load{Calls: 24, Tokens: 34_000} }
 
-type respondFunc func() (*port.Answer, error)
+type respondFunc func() (*port.Response, error)
 
-func respondOK() (*port.Answer, error) {
-	return &port.Answer{Status: 200, Body: &textBody{s: "ok"}}, nil
+func respondOK() (*port.Response, error) {
+	return &port.Response{Status: 200, Body: &textBody{s: "ok"}}, nil
 }
 
-func respondError() (*port.Answer, error) {
-	return &port.Answer{Status: 500, Signed: true, Body: &textBody{s: "no"}}, nil
+func respondError() (*port.Response, error) {
+	return &port.Response{Status: 500, Signed: true, Body: &textBody{s: "no"}}, nil
 }
 
-func respondOverloaded() (*port.Answer, error) {
-	return &port.Answer{Status: 503, NotRun: true, Body: &textBody{}}, nil
+func respondOverloaded() (*port.Response, error) {
+	return &port.Response{Status: 503, NotExecuted: true, Body: &textBody{}}, nil
 }
 
 // respondGone is the response of another server that took over the address.
-func respondGone() (*port.Answer, error) {
-	return &port.Answer{Status: 421, NotRun: true, Gone: true, Body: &textBody{}}, nil
+func respondGone() (*port.Response, error) {
+	return &port.Response{Status: 421, NotExecuted: true, Replaced: true, Body: &textBody{}}, nil
 }
 
-func failUnsent() (*port.Answer, error) {
+func failUnsent() (*port.Response, error) {
 	return nil, &port.SendError{Unsent: true, Err: errors.New("no connection")}
 }
 
-func respondTruncated() (*port.Answer, error) {
-	return &port.Answer{Status: 200, Body: &textBody{s: "o", err: errors.New("reset")}}, nil
+func respondTruncated() (*port.Response, error) {
+	return &port.Response{Status: 200, Body: &textBody{s: "o", err: errors.New("reset")}}, nil
 }
 
-func failSilent() (*port.Answer, error) {
+func failSilent() (*port.Response, error) {
 	return nil, &port.SendError{Err: errors.New("closed without an answer")}
 }
 
@@ -80,7 +80,7 @@
 				h.budget.remaining = tc.budget
 				attempts := 0
 				for i := range 4 {
-					h.engines.respond[serverEntry(i).ID] = func() (*port.Answer, error) {
+					h.engines.respond[serverEntry(i).ID] = func() (*port.Response, error) {
 						attempts++
 						return tc.responses[attempts-1]()
 					}
@@ -112,7 +112,7 @@
 		reason refuse.Reason
 	}{
 		"no settings yet": {path: "/get/x", reason: refuse.SettingsMissing, before: func(h *harness) {
-			h.settings = routes.NewBook(h.clock)
+			h.settings = routes.NewCurrent(h.clock)
 			h.relay.Settings = h.settings
 		}},
 		"unknown path by old settings is not denied":   {path: "/new/x", reason: refuse.SettingsStale, before: func(*harness) { time.Sleep(maxDenialAge) }},
@@ -120,27 +120,27 @@
 		"unknown path by settings read anew": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
 			time.Sleep(maxDenialAge)
 			h.refresh = func() error {
-				h.settings.Confirm(h.clock())
+				h.settings.ConfirmNewest(h.clock())
 				return nil
 			}
 		}},
 		"a key that was taken away": {path: "/get/x", reason: refuse.WrongKey, before: func(h *harness) {
 			h.refresh = func() error {
-				h.settings.Confirm(h.clock())
+				h.settings.ConfirmNewest(h.clock())
 				return nil
 			}
-			h.settings.Put(revoked, h.clock())
+			h.settings.Update(revoked, h.clock())
 		}},
 		// VMs that knew of newer settings but could not fetch them served calls by the
 		// old ones 3.2 s after the change had been confirmed.
 		"newer settings that can't be had": {path: "/get/x", reason: refuse.SettingsStale, before: func(h *harness) {
-			h.settings.Hear(2, h.clock())
+			h.settings.RecordVersion(2, h.clock())
 			time.Sleep(2400 * time.Millisecond)
 		}},
 		"newer settings of which there is no word any more": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
-			h.settings.Hear(2, h.clock())
+			h.settings.RecordVersion(2, h.clock())
 			time.Sleep(2400 * time.Millisecond)
-			h.settings.Confirm(h.clock())
+			h.settings.ConfirmNewest(h.clock())
 		}},
 		"keys of unknown age": {path: "/get/x", reason: refuse.SettingsStale, before: func(*harness) { time.Sleep(4800 * time.Millisecond) }},
 	} {
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -13,7 +13,7 @@
 	"umberladder/internal/route/port"
 	"umberladder/internal/route/stream"
 	"umberladder/internal/route/task"
-	"umberladder/internal/route/whole"
+	"umberladder/internal/route/unary"
 	"umberladder/internal/state/routes"
 )
 
@@ -45,16 +45,16 @@
 
 // Relay serves the calls of clients. It is safe for concurrent use.
 type Relay struct {
-	task.Parts
+	task.Deps
 	shutdownAt atomic.Int64 // end of the VM in Unix nanoseconds; zero: not shutting down
 }
 
 // New returns a Relay with the given dependencies.
-func New(p task.Parts) *Relay { return &Relay{Parts: p} }
+func New(p task.Deps) *Relay { return &Relay{Deps: p} }
 
 // Drain makes the relay refuse calls that are not expected to complete by end,
 // the time at which the VM shuts down.
-func (r *Relay) Stop(end time.Time) { r.shutdownAt.Store(end.UnixNano()) }
+func (r *Relay) Drain(end time.Time) { r.shutdownAt.Store(end.UnixNano()) }
 
 // checkShutdown refuses a call that the shutdown of this VM would interrupt. The
 // call has not run, so another VM can serve it.
@@ -64,14 +64,14 @@
 		return nil
 	}
 	remaining := time.Until(time.Unix(0, ns))
-	needed := a.Route.Target
+	needed := a.Route.LatencyTarget
 	if p := a.Call.Prompt; p != nil {
-		needed += time.Duration(p.Limit) * maxTokenTime
+		needed += time.Duration(p.MaxTokens) * maxTokenTime
 	}
 	if needed < remaining {
 		return nil
 	}
-	return refuse.New(refuse.VMStopping, "this VM ends in %s, and the call may take %s", remaining.Round(time.Millisecond), needed).After(shutdownRetryAfter)
+	return refuse.New(refuse.VMStopping, "this VM ends in %s, and the call may take %s", remaining.Round(time.Millisecond), needed).WithRetryAfter(shutdownRetryAfter)
 }
 
 // admission resolves and serves one call.
@@ -82,14 +82,14 @@
 
 // Serve serves the call c and writes the response to w. It returns the refusal to
 // write to the client, or nil if a response was written, even in part.
-func (r *Relay) Serve(ctx context.Context, c *call.Call, w port.Reply) *refuse.Refusal {
-	a := &admission{relay: r, Task: &task.Task{Parts: r.Parts, Call: c, Reply: w, Record: task.End{Call: c}}}
+func (r *Relay) Serve(ctx context.Context, c *call.Call, w port.ResponseWriter) *refuse.Refusal {
+	a := &admission{relay: r, Task: &task.Task{Deps: r.Deps, Call: c, Reply: w, Result: task.Result{Call: c}}}
 	refusal := a.admit(ctx)
 	if refusal == nil {
 		refusal = a.serve(ctx)
 	}
 	a.recordEnd(refusal)
-	if w.Begun() {
+	if w.Started() {
 		return nil
 	}
 	return refusal
@@ -97,29 +97,29 @@
 
 // serve sends the admitted call to a backend server.
 func (a *admission) serve(ctx context.Context) *refuse.Refusal {
-	ctx, cancel := context.WithDeadlineCause(ctx, a.End, task.ErrTimeout)
+	ctx, cancel := context.WithDeadlineCause(ctx, a.Deadline, task.ErrTimeout)
 	defer cancel()
-	a.Budget.Earn(a.Service.Name, time.Now())
+	a.Budget.RecordFirstAttempt(a.Service.Name, time.Now())
 	if a.Route.Kind == call.Stream {
 		return stream.Serve(ctx, a.Task)
 	}
-	return whole.Serve(ctx, a.Task)
+	return unary.Serve(ctx, a.Task)
 }
 
 // recordEnd completes the call's record and reports it to the counter. For a
 // refused call it also writes the log lines that were withheld.
 func (a *admission) recordEnd(r *refuse.Refusal) {
-	a.Record.Refusal = r
-	if r != nil && !a.Reply.Begun() {
+	a.Result.Refusal = r
+	if r != nil && !a.Reply.Started() {
 		r.Request = a.Call.ID
-		a.Record.Status = r.Reason.Status()
+		a.Result.Status = r.Reason.Status()
 	}
-	a.Record.Route = a.Route
-	a.Record.Total = time.Since(a.Call.Arrived)
+	a.Result.Route = a.Route
+	a.Result.Total = time.Since(a.Call.Arrived)
 	if r != nil {
-		a.Tell()
+		a.FlushDeferred()
 	}
-	a.Count.Ended(&a.Record)
+	a.Count.Ended(&a.Result)
 }
 
 // admit resolves the call's route, workspace and service. If the settings in
@@ -137,7 +137,7 @@
 	}
 	if refusal != nil && dependsOnSettings(refusal) && a.settingsOutdated() {
 		return refuse.New(refuse.SettingsStale, "%s, by settings known to be the newest %s ago",
-			refusal.Detail, a.Settings.Age().Round(time.Millisecond)).After(settingsRetryAfter)
+			refusal.Detail, a.Settings.Age().Round(time.Millisecond)).WithRetryAfter(settingsRetryAfter)
 	}
 	return refusal
 }
@@ -151,22 +151,22 @@
 // settingsOutdated reports whether the settings were last known to be the newest
 // more than maxDenialAge before the call arrived.
 func (a *admission) settingsOutdated() bool {
-	return a.Settings.Fresh().Add(maxDenialAge) < a.Call.Woken
+	return a.Settings.FreshAt().Add(maxDenialAge) < a.Call.ArrivedUptime
 }
 
 // resolve looks up the call's route, workspace and service in one snapshot of the
 // settings and sets its deadline.
 func (a *admission) resolve() *refuse.Refusal {
-	fresh := a.Settings.Fresh()
+	fresh := a.Settings.FreshAt()
 	snap := a.Settings.Load()
 	if snap == nil {
-		return refuse.New(refuse.SettingsMissing, "no settings have reached this VM").After(settingsRetryAfter)
+		return refuse.New(refuse.SettingsMissing, "no settings have reached this VM").WithRetryAfter(settingsRetryAfter)
 	}
 	if refusal := a.checkSuperseded(snap); refusal != nil {
 		return refusal
 	}
 	age := a.Clock().Sub(fresh)
-	a.Record.Version, a.Record.Age = snap.Version, age
+	a.Result.SettingsVersion, a.Result.SettingsAge = snap.Version, age
 	route := snap.Find(a.Call.Host, a.Call.Path)
 	if route == nil {
 		return refuse.New(refuse.NotFound, "no route leads to %.100q at host %.60q", a.Call.Path, a.Call.Host)
@@ -175,21 +175,21 @@
 	if refusal := a.authenticate(snap, age); refusal != nil {
 		return refusal
 	}
-	a.Record.Fingerprint = a.Call.Fingerprint(a.Workspace)
-	name := route.Pick(rand.Float64())
+	a.Result.Fingerprint = a.Call.Fingerprint(a.Workspace)
+	name := route.PickService(rand.Float64())
 	if a.Service = snap.Service(name); a.Service == nil {
-		return refuse.New(refuse.NoServer, "route %s leads to service %s, which the settings do not define", route.Name, name).After(task.RoomRetry)
+		return refuse.New(refuse.NoServer, "route %s leads to service %s, which the settings do not define", route.Name, name).WithRetryAfter(task.NoServerRetry)
 	}
-	a.Record.Service = name
+	a.Result.Service = name
 	if refusal := a.checkShutdown(); refusal != nil {
 		return refusal
 	}
-	if refusal := a.Quarantined(); refusal != nil {
+	if refusal := a.QuarantineRefusal(); refusal != nil {
 		return refusal
 	}
-	a.End = a.Call.Arrived.Add(route.Timeout)
-	if p := a.Call.Patience; p > 0 && p < route.Timeout {
-		a.End = a.Call.Arrived.Add(p)
+	a.Deadline = a.Call.Arrived.Add(route.Timeout)
+	if p := a.Call.ClientTimeout; p > 0 && p < route.Timeout {
+		a.Deadline = a.Call.Arrived.Add(p)
 	}
 	return nil
 }
@@ -198,26 +198,26 @@
 // known for too long. A VM that cannot fetch it must not keep serving by the
 // version that it has.
 func (a *admission) checkSuperseded(snap *routes.Snapshot) *refuse.Refusal {
-	behind := a.Settings.Behind()
-	if behind <= a.Config.Apply()-applyMargin {
+	behind := a.Settings.BehindFor()
+	if behind <= a.Config.ApplyDelay()-applyMargin {
 		return nil
 	}
 	return refuse.New(refuse.SettingsStale, "version %d of the settings has been known for %s, and this VM has version %d only",
-		a.Settings.Known(), behind.Round(time.Millisecond), snap.Version).After(settingsRetryAfter)
+		a.Settings.KnownVersion(), behind.Round(time.Millisecond), snap.Version).WithRetryAfter(settingsRetryAfter)
 }
 
 // authenticate checks the API key, if the route requires one, and sets the call's
 // workspace. It refuses the call if the settings are too old to tell whether the
 // key was revoked.
 func (a *admission) authenticate(snap *routes.Snapshot, age time.Duration) *refuse.Refusal {
-	if !snap.Keyed(a.Route) {
+	if !snap.RequiresKey(a.Route) {
 		return nil
 	}
-	if bound := a.Config.Revoke(); age > bound-revokeMargin {
+	if bound := a.Config.RevokeDelay(); age > bound-revokeMargin {
 		return refuse.New(refuse.SettingsStale, "the settings were known to be the newest %s ago, and keys may be served for %s",
-			age.Round(time.Millisecond), bound).After(settingsRetryAfter)
+			age.Round(time.Millisecond), bound).WithRetryAfter(settingsRetryAfter)
 	}
-	workspace := snap.Holder(a.Call.Key)
+	workspace := snap.WorkspaceByKey(a.Call.APIKey)
 	if workspace == nil {
 		return refuse.New(refuse.WrongKey, "no workspace holds the API key of the call, by settings of version %d", snap.Version)
 	}
--- a/internal/route/relay/stream_test.go
+++ b/internal/route/relay/stream_test.go
@@ -79,7 +79,7 @@
 				assertComplete(t, c, r, h.engines.events)
 				end := h.records[0]
 				assert.Equal(t, end.Moves, tc.migrations)
-				assert.Assert(t, end.Gap <= tc.maxGap, "longest gap %s", end.Gap)
+				assert.Assert(t, end.MaxEventGap <= tc.maxGap, "longest gap %s", end.MaxEventGap)
 				assert.Equal(t, h.engines.activeRuns(), 0, "an engine is still running the call")
 			})
 		})
@@ -178,7 +178,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, 3)
-				h.relay.Stop(time.Now().Add(tc.left))
+				h.relay.Drain(time.Now().Add(tc.left))
 				c, r := h.serve(t.Context(), tc.path)
 				if tc.served {
 					assertComplete(t, c, r, h.engines.events)
@@ -194,7 +194,7 @@
 func TestCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
-		h.relay.Seats.Take("s0", h.fullLoad())
+		h.relay.Alloc.Reserve("s0", h.fullLoad())
 		start := time.Now()
 		_, r := h.serve(t.Context(), "/long/x")
 		check.Refusal(t, r, refuse.NoRoom, refuse.RanNo)
@@ -203,7 +203,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
-		seat := h.relay.Seats.Take("s0", h.fullLoad())
+		seat := h.relay.Alloc.Reserve("s0", h.fullLoad())
 		after(300*time.Millisecond, seat.Release)
 		c, r := h.serve(t.Context(), "/long/x")
 		assertComplete(t, c, r, h.engines.events)
@@ -232,6 +232,6 @@
 		after(retireAfter+deltaCopyTime+deltaCopyTime/2, cancel)
 		c, _ := h.serve(ctx, "/long/x")
 		assert.Assert(t, !c.ended)
-		assert.Equal(t, len(h.relay.Seats.All(time.Now())), 0, "%v", h.relay.Seats.All(time.Now()))
+		assert.Equal(t, len(h.relay.Alloc.All(time.Now())), 0, "%v", h.relay.Alloc.All(time.Now()))
 	})
 }
--- a/internal/route/cell/coord.go
+++ b/internal/route/sched/coord.go
@@ -1,4 +1,4 @@
-package cell
+package sched
 
 import (
 	"context"
@@ -37,8 +37,8 @@
 )
 
 // CoordinatorOf returns the VM that places the generations of a model.
-func HomeOf(m ident.Model, live []member.Member) (member.Member, bool) {
-	return member.Home(hashPrefix+string(m), live)
+func CoordinatorOf(m ident.Model, live []member.Member) (member.Member, bool) {
+	return member.Owner(hashPrefix+string(m), live)
 }
 
 // Fleet provides the membership.
@@ -58,12 +58,12 @@
 
 // Coordinator places the generations of the models that this VM coordinates. It
 // is safe for concurrent use.
-type Home struct {
+type Coordinator struct {
 	vm         ident.VM
 	fleet      Fleet
 	settings   Settings
 	pools      func(ident.Model) *pool.Pool
-	newRequest func(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) pool.Ask
+	newRequest func(w *config.Workspace, s *config.Service, c *config.Class, sys *config.System) pool.Request
 	group      Group
 
 	mu      sync.Mutex
@@ -77,22 +77,22 @@
 
 	mu          sync.Mutex
 	lastSeen    time.Time // when the VM last sent a request or an update
-	reservation *pool.Seat
+	reservation *pool.Reservation
 	refusal     *refuse.Refusal
 	released    bool // no longer wanted: a reservation that is still made is released
 }
 
 // NewCoordinator returns a Coordinator. newRequest returns the request for a
 // generation of a service and class.
-func NewHome(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool,
-	newRequest func(*config.Workspace, *config.Service, *config.Class, *config.System) pool.Ask, g Group,
-) *Home {
-	return &Home{vm: vm, fleet: f, settings: s, pools: pools, newRequest: newRequest, group: g, tickets: map[string]*ticket{}}
+func NewCoordinator(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool,
+	newRequest func(*config.Workspace, *config.Service, *config.Class, *config.System) pool.Request, g Group,
+) *Coordinator {
+	return &Coordinator{vm: vm, fleet: f, settings: s, pools: pools, newRequest: newRequest, group: g, tickets: map[string]*ticket{}}
 }
 
 // Seat responds to a request after at most holdTime.
-func (c *Home) Seat(ctx context.Context, a *proto.SeatAsk) *proto.SeatReply {
-	coordinator, ok := HomeOf(ident.Model(a.GetModel()), c.fleet.View().Live)
+func (c *Coordinator) Seat(ctx context.Context, a *proto.SeatAsk) *proto.SeatReply {
+	coordinator, ok := CoordinatorOf(ident.Model(a.GetModel()), c.fleet.View().Live)
 	if !ok || coordinator.Name != c.vm {
 		return &proto.SeatReply{State: uint32(NotCoordinator)}
 	}
@@ -112,7 +112,7 @@
 }
 
 // ticketFor returns the ticket of a request, or creates it.
-func (c *Home) ticketFor(a *proto.SeatAsk) *ticket {
+func (c *Coordinator) ticketFor(a *proto.SeatAsk) *ticket {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tickets[a.GetTicket()]; t != nil {
@@ -136,15 +136,15 @@
 }
 
 // requestOf rebuilds the other VM's request from this VM's settings.
-func (c *Home) requestOf(a *proto.SeatAsk) (pool.Ask, bool) {
+func (c *Coordinator) requestOf(a *proto.SeatAsk) (pool.Request, bool) {
 	snap := c.settings.Load()
 	workspace := snap.Workspace(ident.Workspace(a.GetWorkspace()))
 	if workspace == nil || snap.System == nil {
-		return pool.Ask{}, false
+		return pool.Request{}, false
 	}
 	service, class := workspace.Service(ident.Service(a.GetService())), snap.System.Class(ident.Class(a.GetClass()))
 	if service == nil || class == nil {
-		return pool.Ask{}, false
+		return pool.Request{}, false
 	}
 	req := c.newRequest(workspace, service, class, snap.System)
 	req.Prompt, req.Prefix = int(a.GetPrompt()), a.GetPrefix()
@@ -161,12 +161,12 @@
 	t.lastSeen = time.Now()
 }
 
-func (t *ticket) resolve(res *pool.Seat, refusal *refuse.Refusal) {
+func (t *ticket) resolve(res *pool.Reservation, refusal *refuse.Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reservation, t.refusal = res, refusal
 	if t.released && res != nil {
-		res.Release(pool.CutOff, time.Now())
+		res.Release(pool.Cancelled, time.Now())
 	}
 	close(t.done)
 }
@@ -175,13 +175,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.refusal != nil {
-		return &proto.SeatReply{State: uint32(Refused), Refusal: refuse.Encode(t.refusal)}
+		return &proto.SeatReply{State: uint32(Refused), Refusal: refuse.ToProto(t.refusal)}
 	}
-	return &proto.SeatReply{State: uint32(Placed), Server: string(t.reservation.At().Name)}
+	return &proto.SeatReply{State: uint32(Placed), Server: string(t.reservation.Engine().Name)}
 }
 
 // News handles updates on placed generations.
-func (c *Home) News(n *proto.SeatNews) {
+func (c *Coordinator) News(n *proto.SeatNews) {
 	for _, s := range n.GetSeats() {
 		c.mu.Lock()
 		t := c.tickets[s.GetTicket()]
@@ -203,12 +203,12 @@
 		t.reservation.Progress(int(s.GetProduced()))
 	}
 	if s.GetEnded() {
-		t.release(pool.Ending(min(s.GetEnding(), uint32(pool.Refused))), time.Now())
+		t.release(pool.Outcome(min(s.GetEnding(), uint32(pool.Refused))), time.Now())
 	}
 }
 
 // release releases the ticket's reservation. The caller holds mu.
-func (t *ticket) release(end pool.Ending, now time.Time) {
+func (t *ticket) release(end pool.Outcome, now time.Time) {
 	t.released = true
 	t.cancel()
 	if t.reservation != nil {
@@ -217,7 +217,7 @@
 }
 
 // Run removes expired tickets until ctx ends.
-func (c *Home) Run(ctx context.Context) error {
+func (c *Coordinator) Run(ctx context.Context) error {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
@@ -231,7 +231,7 @@
 	}
 }
 
-func (c *Home) sweep(now time.Time) {
+func (c *Coordinator) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, t := range c.tickets {
@@ -248,12 +248,12 @@
 	if now.Sub(t.lastSeen) < ticketTTL {
 		return false
 	}
-	t.release(pool.CutOff, now)
+	t.release(pool.Cancelled, now)
 	return true
 }
 
 // Tickets returns the number of queued and placed requests of other VMs.
-func (c *Home) Tickets() int {
+func (c *Coordinator) Tickets() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.tickets)
--- a/internal/route/cell/doc.go
+++ b/internal/route/sched/doc.go
@@ -10,4 +10,4 @@
 // one sees the running streams in the load reports.
 //
 // Metrics call the coordinator the model's home.
-package cell
+package sched
--- a/internal/route/cell/placer.go
+++ b/internal/route/sched/placer.go
@@ -1,4 +1,4 @@
-package cell
+package sched
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
 	"umberladder/internal/peer/proto"
-	"umberladder/internal/route/gener"
+	"umberladder/internal/route/infer"
 	"umberladder/internal/route/pool"
 	"umberladder/internal/state/config"
 	"umberladder/internal/state/member"
@@ -35,7 +35,7 @@
 
 // Client requests reservations for this VM's generations from the coordinators. It
 // is safe for concurrent use.
-type Desk struct {
+type Client struct {
 	vm       ident.VM
 	fleet    Fleet
 	settings Settings
@@ -48,8 +48,8 @@
 }
 
 // NewClient returns the Client of a VM.
-func NewDesk(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool, peers Peers) *Desk {
-	return &Desk{
+func NewClient(vm ident.VM, f Fleet, s Settings, pools func(ident.Model) *pool.Pool, peers Peers) *Client {
+	return &Client{
 		vm:           vm,
 		fleet:        f,
 		settings:     s,
@@ -61,7 +61,7 @@
 }
 
 // Placer returns the placer of a model; false if the settings have no such model.
-func (c *Desk) Placer(m ident.Model) (gener.Placer, bool) {
+func (c *Client) Placer(m ident.Model) (infer.Placer, bool) {
 	p := c.pools(m)
 	if p == nil {
 		return nil, false
@@ -71,7 +71,7 @@
 
 // modelPlacer places the generations of one model.
 type modelPlacer struct {
-	client *Desk
+	client *Client
 	model  ident.Model
 	pool   *pool.Pool
 }
@@ -80,9 +80,9 @@
 func (p *modelPlacer) Model() ident.Model { return p.model }
 
 // Acquire implements infer.Placer.
-func (p *modelPlacer) Acquire(ctx context.Context, req *pool.Ask) (gener.Seat, *refuse.Refusal) {
+func (p *modelPlacer) Acquire(ctx context.Context, req *pool.Request) (infer.Reservation, *refuse.Refusal) {
 	for range maxCoordinators {
-		coordinator, ok := HomeOf(p.model, p.client.fleet.View().Live)
+		coordinator, ok := CoordinatorOf(p.model, p.client.fleet.View().Live)
 		if !ok || coordinator.Name == p.client.vm || !p.client.isAvailable(coordinator.Name) {
 			break
 		}
@@ -93,7 +93,7 @@
 	return p.acquireLocal(ctx, req)
 }
 
-func (p *modelPlacer) acquireLocal(ctx context.Context, req *pool.Ask) (gener.Seat, *refuse.Refusal) {
+func (p *modelPlacer) acquireLocal(ctx context.Context, req *pool.Request) (infer.Reservation, *refuse.Refusal) {
 	res, refusal := p.pool.Acquire(ctx, req)
 	if refusal != nil {
 		return nil, refusal
@@ -103,7 +103,7 @@
 
 // acquireRemote repeats the request until the coordinator decides; answered is
 // false if it does not respond.
-func (p *modelPlacer) acquireRemote(ctx context.Context, coordinator member.Member, req *pool.Ask) (gener.Seat, *refuse.Refusal, bool) {
+func (p *modelPlacer) acquireRemote(ctx context.Context, coordinator member.Member, req *pool.Request) (infer.Reservation, *refuse.Refusal, bool) {
 	ask := p.newAsk(req)
 	for ctx.Err() == nil {
 		askCtx, cancel := context.WithTimeout(ctx, askTimeout)
@@ -117,7 +117,7 @@
 		case Pending:
 			continue
 		case Refused:
-			return nil, refuse.FromWire(reply.GetRefusal()), true
+			return nil, refuse.FromProto(reply.GetRefusal()), true
 		case Placed:
 			res := p.client.track(coordinator.Name, ask.GetTicket(), p.serverNamed(reply.GetServer()))
 			if res == nil {
@@ -132,12 +132,12 @@
 	return nil, refuse.New(refuse.CallerStalled, "the request was cut off"), true
 }
 
-func (p *modelPlacer) newAsk(req *pool.Ask) *proto.SeatAsk {
+func (p *modelPlacer) newAsk(req *pool.Request) *proto.SeatAsk {
 	w := &proto.SeatAsk{
 		Ticket:    string(ident.NewRequest()),
 		Vm:        string(p.client.vm),
 		Model:     string(p.model),
-		Workspace: string(req.Learn),
+		Workspace: string(req.Workspace),
 		Service:   string(req.Service.Name),
 		Class:     string(req.Class.Name),
 		Prompt:    uint32(req.Prompt),
@@ -161,7 +161,7 @@
 }
 
 // isAvailable reports whether a coordinator may be sent requests now.
-func (c *Desk) isAvailable(coordinator ident.VM) bool {
+func (c *Client) isAvailable(coordinator ident.VM) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().After(c.avoidUntil[coordinator])
@@ -169,9 +169,9 @@
 
 // markUnresponsive records that a coordinator did not respond, and has the ticket
 // released in case the coordinator is still up.
-func (c *Desk) markUnresponsive(coordinator ident.VM, ticket string) {
+func (c *Client) markUnresponsive(coordinator ident.VM, ticket string) {
 	res := c.track(coordinator, ticket, &config.Server{})
-	res.Release(pool.CutOff, time.Now())
+	res.Release(pool.Cancelled, time.Now())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoidUntil[coordinator] = time.Now().Add(avoidTime)
@@ -179,7 +179,7 @@
 
 // track starts reporting a reservation to the coordinator; it returns nil if
 // there is no such engine.
-func (c *Desk) track(coordinator ident.VM, ticket string, server *config.Server) *reservation {
+func (c *Client) track(coordinator ident.VM, ticket string, server *config.Server) *reservation {
 	if server == nil {
 		return nil
 	}
@@ -194,7 +194,7 @@
 }
 
 // Run reports this VM's reservations to their coordinators until ctx ends.
-func (c *Desk) Run(ctx context.Context) error {
+func (c *Client) Run(ctx context.Context) error {
 	tick := time.NewTicker(updateInterval)
 	defer tick.Stop()
 	for round := 0; ; round++ {
@@ -211,7 +211,7 @@
 
 // updates collects the updates for each coordinator: every end, and if all is
 // set also the progress of the other reservations.
-func (c *Desk) updates(all bool) map[ident.VM]*proto.SeatNews {
+func (c *Client) updates(all bool) map[ident.VM]*proto.SeatNews {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[ident.VM]*proto.SeatNews{}
@@ -235,7 +235,7 @@
 
 // sendUpdates sends the updates. If an end is lost, the ticket expires at the
 // coordinator.
-func (c *Desk) sendUpdates(ctx context.Context, coordinator ident.VM, n *proto.SeatNews) {
+func (c *Client) sendUpdates(ctx context.Context, coordinator ident.VM, n *proto.SeatNews) {
 	for _, m := range c.fleet.View().Live {
 		if m.Name != coordinator {
 			continue
@@ -253,11 +253,11 @@
 	mu       sync.Mutex
 	produced int
 	ended    bool
-	ending   pool.Ending
+	ending   pool.Outcome
 }
 
 // Engine implements infer.Reservation.
-func (r *reservation) At() config.Server { return r.server }
+func (r *reservation) Engine() config.Server { return r.server }
 
 // Progress implements infer.Reservation.
 func (r *reservation) Progress(n int) {
@@ -267,7 +267,7 @@
 }
 
 // Release implements infer.Reservation.
-func (r *reservation) Release(end pool.Ending, _ time.Time) {
+func (r *reservation) Release(end pool.Outcome, _ time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ended {
--- a/internal/route/cell/sched_test.go
+++ b/internal/route/sched/sched_test.go
@@ -1,4 +1,4 @@
-package cell
+package sched
 
 import (
 	"context"
@@ -35,11 +35,11 @@
 // engine.
 type cluster struct {
 	live         []member.Member
-	coordinators map[ident.VM]*Home
-	clients      map[ident.VM]*Desk
+	coordinators map[ident.VM]*Coordinator
+	clients      map[ident.VM]*Client
 	pools        map[ident.VM]*pool.Pool
 	snap         *config.Snapshot
-	invariants   *invar.Book
+	invariants   *invar.Checker
 	unresponsive map[ident.VM]bool // does not respond to calls
 	group        errgroup.Group
 }
@@ -69,10 +69,10 @@
 func newCluster(t *testing.T, n, memory int) *cluster {
 	t.Helper()
 	c := &cluster{
-		coordinators: map[ident.VM]*Home{},
-		clients:      map[ident.VM]*Desk{},
+		coordinators: map[ident.VM]*Coordinator{},
+		clients:      map[ident.VM]*Client{},
 		pools:        map[ident.VM]*pool.Pool{},
-		invariants:   &invar.Book{},
+		invariants:   &invar.Checker{},
 		unresponsive: map[ident.VM]bool{},
 	}
 	workspace := fmt.Sprintf(`{"caller-keys":[%q],"services":[{"name":"s","kind":"model","model":"m","class":"standard"}]}`, strings.Repeat("ab", 32))
@@ -86,13 +86,13 @@
 	for i := range n {
 		name := ident.VM(fmt.Sprintf("vm-%d", i))
 		c.live = append(c.live, member.Member{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1")})
-		p := pool.New("m", place.Predicted{}, func() int { return 1 }, c.invariants, rand.New(rand.NewPCG(uint64(i), 1)))
+		p := pool.New("m", place.PredictedLoad{}, func() int { return 1 }, c.invariants, rand.New(rand.NewPCG(uint64(i), 1)))
 		p.Update(snap.System.Model("m").Servers)
-		p.Report("e1", engine.Load{MemorySize: memory, At: time.Now().Add(time.Hour)}, time.Now())
+		p.HandleReport("e1", engine.Load{MemorySize: memory, AsOf: time.Now().Add(time.Hour)}, time.Now())
 		find := func(ident.Model) *pool.Pool { return p }
 		c.pools[name] = p
-		c.coordinators[name] = NewHome(name, c, c, find, pool.NewAsk, &c.group)
-		c.clients[name] = NewDesk(name, c, c, find, c)
+		c.coordinators[name] = NewCoordinator(name, c, c, find, pool.NewRequest, &c.group)
+		c.clients[name] = NewClient(name, c, c, find, c)
 	}
 	return c
 }
@@ -106,7 +106,7 @@
 
 // coordinatorAndOther returns the coordinator and one other VM.
 func (c *cluster) coordinatorAndOther() (coordinator, other ident.VM) {
-	found, _ := HomeOf("m", c.live)
+	found, _ := CoordinatorOf("m", c.live)
 	for _, m := range c.live {
 		if m.Name != found.Name {
 			return found.Name, m.Name
@@ -116,12 +116,12 @@
 }
 
 func (c *cluster) acquire(vm ident.VM) (interface {
-	Release(pool.Ending, time.Time)
+	Release(pool.Outcome, time.Time)
 	Progress(int)
 }, *refuse.Refusal,
 ) {
 	w := c.snap.Workspace("w")
-	req := pool.NewAsk(w, w.Service("s"), c.snap.System.Class("standard"), c.snap.System)
+	req := pool.NewRequest(w, w.Service("s"), c.snap.System.Class("standard"), c.snap.System)
 	req.Prompt = 10
 	p, _ := c.clients[vm].Placer("m")
 	return p.Acquire(context.Background(), &req)
@@ -148,9 +148,9 @@
 // memoryForOne returns the memory that fits exactly one new stream of these
 // tests.
 func memoryForOne() int {
-	share := length.New().Curve().Share(0, 10)
+	share := length.New().Curve().Forecast(0, 10)
 	memory := 10
-	for !share.Within(float64(memory), length.Z(config.DefaultOverflowStall)) {
+	for !share.Within(float64(memory), length.NormalQuantile(config.DefaultOverflowStall)) {
 		memory += 10
 	}
 	return memory
@@ -167,7 +167,7 @@
 				time.Sleep(time.Second)
 			}
 			assert.Equal(t, c.coordinators[coordinator].Tickets(), 1, "updates keep the ticket")
-			res.Release(pool.Whole, time.Now())
+			res.Release(pool.Completed, time.Now())
 			time.Sleep(time.Second)
 			assert.Equal(t, c.coordinators[coordinator].Tickets(), 0)
 		})
@@ -176,7 +176,7 @@
 		testCluster(t, memoryForOne(), func(t *testing.T, c *cluster, _, other ident.VM) {
 			first, refusal := c.acquire(other)
 			assert.Assert(t, refusal == nil, "%v", refusal)
-			time.AfterFunc(3*time.Second, func() { first.Release(pool.Whole, time.Now()) })
+			time.AfterFunc(3*time.Second, func() { first.Release(pool.Completed, time.Now()) })
 			start := time.Now()
 			_, refusal = c.acquire(other)
 			assert.Assert(t, refusal == nil, "%v", refusal)
--- a/internal/route/stream/depart.go
+++ b/internal/route/stream/depart.go
@@ -11,11 +11,11 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
-	"umberladder/internal/route/mover"
+	"umberladder/internal/route/alloc"
+	"umberladder/internal/route/migr"
 	"umberladder/internal/route/pick"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -34,10 +34,10 @@
 // migration is the result of copying a run's KV cache to another engine, after which
 // the run was stopped.
 type migration struct {
-	to          *backs.Server
-	backup      *backs.Server // backup engine of the continued run; nil: none
-	reservation *seats.Seat
-	copy        port.Copy
+	to          *srvtab.Server
+	backup      *srvtab.Server // backup engine of the continued run; nil: none
+	reservation *alloc.Reservation
+	copy        port.CacheRef
 	err         error
 }
 
@@ -69,32 +69,32 @@
 
 // migrate copies the KV cache to another engine while the run continues, then stops
 // the run and copies what was added since.
-func (f *forwarder) migrate(ctx context.Context, from *backs.Server) migration {
-	req := f.placementRequest(pick.Move, from.Domain, []ident.Server{from.ID})
+func (f *forwarder) migrate(ctx context.Context, from *srvtab.Server) migration {
+	req := f.placementRequest(pick.Migration, from.Domain, []ident.Server{from.ID})
 	req.Backup = f.canBackUp()
 	req.Source = from.ID
-	req.Wait = migrationWait
+	req.MaxWait = migrationWait
 	var err error
 	for range migrationTries {
-		var placement pick.Spot
-		if placement, err = f.Places.Place(ctx, req); err != nil {
+		var placement pick.Placement
+		if placement, err = f.Placer.Place(ctx, req); err != nil {
 			break
 		}
 		to := placement.Server
-		req.Skip = append(req.Skip, to.ID)
+		req.Exclude = append(req.Exclude, to.ID)
 		load := f.load(false)
-		load.Copies = 1
-		reservation := f.Seats.Take(to.ID, load)
-		linkReservation := f.Seats.Take(from.ID, seats.Load{Sends: 1})
-		var moved port.Moved
+		load.CopiesIn = 1
+		reservation := f.Alloc.Reserve(to.ID, load)
+		linkReservation := f.Alloc.Reserve(from.ID, alloc.Load{CopiesOut: 1})
+		var moved port.MoveResult
 		moved, err = f.migrator.Move(ctx, from, to, f.spendRetry)
 		linkReservation.Release()
 		if err == nil {
 			reservation.Resize(f.load(false))
-			return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.Copy{At: from.Addr, ID: moved.Handle}}
+			return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.CacheRef{Addr: from.Addr, ID: moved.Handle}}
 		}
 		reservation.Release()
-		f.Note("copy failed", zap.String("from", string(from.ID)), zap.String("to", string(to.ID)), zap.Error(err))
+		f.LogInfo("copy failed", zap.String("from", string(from.ID)), zap.String("to", string(to.ID)), zap.Error(err))
 		if errors.Is(err, port.ErrNoRun) || ctx.Err() != nil {
 			break
 		}
@@ -105,7 +105,7 @@
 // spendRetry takes one retry from the budget for continuing the stream at another
 // engine. It is called before the run is stopped, so that a stream for which the
 // budget has no retry stays where it is.
-func (f *forwarder) spendRetry() bool { return f.Budget.Spend(f.Service.Name, time.Now()) }
+func (f *forwarder) spendRetry() bool { return f.Budget.AllowRetry(f.Service.Name, time.Now()) }
 
 // switchToBackup continues the stream at the backup engine, which already has the KV
 // cache, so the stream pauses only for the switch. The retry budget must already have
@@ -130,24 +130,24 @@
 	if !f.canMigrate() {
 		return migration{err: errors.New("the stream cannot migrate")}
 	}
-	req := f.placementRequest(pick.Move, f.server.Domain, []ident.Server{f.server.ID})
+	req := f.placementRequest(pick.Migration, f.server.Domain, []ident.Server{f.server.ID})
 	req.Backup = f.canBackUp()
-	placement, err := f.Places.Place(ctx, req)
+	placement, err := f.Placer.Place(ctx, req)
 	if err != nil {
 		return migration{err: err}
 	}
 	to := placement.Server
 	if !f.spendRetry() {
-		return migration{err: mover.ErrUnpaid}
+		return migration{err: migr.ErrBudgetExhausted}
 	}
-	reservation := f.Seats.Take(to.ID, f.load(false))
-	moved, err := f.migrator.Rescue(ctx, f.server, to)
+	reservation := f.Alloc.Reserve(to.ID, f.load(false))
+	moved, err := f.migrator.Recover(ctx, f.server, to)
 	if err != nil {
 		reservation.Release()
-		f.Note("KV cache not recovered", zap.String("server", string(f.server.ID)), zap.Error(err))
+		f.LogInfo("KV cache not recovered", zap.String("server", string(f.server.ID)), zap.Error(err))
 		return migration{err: err}
 	}
-	return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.Copy{At: f.server.Addr, ID: moved.Handle}}
+	return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.CacheRef{Addr: f.server.Addr, ID: moved.Handle}}
 }
 
 // continueAt continues the stream at the engine that holds the copy. It first forwards
@@ -165,23 +165,23 @@
 	f.reservation = m.reservation
 	f.setBackup(f.backupFor(ctx, m))
 	if err := f.sendContinuation(ctx, m.to, m.copy); err != nil {
-		f.Note("stream did not go on", zap.String("from", string(from.ID)), zap.String("to", string(m.to.ID)),
+		f.LogInfo("stream did not go on", zap.String("from", string(from.ID)), zap.String("to", string(m.to.ID)),
 			zap.String("last-event", f.lastID), zap.Error(err))
 		return f.lostRefusal(err)
 	}
-	f.Record.Moves++
-	f.Note("stream continues at another engine", zap.String("from", string(from.ID)), zap.String("to", string(m.to.ID)), zap.String("last-event", f.lastID))
+	f.Result.Moves++
+	f.LogInfo("stream continues at another engine", zap.String("from", string(from.ID)), zap.String("to", string(m.to.ID)), zap.String("last-event", f.lastID))
 	return nil
 }
 
 // sendContinuation sends the call to the engine that holds the KV cache copy c. The
 // retry budget must already have been charged.
-func (f *forwarder) sendContinuation(ctx context.Context, to *backs.Server, c port.Copy) error {
+func (f *forwarder) sendContinuation(ctx context.Context, to *srvtab.Server, c port.CacheRef) error {
 	resp, err := f.send(ctx, to, c)
 	if err != nil {
 		return err
 	}
-	if resp.Status != http.StatusOK || resp.NotRun {
+	if resp.Status != http.StatusOK || resp.NotExecuted {
 		_ = resp.Body.Close()
 		return trace.Errorf("status %d", resp.Status)
 	}
--- a/internal/route/stream/forward.go
+++ b/internal/route/stream/forward.go
@@ -51,7 +51,7 @@
 		case <-w.backupRetired:
 			w.onBackupRetired(ctx)
 		case <-ctx.Done():
-			return f.Over(ctx, refuse.RanPartial)
+			return f.CancellationRefusal(ctx, refuse.RanPartial)
 		}
 		if refusal != nil {
 			return refusal
@@ -72,8 +72,8 @@
 
 // finish ends the response to the client.
 func (f *forwarder) finish() *refuse.Refusal {
-	if err := f.Reply.End(); err != nil {
-		return refuse.New(refuse.CallerLeft, "the end could not be written: %v", err).With(refuse.RanPartial)
+	if err := f.Reply.Finish(); err != nil {
+		return refuse.New(refuse.CallerLeft, "the end could not be written: %v", err).WithRan(refuse.RanPartial)
 	}
 	f.Health.Success(f.server.ID, time.Now())
 	f.Completed()
@@ -87,11 +87,11 @@
 		f.lastID = id
 	}
 	now := time.Now()
-	if f.Record.Events == 0 {
-		f.Record.First = now.Sub(f.Call.Arrived)
+	if f.Result.Events == 0 {
+		f.Result.First = now.Sub(f.Call.Arrived)
 		f.reservation.Resize(f.load(false))
 	} else {
-		f.Record.Gap = max(f.Record.Gap, now.Sub(f.lastEventAt))
+		f.Result.MaxEventGap = max(f.Result.MaxEventGap, now.Sub(f.lastEventAt))
 	}
 	if b := f.backup; b != nil {
 		if !f.gotEvent {
@@ -103,10 +103,10 @@
 		f.gotEvent, f.firstEventAt = true, now
 	}
 	f.lastEventAt = now
-	f.Record.Events += n
+	f.Result.Events += n
 	f.updateReservations()
-	if err := f.Reply.Piece(p); err != nil {
-		return refuse.New(refuse.CallerLeft, "an event could not be written: %v", err).With(refuse.RanPartial)
+	if err := f.Reply.WriteChunk(p); err != nil {
+		return refuse.New(refuse.CallerLeft, "an event could not be written: %v", err).WithRan(refuse.RanPartial)
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 	if f.Call.Prompt == nil || f.Service.Engine == nil {
 		return
 	}
-	generated := f.Record.Events * f.Service.Engine.Stride
+	generated := f.Result.Events * f.Service.Engine.TokensPerEvent
 	f.generated.Store(int64(generated))
 	if generated < f.reportedTokens+reportStep {
 		return
@@ -138,7 +138,7 @@
 func (f *forwarder) connectionLost(ctx context.Context, w *watcher) *refuse.Refusal {
 	err := f.conn.Err()
 	if ctx.Err() != nil {
-		return f.Over(ctx, refuse.RanPartial)
+		return f.CancellationRefusal(ctx, refuse.RanPartial)
 	}
 	if w.migrated != nil {
 		if !f.migrator.Stopped() {
@@ -155,15 +155,15 @@
 				return f.continueAt(ctx, m)
 			}
 		case <-ctx.Done():
-			return f.Over(ctx, refuse.RanPartial)
+			return f.CancellationRefusal(ctx, refuse.RanPartial)
 		}
 	}
-	f.Note("stream broke off", zap.String("server", string(f.server.ID)), zap.String("last-event", f.lastID), zap.Error(err))
+	f.LogInfo("stream broke off", zap.String("server", string(f.server.ID)), zap.String("last-event", f.lastID), zap.Error(err))
 	f.Health.Failure(f.server.ID, time.Now())
 	if !f.established() {
 		f.CheckCrash(ctx, f.server)
 	}
-	if q := f.Quarantined(); q != nil {
+	if q := f.QuarantineRefusal(); q != nil {
 		return f.lostRefusal(q)
 	}
 	switch {
@@ -188,7 +188,7 @@
 
 // lostRefusal returns the refusal of a stream that cannot continue.
 func (f *forwarder) lostRefusal(err error) *refuse.Refusal {
-	return refuse.New(refuse.ServerDied, "server %s broke off after event %q: %v", f.server.ID, f.lastID, err).With(refuse.RanPartial)
+	return refuse.New(refuse.ServerDied, "server %s broke off after event %q: %v", f.server.ID, f.lastID, err).WithRan(refuse.RanPartial)
 }
 
 // resume runs a resumable stream again, starting after the last forwarded event.
@@ -197,16 +197,16 @@
 		f.reservation.Release()
 		s, refusal := f.place(ctx)
 		if refusal != nil {
-			return refusal.With(refuse.RanPartial)
+			return refusal.WithRan(refuse.RanPartial)
 		}
 		f.tried[s.ID] = true
-		resp, err := f.send(ctx, s, port.Copy{})
-		f.Record.Sent++
+		resp, err := f.send(ctx, s, port.CacheRef{})
+		f.Result.Attempts++
 		if err != nil {
 			cause = err
 			continue
 		}
-		if resp.Status != http.StatusOK || resp.NotRun {
+		if resp.Status != http.StatusOK || resp.NotExecuted {
 			_ = resp.Body.Close()
 			continue
 		}
@@ -217,11 +217,11 @@
 }
 
 // attach makes the body of resp the stream's current connection.
-func (f *forwarder) attach(resp *port.Answer) {
+func (f *forwarder) attach(resp *port.Response) {
 	if f.conn != nil {
 		f.conn.Close()
 		f.established()
 	}
 	f.stopRequested, f.gotEvent = false, false
-	f.conn = events.New(f.Group, resp.Body, resp.Framed)
+	f.conn = events.New(f.Group, resp.Body, resp.Delimited)
 }
--- a/internal/route/stream/guard.go
+++ b/internal/route/stream/guard.go
@@ -8,10 +8,10 @@
 
 	"umberladder/internal/core/call"
 	"umberladder/internal/core/ident"
+	"umberladder/internal/route/alloc"
 	"umberladder/internal/route/pick"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -26,53 +26,53 @@
 // backupCopy is the copy of a run's KV cache at a backup engine. The run's engine
 // sends the KV cache there as it grows.
 type backupCopy struct {
-	engine      *backs.Server
-	reservation *seats.Seat
+	engine      *srvtab.Server
+	reservation *alloc.Reservation
 	readyAt     time.Time // when the copy is assumed to be complete
 }
 
 // portCopy returns the reference to the copy of request id.
-func (b *backupCopy) portCopy(id ident.Request) port.Copy {
-	return port.Copy{At: b.engine.Addr, ID: string(id)}
+func (b *backupCopy) portCopy(id ident.Request) port.CacheRef {
+	return port.CacheRef{Addr: b.engine.Addr, ID: string(id)}
 }
 
 // canMigrate reports whether the stream can continue at another engine with a copy of
 // its KV cache.
 func (f *forwarder) canMigrate() bool {
 	e := f.Service.Engine
-	return e != nil && e.Moves && !f.Route.Resumable && f.Route.Kind == call.Stream
+	return e != nil && e.CanMove && !f.Route.Resumable && f.Route.Kind == call.Stream
 }
 
 // canBackUp reports whether a backup copy of the stream's KV cache is kept. A
 // resumable stream needs none, because its prompt is prefilled again quickly.
 func (f *forwarder) canBackUp() bool {
 	e := f.Service.Engine
-	return e != nil && e.Backups && !f.Route.Resumable && f.Route.Kind == call.Stream
+	return e != nil && e.CanBackUp && !f.Route.Resumable && f.Route.Kind == call.Stream
 }
 
 // setBackup makes b the backup engine of the run that starts; nil: none.
-func (f *forwarder) setBackup(b *backs.Server) {
+func (f *forwarder) setBackup(b *srvtab.Server) {
 	f.dropBackup()
 	if b == nil {
 		return
 	}
 	f.backup = &backupCopy{
 		engine:      b,
-		reservation: f.Seats.Take(b.ID, seats.Load{Tokens: f.tokensNeeded(), Copies: 1}),
+		reservation: f.Alloc.Reserve(b.ID, alloc.Load{Tokens: f.tokensNeeded(), CopiesIn: 1}),
 		readyAt:     time.Now().Add(time.Hour),
 	}
 }
 
 // backupFor returns the backup engine of a migrated run, or nil if there is none.
-func (f *forwarder) backupFor(ctx context.Context, m migration) *backs.Server {
+func (f *forwarder) backupFor(ctx context.Context, m migration) *srvtab.Server {
 	if m.backup != nil || !f.canBackUp() {
 		return m.backup
 	}
 	ctx, cancel := context.WithTimeout(ctx, backupTimeout)
 	defer cancel()
-	placement, err := f.Places.Place(ctx, f.placementRequest(pick.Keep, m.to.Domain, []ident.Server{m.to.ID, f.server.ID}))
+	placement, err := f.Placer.Place(ctx, f.placementRequest(pick.Backup, m.to.Domain, []ident.Server{m.to.ID, f.server.ID}))
 	if err != nil {
-		f.Note("no backup engine available", zap.String("server", string(m.to.ID)), zap.Error(err))
+		f.LogInfo("no backup engine available", zap.String("server", string(m.to.ID)), zap.Error(err))
 		return nil
 	}
 	return placement.Server
@@ -80,7 +80,7 @@
 
 // backupUsable reports whether the stream may continue at the engine of b.
 func (f *forwarder) backupUsable(b *backupCopy) bool {
-	return b != nil && !b.engine.Left() && f.Health.Paused(b.engine.ID, time.Now()) == 0
+	return b != nil && !b.engine.IsRetired() && f.Health.Paused(b.engine.ID, time.Now()) == 0
 }
 
 // markArrived no longer counts the copy as in transit to the backup engine once it is
@@ -90,7 +90,7 @@
 		return
 	}
 	load := b.reservation.Load()
-	load.Copies = 0
+	load.CopiesIn = 0
 	b.reservation.Resize(load)
 }
 
