--- a/internal/route/stream/stream.go
+++ b/internal/route/stream/stream.go
@@ -14,15 +14,15 @@
 
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
-	"umberladder/internal/policy/room"
+	"umberladder/internal/policy/admit"
+	"umberladder/internal/route/alloc"
 	"umberladder/internal/route/events"
-	"umberladder/internal/route/mover"
+	"umberladder/internal/route/migr"
 	"umberladder/internal/route/pick"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
 	"umberladder/internal/route/task"
-	"umberladder/internal/route/whole"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/route/unary"
+	"umberladder/internal/state/srvtab"
 )
 
 // forwarder forwards one stream from its engines to the client.
@@ -30,10 +30,10 @@
 	*task.Task
 	tried           map[ident.Server]bool
 	unreachable     []ident.Server // connections failed since the last placement
-	server          *backs.Server
-	reservation     *seats.Seat
+	server          *srvtab.Server
+	reservation     *alloc.Reservation
 	backup          *backupCopy
-	migrator        *mover.Mover
+	migrator        *migr.Migrator
 	conn            *events.Conn
 	lastID          string
 	connectFailures int // number of engines to which the connection failed
@@ -52,13 +52,13 @@
 // Serve serves a call whose response is a stream of events.
 func Serve(ctx context.Context, t *task.Task) *refuse.Refusal {
 	f := &forwarder{
-		Task: t, tried: make(map[ident.Server]bool), lastID: t.Call.After,
-		migrator: mover.New(t.Backend, t.Group, t.Call.ID, t.Note),
+		Task: t, tried: make(map[ident.Server]bool), lastID: t.Call.LastEventID,
+		migrator: migr.New(t.Backend, t.Group, t.Call.ID, t.LogInfo),
 	}
 	defer f.release()
 	refusal := f.start(ctx)
 	if refusal != nil {
-		return task.Truthful(refusal)
+		return task.AdjustReason(refusal)
 	}
 	if f.conn == nil {
 		// The response was not a stream and has been delivered completely.
@@ -87,7 +87,7 @@
 	if p == nil {
 		return 1
 	}
-	return room.Need(p.Tokens, p.Limit, int(f.generated.Load()))
+	return admit.MemoryNeed(p.Tokens, p.MaxTokens, int(f.generated.Load()))
 }
 
 // start sends the call to one engine after another until one starts to respond.
@@ -95,18 +95,18 @@
 	for {
 		s, refusal := f.place(ctx)
 		if refusal != nil {
-			return refusal.With(f.ran)
+			return refusal.WithRan(f.ran)
 		}
 		f.tried[s.ID] = true
-		resp, err := f.send(ctx, s, port.Copy{})
+		resp, err := f.send(ctx, s, port.CacheRef{})
 		if err != nil {
 			if refusal := f.attemptFailed(ctx, s, err); refusal != nil {
 				return refusal
 			}
 			continue
 		}
-		f.Record.Sent++
-		if resp.Status == http.StatusOK && !resp.NotRun {
+		f.Result.Attempts++
+		if resp.Status == http.StatusOK && !resp.NotExecuted {
 			f.attach(resp)
 			return f.startResponse(resp)
 		}
@@ -119,11 +119,11 @@
 
 // attemptFailed handles an attempt without a response. It returns nil if another engine
 // should be tried.
-func (f *forwarder) attemptFailed(ctx context.Context, s *backs.Server, err error) *refuse.Refusal {
+func (f *forwarder) attemptFailed(ctx context.Context, s *srvtab.Server, err error) *refuse.Refusal {
 	f.reservation.Release()
 	f.dropBackup()
 	if !task.IsUnsent(err) {
-		f.Record.Sent++
+		f.Result.Attempts++
 		f.ran = refuse.RanMaybe
 		if ctx.Err() == nil {
 			f.CheckCrash(ctx, s)
@@ -132,67 +132,67 @@
 	if task.IsUnsent(err) {
 		f.unreachable = append(f.unreachable, s.ID)
 	}
-	f.Note("no answer", zap.String("server", string(s.ID)), zap.Bool("unsent", task.IsUnsent(err)), zap.Error(err))
+	f.LogInfo("no answer", zap.String("server", string(s.ID)), zap.Bool("unsent", task.IsUnsent(err)), zap.Error(err))
 	switch {
 	case ctx.Err() != nil:
-		return f.Over(ctx, f.ran)
+		return f.CancellationRefusal(ctx, f.ran)
 	case task.IsUnsent(err):
-		if f.connectFailures++; f.PassOver(f.connectFailures) {
+		if f.connectFailures++; f.RetryUnsent(f.connectFailures) {
 			return nil
 		}
-		return refuse.New(refuse.NoServer, "no server of service %s could be reached", f.Service.Name).With(f.ran).After(task.RoomRetry)
+		return refuse.New(refuse.NoServer, "no server of service %s could be reached", f.Service.Name).WithRan(f.ran).WithRetryAfter(task.NoServerRetry)
 	case f.mayRetry():
 		return nil
 	}
-	return refuse.New(refuse.ServerDied, "server %s broke off: %v", s.ID, err).With(refuse.RanMaybe)
+	return refuse.New(refuse.ServerDied, "server %s broke off: %v", s.ID, err).WithRan(refuse.RanMaybe)
 }
 
 // handleNonStream handles a response that is not a stream. It reports false if another
 // engine should be tried; otherwise the call has ended, with the refusal if it is not
 // nil.
-func (f *forwarder) handleNonStream(s *backs.Server, resp *port.Answer) (*refuse.Refusal, bool) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, whole.MaxBody))
+func (f *forwarder) handleNonStream(s *srvtab.Server, resp *port.Response) (*refuse.Refusal, bool) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, unary.MaxBody))
 	_ = resp.Body.Close()
 	f.reservation.Release()
 	f.dropBackup()
-	f.Note("response is not a stream", zap.String("server", string(s.ID)), zap.Int("status", resp.Status), zap.Bool("not-run", resp.NotRun))
-	if resp.Gone {
-		f.Lost(s)
+	f.LogInfo("response is not a stream", zap.String("server", string(s.ID)), zap.Int("status", resp.Status), zap.Bool("not-run", resp.NotExecuted))
+	if resp.Replaced {
+		f.MarkGone(s)
 	}
-	if resp.NotRun {
+	if resp.NotExecuted {
 		if f.mayRetry() {
 			return nil, false
 		}
-		return refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).With(f.ran).After(task.RoomRetry), true
+		return refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).WithRan(f.ran).WithRetryAfter(task.NoServerRetry), true
 	}
 	f.ran = refuse.RanMaybe
 	if err != nil {
-		return refuse.New(refuse.ServerDied, "server %s failed with status %d and broke off", s.ID, resp.Status).With(f.ran), true
+		return refuse.New(refuse.ServerDied, "server %s failed with status %d and broke off", s.ID, resp.Status).WithRan(f.ran), true
 	}
 	f.Completed()
 	if resp.Status >= http.StatusInternalServerError && f.mayRetry() {
 		return nil, false
 	}
-	return f.Deliver(&task.Whole{Status: resp.Status, Fields: resp.Fields, Body: body}), true
+	return f.WriteResponse(&task.FullResponse{Status: resp.Status, Fields: resp.Fields, Body: body}), true
 }
 
 // mayRetry reports whether the call may be sent again, from its start or after the last
 // event. It takes a retry from the budget.
 func (f *forwarder) mayRetry() bool {
-	if f.Record.Sent >= f.Route.Attempts {
+	if f.Result.Attempts >= f.Route.MaxAttempts {
 		return false
 	}
 	if f.ran != refuse.RanNo && !f.Route.Resumable {
 		return false
 	}
-	return f.Budget.Spend(f.Service.Name, time.Now())
+	return f.Budget.AllowRetry(f.Service.Name, time.Now())
 }
 
 // send sends the call to an engine and returns the response.
-func (f *forwarder) send(ctx context.Context, s *backs.Server, from port.Copy) (*port.Answer, error) {
+func (f *forwarder) send(ctx context.Context, s *srvtab.Server, from port.CacheRef) (*port.Response, error) {
 	f.server = s
-	f.Record.Server = s.ID
-	send := port.Send{Call: f.Call, Server: s, Workspace: f.Workspace, Left: f.Left(), Copy: from, After: f.lastID}
+	f.Result.Server = s.ID
+	send := port.Attempt{Call: f.Call, Server: s, Workspace: f.Workspace, Timeout: f.Remaining(), Copy: from, LastEventID: f.lastID}
 	if f.backup != nil {
 		send.Backup = f.backup.engine.Addr
 	}
@@ -203,53 +203,53 @@
 		f.Health.Failure(s.ID, time.Now())
 		return nil, err
 	}
-	f.Observe(s, resp, sent)
+	f.ObserveResponse(s, resp, sent)
 	return resp, nil
 }
 
 // startResponse writes the response header to the client.
-func (f *forwarder) startResponse(resp *port.Answer) *refuse.Refusal {
+func (f *forwarder) startResponse(resp *port.Response) *refuse.Refusal {
 	f.headSent = true
-	f.Record.Status = resp.Status
-	if err := f.Reply.Start(resp.Status, resp.Fields); err != nil {
-		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).With(refuse.RanPartial)
+	f.Result.Status = resp.Status
+	if err := f.Reply.WriteHeader(resp.Status, resp.Fields); err != nil {
+		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).WithRan(refuse.RanPartial)
 	}
 	return nil
 }
 
 // place reserves capacity at an engine. If no engine has any, it waits for a limited
 // time.
-func (f *forwarder) place(ctx context.Context) (*backs.Server, *refuse.Refusal) {
-	if e := f.Service.Engine; e != nil && f.Call.Prompt != nil && f.Call.Prompt.Tokens > e.Memory {
-		return nil, refuse.New(refuse.TooLarge, "the prompt of %d tokens is larger than an engine's memory of %d", f.Call.Prompt.Tokens, e.Memory)
+func (f *forwarder) place(ctx context.Context) (*srvtab.Server, *refuse.Refusal) {
+	if e := f.Service.Engine; e != nil && f.Call.Prompt != nil && f.Call.Prompt.Tokens > e.KVCapacityTokens {
+		return nil, refuse.New(refuse.TooLarge, "the prompt of %d tokens is larger than an engine's memory of %d", f.Call.Prompt.Tokens, e.KVCapacityTokens)
 	}
-	req := f.placementRequest(pick.Call, f.Config.Domain, slices.Collect(maps.Keys(f.tried)))
+	req := f.placementRequest(pick.NewRun, f.Config.Domain, slices.Collect(maps.Keys(f.tried)))
 	start := time.Now()
 	since := start.Sub(f.Call.Arrived)
-	req.Read, req.Backup, req.Mark = f.prefillTokens(), f.canBackUp(), uint64(f.Record.Fingerprint)
-	req.Failed, f.unreachable = f.unreachable, nil
-	req.Due = room.Due(f.Route.Target, since, req.Read)
-	req.Wait = room.Wait(req.Due, f.End.Sub(f.Call.Arrived), since)
-	placement, err := f.Places.Place(ctx, req)
-	f.Record.Queued += time.Since(start)
-	if q := f.Quarantined(); q != nil {
+	req.Prefill, req.Backup, req.RetryKey = f.prefillTokens(), f.canBackUp(), uint64(f.Result.Fingerprint)
+	req.Unreachable, f.unreachable = f.unreachable, nil
+	req.TargetWait = admit.OnTimeWait(f.Route.LatencyTarget, since, req.Prefill)
+	req.MaxWait = admit.MaxWait(req.TargetWait, f.Deadline.Sub(f.Call.Arrived), since)
+	placement, err := f.Placer.Place(ctx, req)
+	f.Result.Queued += time.Since(start)
+	if q := f.QuarantineRefusal(); q != nil {
 		return nil, q
 	}
-	var noCapacity *pick.NoRoomError
+	var noCapacity *pick.NoCapacityError
 	switch {
 	case err == nil:
-		f.reservation = f.Seats.Take(placement.Server.ID, f.load(true))
+		f.reservation = f.Alloc.Reserve(placement.Server.ID, f.load(true))
 		f.setBackup(placement.Backup)
-		f.Note("placed", zap.String("server", string(placement.Server.ID)), zap.Int("tokens", req.Need),
+		f.LogInfo("placed", zap.String("server", string(placement.Server.ID)), zap.Int("tokens", req.Need),
 			zap.Bool("backup", placement.Backup != nil), zap.Duration("waited", time.Since(start)))
 		return placement.Server, nil
 	case errors.Is(err, pick.ErrNoServer):
-		return nil, f.NoServer()
+		return nil, f.NoServerRefusal()
 	case errors.As(err, &noCapacity):
 		return nil, refuse.New(refuse.NoRoom, "no engine of service %s has room for %d tokens within %s, %d calls wait",
-			f.Service.Name, req.Need, req.Wait.Round(time.Millisecond), noCapacity.Ahead).After(room.Retry(noCapacity.Retry, f.Left()))
+			f.Service.Name, req.Need, req.MaxWait.Round(time.Millisecond), noCapacity.Ahead).WithRetryAfter(admit.RetryAfter(noCapacity.RetryAfter, f.Remaining()))
 	default:
-		return nil, f.Over(ctx, f.ran)
+		return nil, f.CancellationRefusal(ctx, f.ran)
 	}
 }
 
@@ -264,8 +264,8 @@
 
 // load returns the load that the stream puts on its engine, with the prefill if
 // withPrefill is set.
-func (f *forwarder) load(withPrefill bool) seats.Load {
-	l := seats.Load{Seats: 1, Tokens: f.tokensNeeded()}
+func (f *forwarder) load(withPrefill bool) alloc.Load {
+	l := alloc.Load{Calls: 1, Tokens: f.tokensNeeded()}
 	if withPrefill {
 		l.Backlog = f.prefillTokens()
 	}
@@ -273,8 +273,8 @@
 }
 
 // placementRequest describes the capacity that the stream needs.
-func (f *forwarder) placementRequest(u pick.Use, from ident.Domain, skip []ident.Server) pick.Want {
-	return pick.Want{Service: f.Service.Name, Use: u, Rank: f.priority(), Need: f.tokensNeeded(), Memory: f.engineCapacity(), From: from, Skip: skip}
+func (f *forwarder) placementRequest(u pick.Purpose, from ident.FailureDomain, skip []ident.Server) pick.Request {
+	return pick.Request{Service: f.Service.Name, Purpose: u, Rank: f.priority(), Need: f.tokensNeeded(), EngineMemory: f.engineCapacity(), From: from, Exclude: skip}
 }
 
 // priority returns the stream's priority; 0 is the most urgent.
@@ -283,8 +283,8 @@
 // engineCapacity returns the memory of an engine in tokens. It is practically unlimited
 // for services without a configured capacity.
 func (f *forwarder) engineCapacity() int {
-	if f.Service.Engine == nil || f.Service.Engine.Memory <= 0 {
+	if f.Service.Engine == nil || f.Service.Engine.KVCapacityTokens <= 0 {
 		return 1 << 30
 	}
-	return f.Service.Engine.Memory
+	return f.Service.Engine.KVCapacityTokens
 }
--- a/internal/route/stream/watch.go
+++ b/internal/route/stream/watch.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"umberladder/internal/core/refuse"
-	"umberladder/internal/route/mover"
+	"umberladder/internal/route/migr"
 )
 
 // backupReadyWait is how long a stream on a retired engine may wait for the backup copy
@@ -32,9 +32,9 @@
 
 // newWatcher returns the watcher for the current connection.
 func (f *forwarder) newWatcher() *watcher {
-	w := &watcher{f: f, engineRetired: f.server.Leave()}
+	w := &watcher{f: f, engineRetired: f.server.Retired()}
 	if f.backup != nil {
-		w.backupRetired = f.backup.engine.Leave()
+		w.backupRetired = f.backup.engine.Retired()
 	}
 	return w
 }
@@ -44,7 +44,7 @@
 // after each event.
 func (w *watcher) onRetired(ctx context.Context) {
 	w.engineRetired, w.engineIsRetired = nil, true
-	if !w.f.canMigrate() || w.f.Record.Events == 0 || w.migrated != nil || w.switchTimer != nil || time.Now().Before(w.noMigrationBefore) {
+	if !w.f.canMigrate() || w.f.Result.Events == 0 || w.migrated != nil || w.switchTimer != nil || time.Now().Before(w.noMigrationBefore) {
 		return
 	}
 	if b := w.f.backup; w.f.backupUsable(b) && time.Until(b.readyAt) < backupReadyWait {
@@ -57,7 +57,7 @@
 // onBackupRetired drops the backup at a retired engine.
 func (w *watcher) onBackupRetired(ctx context.Context) {
 	w.backupRetired = nil
-	w.f.Note("backup engine retired", zap.String("server", string(w.f.backup.engine.ID)))
+	w.f.LogInfo("backup engine retired", zap.String("server", string(w.f.backup.engine.ID)))
 	w.f.dropBackup()
 	if w.engineIsRetired {
 		w.switchTimer = nil
@@ -69,7 +69,7 @@
 // does not allow it now.
 func (w *watcher) onSwitchTimer(ctx context.Context) (*watcher, *refuse.Refusal) {
 	if !w.f.spendRetry() {
-		w.f.Note("stream stays", zap.String("server", string(w.f.server.ID)), zap.Error(mover.ErrUnpaid))
+		w.f.LogInfo("stream stays", zap.String("server", string(w.f.server.ID)), zap.Error(migr.ErrBudgetExhausted))
 		w.switchTimer = time.After(migrationRetryDelay)
 		return w, nil
 	}
@@ -98,5 +98,5 @@
 	w.migrated = nil
 	w.f.stopRequested = false
 	w.noMigrationBefore = time.Now().Add(migrationRetryDelay)
-	w.f.Note("stream stays", zap.String("server", string(w.f.server.ID)), zap.Error(err))
+	w.f.LogInfo("stream stays", zap.String("server", string(w.f.server.ID)), zap.Error(err))
 }
--- a/internal/route/task/deps.go
+++ b/internal/route/task/deps.go
@@ -7,43 +7,43 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/call"
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/policy/health"
 	"umberladder/internal/policy/poison"
 	"umberladder/internal/policy/rates"
+	"umberladder/internal/route/alloc"
 	"umberladder/internal/route/pick"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
-	"umberladder/internal/state/backs"
 	"umberladder/internal/state/routes"
+	"umberladder/internal/state/srvtab"
 )
 
 // Config holds the settings of the deployment.
 type Config struct {
-	Domain ident.Domain
+	Domain ident.FailureDomain
 	// RevokeDelay returns how long an API key may still be served after it ended.
-	Revoke func() time.Duration
+	RevokeDelay func() time.Duration
 	// ApplyDelay returns how long a change of the settings may take to be in force.
-	Apply func() time.Duration
+	ApplyDelay func() time.Duration
 }
 
 // Deps holds the dependencies for serving calls.
-type Parts struct {
+type Deps struct {
 	Config   Config
-	Settings *routes.Book
+	Settings *routes.Current
 	Refresh  port.Refresher
-	Servers  *backs.Table
-	Seats    *seats.Book
+	Servers  *srvtab.Table
+	Alloc    *alloc.Tracker
 	Budget   Budget
-	Health   *health.Book
-	Rates    *rates.Book
-	Poison   *poison.Book
-	Places   Placer
+	Health   *health.Tracker
+	Rates    *rates.Limiter
+	Poison   *poison.Detector
+	Placer   Placer
 	Backend  port.Backend
-	Clock    awake.Clock
+	Clock    uptime.Clock
 	Log      *zap.Logger
 	Group    *errgroup.Group
 	Count    Counter
@@ -51,37 +51,37 @@
 
 // Budget limits the attempts beyond the first of each call, over all VMs.
 type Budget interface {
-	Earn(service ident.Service, now time.Time)
-	Spend(service ident.Service, now time.Time) bool
+	RecordFirstAttempt(service ident.Service, now time.Time)
+	AllowRetry(service ident.Service, now time.Time) bool
 }
 
 // Placer decides where runs go. Its error is pick.ErrNoServer, a
 // *pick.NoCapacityError or the context's error.
 type Placer interface {
-	Place(ctx context.Context, r pick.Want) (pick.Spot, error)
+	Place(ctx context.Context, r pick.Request) (pick.Placement, error)
 }
 
 // Counter counts the results of calls.
 type Counter interface {
-	Ended(r *End)
+	Ended(r *Result)
 }
 
 // Result describes how a call was served and how it ended.
-type End struct {
-	Call        *call.Call
-	Fingerprint call.Fingerprint // zero: the call was refused before its workspace was known
-	Route       *routes.Route    // nil: none was found
-	Service     ident.Service
-	Server      ident.Server
-	Status      int             // sent to the client; zero: none
-	Refusal     *refuse.Refusal // nil: a server's response was delivered
-	Queued      time.Duration   // total wait for capacity on an engine
-	First       time.Duration   // until the response or its first event
-	Total       time.Duration
-	Sent        int // attempts, including the first
-	Moves       int // migrations of the stream to another engine
-	Events      int
-	Gap         time.Duration // longest time between two events
-	Version     uint64        // version of the settings
-	Age         time.Duration // time since the settings were known to be the newest
+type Result struct {
+	Call            *call.Call
+	Fingerprint     call.Fingerprint // zero: the call was refused before its workspace was known
+	Route           *routes.Route    // nil: none was found
+	Service         ident.Service
+	Server          ident.Server
+	Status          int             // sent to the client; zero: none
+	Refusal         *refuse.Refusal // nil: a server's response was delivered
+	Queued          time.Duration   // total wait for capacity on an engine
+	First           time.Duration   // until the response or its first event
+	Total           time.Duration
+	Attempts        int // attempts, including the first
+	Moves           int // migrations of the stream to another engine
+	Events          int
+	MaxEventGap     time.Duration // longest time between two events
+	SettingsVersion uint64        // version of the settings
+	SettingsAge     time.Duration // time since the settings were known to be the newest
 }
--- a/internal/route/task/task.go
+++ b/internal/route/task/task.go
@@ -14,46 +14,46 @@
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
 	"umberladder/internal/route/port"
-	"umberladder/internal/state/backs"
 	"umberladder/internal/state/routes"
+	"umberladder/internal/state/srvtab"
 )
 
 // NoServerRetry is the retry delay of a call refused for lack of a server.
-const RoomRetry = 500 * time.Millisecond
+const NoServerRetry = 500 * time.Millisecond
 
 // ErrTimeout is the cause that cancels a call's context at its deadline.
 var ErrTimeout = errors.New("task: the deadline has passed")
 
 // Task is one call to be served, once its route is known.
 type Task struct {
-	Parts
+	Deps
 	Call      *call.Call
-	Reply     port.Reply
+	Reply     port.ResponseWriter
 	Route     *routes.Route
 	Service   *routes.Service
 	Workspace ident.Workspace
-	End       time.Time // no response is of use after it
-	Record    End
+	Deadline  time.Time // no response is of use after it
+	Result    Result
 
 	mu       sync.Mutex // guards deferred: orders to engines are logged concurrently with the call
 	deferred []deferredLine
 }
 
 // Remaining returns how long a response is still of use.
-func (t *Task) Left() time.Duration { return time.Until(t.End) }
+func (t *Task) Remaining() time.Duration { return time.Until(t.Deadline) }
 
 // CancellationRefusal returns the refusal of a call whose deadline has passed or
 // whose client has disconnected. ran states whether the call may have run: with
 // RanNo it has not been sent to any server that may still run it.
-func (t *Task) Over(ctx context.Context, ran refuse.Ran) *refuse.Refusal {
+func (t *Task) CancellationRefusal(ctx context.Context, ran refuse.Ran) *refuse.Refusal {
 	if errors.Is(context.Cause(ctx), ErrTimeout) {
-		r := refuse.New(refuse.TimedOut, "no answer within the %s allowed", t.End.Sub(t.Call.Arrived)).With(ran)
+		r := refuse.New(refuse.TimedOut, "no answer within the %s allowed", t.Deadline.Sub(t.Call.Arrived)).WithRan(ran)
 		if ran == refuse.RanNo {
 			r.Reason = refuse.WaitedOut
 		}
 		return r
 	}
-	return refuse.New(refuse.CallerLeft, "the client closed the connection after %s", time.Since(t.Call.Arrived).Round(time.Millisecond)).With(ran)
+	return refuse.New(refuse.CallerLeft, "the client closed the connection after %s", time.Since(t.Call.Arrived).Round(time.Millisecond)).WithRan(ran)
 }
 
 const (
@@ -71,18 +71,18 @@
 
 // RetryUnsent reports whether to try another server after unsent servers could not
 // be connected to.
-func (t *Task) PassOver(unsent int) bool {
+func (t *Task) RetryUnsent(unsent int) bool {
 	if unsent < alwaysRetryUnsent {
 		return true
 	}
-	return unsent < maxUnsent && time.Since(t.Call.Arrived) < time.Duration(unsentTimeShare*float64(t.Route.Target))
+	return unsent < maxUnsent && time.Since(t.Call.Arrived) < time.Duration(unsentTimeShare*float64(t.Route.LatencyTarget))
 }
 
 // MarkGone records that a server has terminated, because another one responds at
 // its address. Its entry outlives it.
-func (t *Task) Lost(s *backs.Server) {
-	if t.Servers.Left(s.ID) {
-		t.Note("server gone", zap.String("server", string(s.ID)), zap.Stringer("address", s.Addr), zap.String("reason", "another server answers at its address"))
+func (t *Task) MarkGone(s *srvtab.Server) {
+	if t.Servers.MarkReplaced(s.ID) {
+		t.LogInfo("server gone", zap.String("server", string(s.ID)), zap.Stringer("address", s.Addr), zap.String("reason", "another server answers at its address"))
 	}
 }
 
@@ -91,24 +91,24 @@
 // that asks for a pause gets no calls from this VM for that time. A rate limit is
 // recorded and applies to all VMs together. sent is when the request was sent; it
 // orders limits that were stated at different times.
-func (t *Task) Observe(s *backs.Server, resp *port.Answer, sent time.Time) {
+func (t *Task) ObserveResponse(s *srvtab.Server, resp *port.Response, sent time.Time) {
 	now := time.Now()
-	if !resp.Gone {
+	if !resp.Replaced {
 		t.Rates.Observe(s.ID, resp.Limit, sent, now)
 	}
-	if resp.Leaving && t.Servers.Drain(s.ID, now) {
-		t.Note("server drains", zap.String("server", string(s.ID)), zap.String("reported-by", "itself"))
+	if resp.Draining && t.Servers.MarkDraining(s.ID, now) {
+		t.LogInfo("server drains", zap.String("server", string(s.ID)), zap.String("reported-by", "itself"))
 	}
 	if resp.Pause > 0 {
 		t.Health.Pause(s.ID, resp.Pause, now)
-		t.Note("server asked for a pause", zap.String("server", string(s.ID)), zap.Duration("pause", resp.Pause))
+		t.LogInfo("server asked for a pause", zap.String("server", string(s.ID)), zap.Duration("pause", resp.Pause))
 	}
 }
 
 // NoServerRefusal returns the refusal of a call for which no server accepts work
 // now. If all servers of the service are paused, the client should retry after the
 // shortest pause.
-func (t *Task) NoServer() *refuse.Refusal {
+func (t *Task) NoServerRefusal() *refuse.Refusal {
 	now := time.Now()
 	retryAfter, limited := time.Duration(0), 0
 	for _, s := range t.Servers.View().Service(t.Service.Name) {
@@ -123,31 +123,31 @@
 	if limited > 0 {
 		r.Detail += fmt.Sprintf(", %d of them limit their requests", limited)
 	}
-	return r.After(max(retryAfter, RoomRetry))
+	return r.WithRetryAfter(max(retryAfter, NoServerRetry))
 }
 
 // WriteResponse writes a complete response to the client.
-func (t *Task) Deliver(resp *Whole) *refuse.Refusal {
-	t.Record.Status = resp.Status
-	t.Record.First = time.Since(t.Call.Arrived)
-	if err := t.Reply.Whole(resp.Status, resp.Fields, resp.Body); err != nil {
-		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).With(refuse.RanMaybe)
+func (t *Task) WriteResponse(resp *FullResponse) *refuse.Refusal {
+	t.Result.Status = resp.Status
+	t.Result.First = time.Since(t.Call.Arrived)
+	if err := t.Reply.WriteResponse(resp.Status, resp.Fields, resp.Body); err != nil {
+		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).WithRan(refuse.RanMaybe)
 	}
 	return nil
 }
 
 // FullResponse is a complete response.
-type Whole struct {
-	Status int
-	Fields []call.Field
-	NotRun bool // the server says that it did not run the call
-	Gone   bool // another server responded in its place
-	Body   []byte
+type FullResponse struct {
+	Status      int
+	Fields      []call.Field
+	NotExecuted bool // the server says that it did not run the call
+	Replaced    bool // another server responded in its place
+	Body        []byte
 }
 
 // AdjustReason replaces the reason of a refusal of a call that may have run, if
 // its status, 503, would promise that it did not run.
-func Truthful(r *refuse.Refusal) *refuse.Refusal {
+func AdjustReason(r *refuse.Refusal) *refuse.Refusal {
 	if r.Ran != refuse.RanNo && r.Reason.Status() == http.StatusServiceUnavailable {
 		r.Reason = refuse.ServerDied
 	}
@@ -172,7 +172,7 @@
 
 // LogInfo writes one log line about the call. A line that the logger declines
 // under load is deferred, and written if the call fails.
-func (t *Task) Note(msg string, fields ...zap.Field) {
+func (t *Task) LogInfo(msg string, fields ...zap.Field) {
 	fields = append(fields, zap.String("request", string(t.Call.ID)))
 	if ce := t.Log.Check(zap.InfoLevel, msg); ce != nil {
 		ce.Write(fields...)
@@ -186,7 +186,7 @@
 }
 
 // FlushDeferred writes the deferred lines of a call that failed.
-func (t *Task) Tell() {
+func (t *Task) FlushDeferred() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, line := range t.deferred {
--- a/internal/route/task/task_test.go
+++ b/internal/route/task/task_test.go
@@ -23,9 +23,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &Task{Call: &call.Call{Arrived: time.Now()}, Route: &routes.Route{Target: 1500 * time.Millisecond}}
+				c := &Task{Call: &call.Call{Arrived: time.Now()}, Route: &routes.Route{LatencyTarget: 1500 * time.Millisecond}}
 				unsent := 0
-				for more := true; more; more = c.PassOver(unsent) {
+				for more := true; more; more = c.RetryUnsent(unsent) {
 					time.Sleep(tc.failAfter)
 					unsent++
 				}
--- a/internal/route/whole/doc.go
+++ b/internal/route/unary/doc.go
@@ -3,4 +3,4 @@
 //
 // A call that must not run twice is sent to at most one server, unless that server
 // reports that it did not run it.
-package whole
+package unary
--- a/internal/route/whole/whole.go
+++ b/internal/route/unary/whole.go
@@ -1,4 +1,4 @@
-package whole
+package unary
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"umberladder/internal/core/ident"
 	"umberladder/internal/core/refuse"
 	"umberladder/internal/policy/assign"
+	"umberladder/internal/route/alloc"
 	"umberladder/internal/route/port"
-	"umberladder/internal/route/seats"
 	"umberladder/internal/route/task"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/state/srvtab"
 )
 
 const (
@@ -33,7 +33,7 @@
 	tried           map[ident.Server]bool
 	limited         map[ident.Server]bool // true: excluded by its rate limit; nil: not evaluated, or none is limited
 	connectFailures int                   // number of servers to which the connection failed
-	lastFailure     *task.Whole           // failure response of the last server that responded
+	lastFailure     *task.FullResponse    // failure response of the last server that responded
 	refusal         *refuse.Refusal       // refusal if no further server responds; nil: no server was reached
 }
 
@@ -48,25 +48,25 @@
 		r.tried[s.ID] = true
 		resp, err := r.send(ctx, s)
 		if err != nil && ctx.Err() != nil {
-			return t.Over(ctx, r.ranAfter(err))
+			return t.CancellationRefusal(ctx, r.ranAfter(err))
 		}
 		if err != nil && !r.attemptFailed(ctx, s, err) {
 			break
 		}
 		if err == nil && r.handleResponse(s, resp) {
-			return t.Deliver(resp)
+			return t.WriteResponse(resp)
 		}
-		if err == nil && !resp.NotRun && t.Route.Kind != call.Idempotent {
+		if err == nil && !resp.NotExecuted && t.Route.Kind != call.Idempotent {
 			break
 		}
 	}
 	if r.lastFailure != nil {
-		return t.Deliver(r.lastFailure)
+		return t.WriteResponse(r.lastFailure)
 	}
 	if r.refusal == nil {
-		return t.NoServer()
+		return t.NoServerRefusal()
 	}
-	return task.Truthful(r.refusal)
+	return task.AdjustReason(r.refusal)
 }
 
 // ran returns whether the call may have run so far.
@@ -80,17 +80,17 @@
 // mayTryNext reports whether the call may be sent to another server. From the second
 // attempt on it takes a retry from the budget.
 func (r *requester) mayTryNext() bool {
-	if r.Record.Sent >= r.Route.Attempts || !r.PassOver(r.connectFailures) {
+	if r.Result.Attempts >= r.Route.MaxAttempts || !r.RetryUnsent(r.connectFailures) {
 		return false
 	}
-	if q := r.Quarantined(); q != nil {
-		r.refusal = q.With(r.ran())
+	if q := r.QuarantineRefusal(); q != nil {
+		r.refusal = q.WithRan(r.ran())
 		return false
 	}
-	if r.Record.Sent == 0 || r.Budget.Spend(r.Service.Name, time.Now()) {
+	if r.Result.Attempts == 0 || r.Budget.AllowRetry(r.Service.Name, time.Now()) {
 		return true
 	}
-	r.Note("no retry", zap.String("reason", "the retry budget is used up"))
+	r.LogInfo("no retry", zap.String("reason", "the retry budget is used up"))
 	return false
 }
 
@@ -104,53 +104,53 @@
 
 // attemptFailed handles an attempt without a complete response. It reports whether
 // another server may be tried.
-func (r *requester) attemptFailed(ctx context.Context, s *backs.Server, err error) bool {
+func (r *requester) attemptFailed(ctx context.Context, s *srvtab.Server, err error) bool {
 	if task.IsUnsent(err) {
 		r.connectFailures++
-		r.Note("server not reached", zap.String("server", string(s.ID)), zap.Error(err))
+		r.LogInfo("server not reached", zap.String("server", string(s.ID)), zap.Error(err))
 		return true
 	}
-	r.Record.Sent++
+	r.Result.Attempts++
 	r.lastFailure = nil
-	r.Note("no whole answer", zap.String("server", string(s.ID)), zap.Error(err))
+	r.LogInfo("no whole answer", zap.String("server", string(s.ID)), zap.Error(err))
 	r.CheckCrash(ctx, s)
-	r.refusal = refuse.New(refuse.ServerDied, "server %s broke off: %v", s.ID, err).With(refuse.RanMaybe)
+	r.refusal = refuse.New(refuse.ServerDied, "server %s broke off: %v", s.ID, err).WithRan(refuse.RanMaybe)
 	return r.Route.Kind == call.Idempotent
 }
 
 // handleResponse handles a complete response. It reports whether the response is to be
 // delivered to the client.
-func (r *requester) handleResponse(s *backs.Server, resp *task.Whole) bool {
-	if resp.Gone {
-		r.Lost(s)
+func (r *requester) handleResponse(s *srvtab.Server, resp *task.FullResponse) bool {
+	if resp.Replaced {
+		r.MarkGone(s)
 	}
-	r.Record.Sent++
+	r.Result.Attempts++
 	switch {
-	case resp.NotRun:
-		r.refusal = refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).With(r.ran()).After(overloadRetryAfter)
+	case resp.NotExecuted:
+		r.refusal = refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).WithRan(r.ran()).WithRetryAfter(overloadRetryAfter)
 		return false
 	case resp.Status < http.StatusInternalServerError:
 		return true
 	}
 	r.lastFailure = resp
-	r.refusal = refuse.New(refuse.ServerDied, "server %s failed with status %d", s.ID, resp.Status).With(refuse.RanMaybe)
+	r.refusal = refuse.New(refuse.ServerDied, "server %s failed with status %d", s.ID, resp.Status).WithRan(refuse.RanMaybe)
 	return false
 }
 
 // send sends the call to a server and reads the complete response.
-func (r *requester) send(ctx context.Context, s *backs.Server) (*task.Whole, error) {
-	reservation := r.Seats.Take(s.ID, seats.Load{Seats: 1})
+func (r *requester) send(ctx context.Context, s *srvtab.Server) (*task.FullResponse, error) {
+	reservation := r.Alloc.Reserve(s.ID, alloc.Load{Calls: 1})
 	defer reservation.Release()
-	r.Record.Server = s.ID
+	r.Result.Server = s.ID
 	sent := time.Now()
 	r.Rates.Sent(s.ID, sent)
-	resp, err := r.Backend.Send(ctx, port.Send{Call: r.Call, Server: s, Workspace: r.Workspace, Left: r.Left(), After: r.Call.After})
+	resp, err := r.Backend.Send(ctx, port.Attempt{Call: r.Call, Server: s, Workspace: r.Workspace, Timeout: r.Remaining(), LastEventID: r.Call.LastEventID})
 	if err != nil {
 		r.Health.Failure(s.ID, time.Now())
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	r.Observe(s, resp, sent)
+	r.ObserveResponse(s, resp, sent)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	if err == nil && len(body) > MaxBody {
 		err = errors.New("the answer is too large")
@@ -159,7 +159,7 @@
 		r.Health.Failure(s.ID, time.Now())
 		return nil, &port.SendError{Err: err}
 	}
-	if !resp.NotRun {
+	if !resp.NotExecuted {
 		r.Completed()
 	}
 	if resp.Status < http.StatusInternalServerError {
@@ -167,13 +167,13 @@
 	} else {
 		r.Health.Failure(s.ID, time.Now())
 	}
-	return &task.Whole{Status: resp.Status, Fields: resp.Fields, NotRun: resp.NotRun, Gone: resp.Gone, Body: body}, nil
+	return &task.FullResponse{Status: resp.Status, Fields: resp.Fields, NotExecuted: resp.NotExecuted, Replaced: resp.Replaced, Body: body}, nil
 }
 
 // rateLimited returns the servers that are excluded by their rate limits. The random
 // selection is made once per call, so that retries do not raise the chance of using a
 // limited server.
-func (r *requester) rateLimited(list []*backs.Server, now time.Time) map[ident.Server]bool {
+func (r *requester) rateLimited(list []*srvtab.Server, now time.Time) map[ident.Server]bool {
 	if r.limited != nil {
 		return r.limited
 	}
@@ -191,22 +191,22 @@
 }
 
 // pick chooses a server that has not been tried yet, or returns nil if none is usable.
-func (r *requester) pick() *backs.Server {
+func (r *requester) pick() *srvtab.Server {
 	now := time.Now()
 	list := r.Servers.View().Service(r.Service.Name)
-	loads := r.Seats.All(now)
+	loads := r.Alloc.All(now)
 	limited := r.rateLimited(list, now)
 	servers := make([]assign.Server, len(list))
 	for i, s := range list {
 		servers[i] = assign.Server{
-			Slots:  s.Slots,
-			Seats:  loads[s.ID].Seats,
-			Far:    s.Domain != r.Config.Domain,
-			Weight: r.Health.Weight(s.ID, now),
-			Skip:   r.tried[s.ID] || r.Health.Paused(s.ID, now) > 0 || limited[s.ID],
+			Slots:       s.Slots,
+			InFlight:    loads[s.ID].Calls,
+			CrossDomain: s.Domain != r.Config.Domain,
+			Weight:      r.Health.Weight(s.ID, now),
+			Skip:        r.tried[s.ID] || r.Health.Paused(s.ID, now) > 0 || limited[s.ID],
 		}
 	}
-	i := assign.ChoosePlain(servers, assign.Random())
+	i := assign.ChoosePlain(servers, assign.NewRand())
 	if i < 0 {
 		return nil
 	}
--- a/internal/state/claim/claims.go
+++ b/internal/state/claim/claims.go
@@ -11,8 +11,8 @@
 	"umberladder/internal/core/refuse"
 	"umberladder/internal/peer/proto"
 	"umberladder/internal/state/direct"
-	"umberladder/internal/state/keeper"
 	"umberladder/internal/state/member"
+	"umberladder/internal/state/shards"
 	"umberladder/internal/state/term"
 )
 
@@ -24,7 +24,7 @@
 
 // HolderClient calls the VM that holds a shard.
 type HolderClient interface {
-	Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error)
+	Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer, error)
 	Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error
 }
 
@@ -32,14 +32,14 @@
 // shard, and any other key in the store.
 type Claims struct {
 	vm     ident.VM
-	fleet  keeper.Fleet
-	keeper *keeper.Keeper
-	direct *direct.Claims
+	fleet  shards.Fleet
+	keeper *shards.Manager
+	direct *direct.Claimer
 	client HolderClient
 }
 
 // New returns the Claims of a VM.
-func New(vm ident.VM, f keeper.Fleet, k *keeper.Keeper, d *direct.Claims, client HolderClient) *Claims {
+func New(vm ident.VM, f shards.Fleet, k *shards.Manager, d *direct.Claimer, client HolderClient) *Claims {
 	return &Claims{vm: vm, fleet: f, keeper: k, direct: d, client: client}
 }
 
@@ -47,12 +47,12 @@
 // workspaces differ.
 func scopedKey(w ident.Workspace, key string) string { return string(w) + "/" + key }
 
-func shardOf(key string) int { return int(xxhash.Sum64String(key) % keeper.Shards) }
+func shardOf(key string) int { return int(xxhash.Sum64String(key) % shards.Count) }
 
 // Claim claims the key for the request. It returns nil and nil if the request may run,
 // the response if an earlier call with the key completed, or a refusal.
 func (c *Claims) Claim(ctx context.Context, w ident.Workspace, key string, fingerprint [32]byte, r ident.Request) (*proto.Answer, *refuse.Refusal) {
-	created, ok := ident.Minted(key)
+	created, ok := ident.UUIDTime(key)
 	if !ok {
 		return nil, c.direct.Claim(ctx, w, key, r)
 	}
@@ -72,14 +72,14 @@
 			return resultOf(d, response)
 		}
 	}
-	return nil, direct.Down(reason)
+	return nil, direct.Unavailable(reason)
 }
 
 // claimOnce claims the key once at the VM that owns its shard. It is safe to repeat: a
 // lease holder grants a key again to the request that has it.
-func (c *Claims) claimOnce(ctx context.Context, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Verdict, *proto.Answer, error) {
+func (c *Claims) claimOnce(ctx context.Context, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer, error) {
 	shard := shardOf(key)
-	owner, ok := keeper.HomeOf(shard, c.fleet.View().Live)
+	owner, ok := shards.AssignedOwner(shard, c.fleet.View().Live)
 	if !ok || owner.Name == c.vm {
 		d, response := c.keeper.Claim(shard, key, created, fingerprint, r)
 		return d, response, nil
@@ -89,28 +89,28 @@
 	return c.client.Claim(ctx, owner, shard, key, fingerprint, r)
 }
 
-func resultOf(d term.Verdict, response *proto.Answer) (*proto.Answer, *refuse.Refusal) {
+func resultOf(d term.Decision, response *proto.Answer) (*proto.Answer, *refuse.Refusal) {
 	switch d {
-	case term.Run:
+	case term.Granted:
 		return nil, nil
 	case term.Replay:
 		return response, nil
-	case term.Running:
+	case term.InProgress:
 		return nil, refuse.New(refuse.InProgress, "an earlier call with this key has not ended").
-			With(refuse.RanMaybe).After(direct.ComeAgain)
+			WithRan(refuse.RanMaybe).WithRetryAfter(direct.RetryAfter)
 	case term.Mismatch:
 		return nil, refuse.New(refuse.KeyReused, "this key came with another method, path, service or body")
 	case term.FutureKey:
 		return nil, refuse.New(refuse.BadInput, "the Idempotency-Key was minted in the future; check the caller's clock")
 	default:
 		return nil, refuse.New(refuse.MayHaveRun, "no VM can tell any more whether a call with this key ran").
-			With(refuse.RanMaybe)
+			WithRan(refuse.RanMaybe)
 	}
 }
 
 // Finish reports to the lease holder the end of a request that Claim granted.
 func (c *Claims) Finish(ctx context.Context, w ident.Workspace, key string, r ident.Request, ran bool, response *proto.Answer) {
-	if _, ok := ident.Minted(key); !ok {
+	if _, ok := ident.UUIDTime(key); !ok {
 		if !ran {
 			_ = c.direct.Release(ctx, w, key, r)
 		}
@@ -118,7 +118,7 @@
 	}
 	scoped := scopedKey(w, key)
 	shard := shardOf(scoped)
-	owner, ok := keeper.HomeOf(shard, c.fleet.View().Live)
+	owner, ok := shards.AssignedOwner(shard, c.fleet.View().Live)
 	if !ok || owner.Name == c.vm {
 		c.keeper.Finish(shard, scoped, r, ran, response)
 		return
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -50,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := config.ParseSystem(doc(strings.Replace(system, c.old, c.new, 1)), 1)
-			check.Field(t, err, c.path, c.want)
+			check.FieldError(t, err, c.path, c.want)
 		})
 	}
 	_, err := config.ParseSystem(doc(system), 1)
@@ -68,7 +68,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := config.ParseWorkspace("w", doc(strings.Replace(workspace, c.old, c.new, 1)), 1)
-			check.Field(t, err, c.path, c.want)
+			check.FieldError(t, err, c.path, c.want)
 		})
 	}
 	w, err := config.ParseWorkspace("w", doc(workspace), 3)
@@ -83,7 +83,7 @@
 		"/system": true, "/workspaces/a": true,
 		"/workspaces/": false, "/workspaces/a/b": false, "/workspaces/..": false, "/other": false, "": false,
 	} {
-		err := config.Check(path, nil)
+		err := config.Validate(path, nil)
 		if valid && path != config.SystemPath {
 			assert.NilError(t, err, path)
 		}
@@ -125,11 +125,11 @@
 	body := strings.ReplaceAll(workspace, "KEY", hex(h))
 	s, err := config.New().With(config.Document{Path: "/workspaces/w", Version: 1, Body: []byte(body)})
 	assert.NilError(t, err)
-	assert.Equal(t, string(s.Caller(key).Name), "w")
-	assert.Assert(t, s.Caller("another") == nil)
+	assert.Equal(t, string(s.WorkspaceByKey(key).Name), "w")
+	assert.Assert(t, s.WorkspaceByKey("another") == nil)
 	gone, err := s.With(config.Document{Path: "/workspaces/w", Version: 2})
 	assert.NilError(t, err)
-	assert.Assert(t, gone.Caller(key) == nil)
+	assert.Assert(t, gone.WorkspaceByKey(key) == nil)
 }
 
 func hex(h config.KeyHash) string {
@@ -156,7 +156,7 @@
 func BenchmarkWith(b *testing.B) {
 	for _, n := range []int{100, 1000, 2500} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
-			before := check.Heap()
+			before := check.HeapInUse()
 			s := config.New()
 			for i := range n {
 				body := strings.ReplaceAll(workspace, "KEY", hex(config.HashKey(fmt.Sprint(i))))
@@ -164,7 +164,7 @@
 				s, err = s.With(config.Document{Path: fmt.Sprintf("/workspaces/w%d", i), Version: uint64(i + 1), Body: []byte(body)})
 				assert.NilError(b, err)
 			}
-			each := float64(check.Heap()-before) / float64(n)
+			each := float64(check.HeapInUse()-before) / float64(n)
 			version := uint64(n)
 			for b.Loop() {
 				version++
--- a/internal/state/config/field.go
+++ b/internal/state/config/field.go
@@ -66,12 +66,12 @@
 // Validator converts wire values into domain values and records the first error.
 // For an invalid member its methods return the default, or the zero value if there
 // is none.
-type Fields struct {
+type Validator struct {
 	err *FieldError
 }
 
 // Err returns the first error, or nil.
-func (v *Fields) Err() error {
+func (v *Validator) Err() error {
 	if v.err == nil {
 		return nil
 	}
@@ -79,16 +79,16 @@
 }
 
 // Errorf records an error at a path, unless there is one already.
-func (v *Fields) Fault(path, format string, args ...any) {
+func (v *Validator) Errorf(path, format string, args ...any) {
 	if v.err == nil {
 		v.err = &FieldError{Path: path, Want: fmt.Sprintf(format, args...)}
 	}
 }
 
 // Name validates a name.
-func (v *Fields) Name(path, s string) string {
+func (v *Validator) Name(path, s string) string {
 	if err := ident.CheckName(s); err != nil {
-		v.Fault(path, "%s", trace.UserMessage(err))
+		v.Errorf(path, "%s", trace.UserMessage(err))
 		return ""
 	}
 	return s
@@ -96,60 +96,60 @@
 
 // Duration parses a duration such as "250ms" from low to high; def replaces an
 // absent one.
-func (v *Fields) Duration(path string, s *string, def, low, high time.Duration) time.Duration {
+func (v *Validator) Duration(path string, s *string, def, low, high time.Duration) time.Duration {
 	if s == nil {
 		return def
 	}
 	d, err := time.ParseDuration(*s)
 	if err != nil || d < low || d > high {
-		v.Fault(path, "want a duration from %s to %s, such as \"250ms\", got %q", low, high, *s)
+		v.Errorf(path, "want a duration from %s to %s, such as \"250ms\", got %q", low, high, *s)
 		return def
 	}
 	return d
 }
 
 // Int validates a whole number from low to high; def replaces an absent one.
-func (v *Fields) Int(path string, n *int, def, low, high int) int {
+func (v *Validator) Int(path string, n *int, def, low, high int) int {
 	if n == nil {
 		return def
 	}
 	if *n < low || *n > high {
-		v.Fault(path, "want a whole number from %d to %d, got %d", low, high, *n)
+		v.Errorf(path, "want a whole number from %d to %d, got %d", low, high, *n)
 		return def
 	}
 	return *n
 }
 
 // Float validates a number from low to high; def replaces an absent one.
-func (v *Fields) Float(path string, x *float64, def, low, high float64) float64 {
+func (v *Validator) Float(path string, x *float64, def, low, high float64) float64 {
 	if x == nil {
 		return def
 	}
 	if !(*x >= low && *x <= high) {
-		v.Fault(path, "want a number from %g to %g, got %g", low, high, *x)
+		v.Errorf(path, "want a number from %g to %g, got %g", low, high, *x)
 		return def
 	}
 	return *x
 }
 
 // Address parses an IP address with a port.
-func (v *Fields) Address(path, s string) netip.AddrPort {
+func (v *Validator) Address(path, s string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
-		v.Fault(path, "want an IP address with a port, such as \"127.0.0.1:8080\", got %q", s)
+		v.Errorf(path, "want an IP address with a port, such as \"127.0.0.1:8080\", got %q", s)
 		return netip.AddrPort{}
 	}
 	return a
 }
 
 // Hashes parses a list of key hashes.
-func (v *Fields) Hashes(path string, list []string) []KeyHash {
+func (v *Validator) Hashes(path string, list []string) []KeyHash {
 	out := make([]KeyHash, 0, len(list))
 	for i, s := range list {
 		var h KeyHash
 		raw, err := hex.DecodeString(s)
 		if err != nil || len(raw) != len(h) {
-			v.Fault(fmt.Sprintf("%s/%d", path, i), "want the SHA-256 of a key as 64 hexadecimal digits")
+			v.Errorf(fmt.Sprintf("%s/%d", path, i), "want the SHA-256 of a key as 64 hexadecimal digits")
 			continue
 		}
 		copy(h[:], raw)
--- a/internal/state/config/snapshot.go
+++ b/internal/state/config/snapshot.go
@@ -125,7 +125,7 @@
 		s.System = sys
 		return nil
 	}
-	name, err := WorkspaceOf(d.Path)
+	name, err := WorkspaceFromPath(d.Path)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 }
 
 // WorkspaceFromPath returns the workspace whose document has the path.
-func WorkspaceOf(path string) (ident.Workspace, error) {
+func WorkspaceFromPath(path string) (ident.Workspace, error) {
 	name, ok := strings.CutPrefix(path, WorkspacePrefix)
 	if !ok {
 		return "", trace.BadParameter("%s is no settings path; want %s or %s<name>", path, SystemPath, WorkspacePrefix)
@@ -173,10 +173,10 @@
 func (s *Snapshot) Workspace(name ident.Workspace) *Workspace { return s.workspaces[name] }
 
 // NumWorkspaces returns the number of workspaces.
-func (s *Snapshot) Workspaces() int { return len(s.workspaces) }
+func (s *Snapshot) NumWorkspaces() int { return len(s.workspaces) }
 
 // AllWorkspaces returns every workspace, in no particular order.
-func (s *Snapshot) All() []*Workspace {
+func (s *Snapshot) AllWorkspaces() []*Workspace {
 	out := make([]*Workspace, 0, len(s.workspaces))
 	for _, w := range s.workspaces {
 		out = append(out, w)
@@ -186,7 +186,7 @@
 
 // WorkspaceByKey returns the workspace that a caller's bearer key belongs to, or nil.
 // The lookup uses the key's hash, so its duration reveals nothing about other keys.
-func (s *Snapshot) Caller(key string) *Workspace {
+func (s *Snapshot) WorkspaceByKey(key string) *Workspace {
 	return s.byKey[HashKey(key)]
 }
 
@@ -194,7 +194,7 @@
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
 // Validate parses a document without putting it in force.
-func Check(path string, body []byte) error {
+func Validate(path string, body []byte) error {
 	_, err := New().With(Document{Path: path, Version: 1, Body: body})
 	return trace.Wrap(err)
 }
--- a/internal/state/config/types.go
+++ b/internal/state/config/types.go
@@ -32,7 +32,7 @@
 type Server struct {
 	Name    ident.Server
 	Address netip.AddrPort
-	Domain  ident.Domain
+	Domain  ident.FailureDomain
 	Fencing bool // the server refuses orders with an outdated fencing number
 	// TokensPerSecond is the generation rate at full load; zero: unknown.
 	TokensPerSecond int
--- a/internal/state/config/wire.go
+++ b/internal/state/config/wire.go
@@ -81,13 +81,13 @@
 	if err := Decode(data, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	v := &Fields{}
+	v := &Validator{}
 	s := &System{Version: version, Operators: v.Hashes("/operator-keys", w.Operators)}
 	for i, c := range w.Classes {
 		s.Classes = append(s.Classes, v.parseClass(fmt.Sprintf("/classes/%d", i), c))
 	}
 	if len(w.Classes) == 0 {
-		v.Fault("/classes", "want at least one class")
+		v.Errorf("/classes", "want at least one class")
 	}
 	for i, m := range w.Models {
 		path := fmt.Sprintf("/models/%d", i)
@@ -107,7 +107,7 @@
 	if err := Decode(data, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	v := &Fields{}
+	v := &Validator{}
 	ws := &Workspace{
 		Name:      name,
 		Version:   version,
@@ -119,7 +119,7 @@
 		},
 	}
 	if len(w.Keys) == 0 {
-		v.Fault("/caller-keys", "want at least one key hash")
+		v.Errorf("/caller-keys", "want at least one key hash")
 	}
 	for i, s := range w.Services {
 		ws.Services = append(ws.Services, v.parseService(fmt.Sprintf("/services/%d", i), s))
@@ -128,9 +128,9 @@
 	return ws, v.Err()
 }
 
-func (v *Fields) parseClass(path string, w classWire) Class {
+func (v *Validator) parseClass(path string, w classWire) Class {
 	if w.Rank == nil {
-		v.Fault(path+"/rank", "missing; want a whole number from 0 to %d", MaxRank)
+		v.Errorf(path+"/rank", "missing; want a whole number from 0 to %d", MaxRank)
 	}
 	return Class{
 		Name:    ident.Class(v.Name(path+"/name", w.Name)),
@@ -140,14 +140,14 @@
 	}
 }
 
-func (v *Fields) parseServers(path string, list []serverWire) []Server {
+func (v *Validator) parseServers(path string, list []serverWire) []Server {
 	out := make([]Server, 0, len(list))
 	for i, w := range list {
 		p := fmt.Sprintf("%s/%d", path, i)
 		out = append(out, Server{
 			Name:    ident.Server(v.Name(p+"/name", w.Name)),
 			Address: v.Address(p+"/address", w.Address),
-			Domain:  ident.Domain(v.Name(p+"/failure-domain", w.Domain)),
+			Domain:  ident.FailureDomain(v.Name(p+"/failure-domain", w.Domain)),
 			Fencing: w.Fencing,
 
 			TokensPerSecond: v.Int(p+"/tokens-per-second", w.Rate, 0, 0, MaxTokenRate),
@@ -157,7 +157,7 @@
 	return out
 }
 
-func (v *Fields) parseService(path string, w serviceWire) Service {
+func (v *Validator) parseService(path string, w serviceWire) Service {
 	s := Service{
 		Name:       ident.Service(v.Name(path+"/name", w.Name)),
 		Class:      ident.Class(v.Name(path+"/class", w.Class)),
@@ -172,37 +172,37 @@
 		s.Objective = Preemptions
 		overflow = DefaultOverflowPreempt
 	default:
-		v.Fault(path+"/objective", "want \"stall-time\" or \"preemptions\", got %q", w.Objective)
+		v.Errorf(path+"/objective", "want \"stall-time\" or \"preemptions\", got %q", w.Objective)
 	}
 	s.OverflowChance = v.Float(path+"/overflow-chance", w.Overflow, overflow, 1e-6, 0.5)
 	v.parseBackend(path, w, &s)
 	return s
 }
 
-func (v *Fields) parseBackend(path string, w serviceWire, s *Service) {
+func (v *Validator) parseBackend(path string, w serviceWire, s *Service) {
 	switch w.Kind {
 	case "model":
 		s.Model = ident.Model(v.Name(path+"/model", w.Model))
 		if len(w.Servers) > 0 {
-			v.Fault(path+"/servers", "a model service takes its servers from the model")
+			v.Errorf(path+"/servers", "a model service takes its servers from the model")
 		}
 	case "plain":
 		s.Kind = PlainService
 		s.Servers = v.parseServers(path+"/servers", w.Servers)
 		if w.Model != "" {
-			v.Fault(path+"/model", "a plain service has servers of its own, not a model")
+			v.Errorf(path+"/model", "a plain service has servers of its own, not a model")
 		}
 	default:
-		v.Fault(path+"/kind", "want \"model\" or \"plain\", got %q", w.Kind)
+		v.Errorf(path+"/kind", "want \"model\" or \"plain\", got %q", w.Kind)
 	}
 }
 
-func checkUnique[T any](v *Fields, path string, list []T, key func(T) string) {
+func checkUnique[T any](v *Validator, path string, list []T, key func(T) string) {
 	seen := make(map[string]bool, len(list))
 	for i, item := range list {
 		k := key(item)
 		if seen[k] {
-			v.Fault(fmt.Sprintf("%s/%d/name", path, i), "%q is there already", k)
+			v.Errorf(fmt.Sprintf("%s/%d/name", path, i), "%q is there already", k)
 		}
 		seen[k] = true
 	}
--- a/internal/state/direct/direct.go
+++ b/internal/state/direct/direct.go
@@ -22,7 +22,7 @@
 	leaseRotation = time.Hour
 	// RetryAfter is the delay after which a caller should retry if its key can't be
 	// claimed or refused now.
-	ComeAgain = time.Second
+	RetryAfter = time.Second
 )
 
 // Store is the part of the platform's key-value service that a Claimer uses.
@@ -34,7 +34,7 @@
 }
 
 // Claimer claims each key by a write to the store. It is safe for concurrent use.
-type Claims struct {
+type Claimer struct {
 	store Store
 
 	mu      sync.Mutex
@@ -43,14 +43,14 @@
 }
 
 // New returns a Claimer that uses the store.
-func New(s Store) *Claims { return &Claims{store: s} }
+func New(s Store) *Claimer { return &Claimer{store: s} }
 
 // Claim claims a key for a request. It returns a refusal if another request has claimed
 // the key before, or if the store can't be used to decide that now.
-func (c *Claims) Claim(ctx context.Context, w ident.Workspace, key string, r ident.Request) *refuse.Refusal {
+func (c *Claimer) Claim(ctx context.Context, w ident.Workspace, key string, r ident.Request) *refuse.Refusal {
 	lease, err := c.currentLease(ctx)
 	if err != nil {
-		return Down("the store that keeps the key can't be reached")
+		return Unavailable("the store that keeps the key can't be reached")
 	}
 	path := keyPath(w, key)
 	_, err = c.store.Put(ctx, path, []byte(r), 0, lease)
@@ -59,32 +59,32 @@
 		return nil
 	case store.Is(err, store.Conflict):
 		return c.checkClaimant(ctx, path, r)
-	case store.Is(err, store.Unknown):
+	case store.Is(err, store.OutcomeUnknown):
 		// The write may have taken effect; only a read can show it.
 		return c.checkClaimant(ctx, path, r)
 	default:
-		return Down("the store that keeps the key can't be reached")
+		return Unavailable("the store that keeps the key can't be reached")
 	}
 }
 
 // checkClaimant reads which request has claimed the key. It may be this request
 // itself, if the reply to its write was lost.
-func (c *Claims) checkClaimant(ctx context.Context, path string, r ident.Request) *refuse.Refusal {
+func (c *Claimer) checkClaimant(ctx context.Context, path string, r ident.Request) *refuse.Refusal {
 	it, err := c.store.Get(ctx, path)
 	switch {
 	case err == nil && string(it.Value) == string(r):
 		return nil
 	case err == nil:
-		return refuse.New(refuse.MayHaveRun, "request %s came with this key before", it.Value).With(refuse.RanMaybe)
+		return refuse.New(refuse.MayHaveRun, "request %s came with this key before", it.Value).WithRan(refuse.RanMaybe)
 	default:
 		// Either the key was not written, or it can't be read now. In both cases this
 		// request does not run, and its key may remain in the store unused.
-		return Down("the store that keeps the key does not answer")
+		return Unavailable("the store that keeps the key does not answer")
 	}
 }
 
 // Release deletes the key of a request that provably never ran.
-func (c *Claims) Release(ctx context.Context, w ident.Workspace, key string, r ident.Request) error {
+func (c *Claimer) Release(ctx context.Context, w ident.Workspace, key string, r ident.Request) error {
 	path := keyPath(w, key)
 	it, err := c.store.Get(ctx, path)
 	if err != nil {
@@ -98,7 +98,7 @@
 
 // currentLease returns the lease for new keys. A lease is never renewed; it expires at
 // least keyRetention after the last of its keys was written.
-func (c *Claims) currentLease(ctx context.Context) (uint64, error) {
+func (c *Claimer) currentLease(ctx context.Context) (uint64, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lease != 0 && time.Since(c.granted) < leaseRotation {
@@ -118,6 +118,6 @@
 }
 
 // Unavailable returns the refusal for a key that can't be claimed or refused now.
-func Down(detail string) *refuse.Refusal {
-	return refuse.New(refuse.ClaimsDown, "%s", detail).After(ComeAgain)
+func Unavailable(detail string) *refuse.Refusal {
+	return refuse.New(refuse.ClaimsDown, "%s", detail).WithRetryAfter(RetryAfter)
 }
--- a/internal/state/amend/diff.go
+++ b/internal/state/edit/diff.go
@@ -1,4 +1,4 @@
-package amend
+package edit
 
 import (
 	"bytes"
--- a/internal/state/amend/doc.go
+++ b/internal/state/edit/doc.go
@@ -5,4 +5,4 @@
 // stored value contains the ids of its last changes: after a lost reply, reading
 // the value shows whether the change took effect, and a retry can't apply it
 // twice.
-package amend
+package edit
--- a/internal/state/amend/editor.go
+++ b/internal/state/edit/editor.go
@@ -1,4 +1,4 @@
-package amend
+package edit
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"umberladder/internal/peer/store"
 	"umberladder/internal/state/config"
 	"umberladder/internal/state/quota"
-	"umberladder/internal/state/spread"
+	"umberladder/internal/state/syncer"
 )
 
 const (
@@ -28,19 +28,19 @@
 // Follower puts the stored settings in force on this VM and notifies other VMs.
 type Follower interface {
 	// ApplyWritten puts a document in force that this VM has just written.
-	Accepted(d config.Document)
+	ApplyWritten(d config.Document)
 	// Refresh reads the store and applies the changes.
 	Refresh(ctx context.Context) error
 }
 
 // Change is a change to a settings document by an operator.
 type Change struct {
-	ID     string // chosen by the operator; a change is applied at most once per id
-	By     string // the operator
-	Path   string
-	Want   uint64 // version that the operator read; 0: the document is new
-	Body   []byte // empty: delete
-	DryRun bool
+	ID          string // chosen by the operator; a change is applied at most once per id
+	By          string // the operator
+	Path        string
+	BaseVersion uint64 // version that the operator read; 0: the document is new
+	Body        []byte // empty: delete
+	DryRun      bool
 }
 
 // Result is the result of an accepted change.
@@ -72,20 +72,20 @@
 }
 
 // Editor applies changes to settings. It is safe for concurrent use.
-type Amender struct {
+type Editor struct {
 	store    Store
 	follower Follower
 	inForce  func() *config.Snapshot
 }
 
 // New returns an Editor. inForce returns the settings in force on this VM.
-func New(s Store, f Follower, inForce func() *config.Snapshot) *Amender {
-	return &Amender{store: s, follower: f, inForce: inForce}
+func New(s Store, f Follower, inForce func() *config.Snapshot) *Editor {
+	return &Editor{store: s, follower: f, inForce: inForce}
 }
 
 // Apply validates a change and writes it. It returns a *config.FieldError, a
 // *ConflictError, an *UnknownError, or an error that the store is unavailable.
-func (e *Amender) Apply(ctx context.Context, c Change) (Result, error) {
+func (e *Editor) Apply(ctx context.Context, c Change) (Result, error) {
 	if err := c.validate(); err != nil {
 		return Result{}, trace.Wrap(err)
 	}
@@ -96,7 +96,7 @@
 	if old.Has(c.ID) {
 		return Result{Version: version}, nil
 	}
-	if version != c.Want {
+	if version != c.BaseVersion {
 		return Result{}, newConflict(c.Path, version, old)
 	}
 	res := Result{Version: version, Diff: Diff(old.Body, c.Body), Warnings: e.warnings(c, version)}
@@ -124,21 +124,21 @@
 		if c.Path == config.SystemPath {
 			return &config.FieldError{Want: "the system's document can't be deleted"}
 		}
-		_, err := config.WorkspaceOf(c.Path)
+		_, err := config.WorkspaceFromPath(c.Path)
 		return err
 	}
-	return config.Check(c.Path, c.Body)
+	return config.Validate(c.Path, c.Body)
 }
 
-func (c *Change) encodeValue(old *spread.Value, diff []string) ([]byte, error) {
-	v := spread.Value{Body: c.Body, Changes: append(old.Changes, spread.Change{
+func (c *Change) encodeValue(old *syncer.Value, diff []string) ([]byte, error) {
+	v := syncer.Value{Body: c.Body, Changes: append(old.Changes, syncer.Change{
 		ID:     c.ID,
 		By:     c.By,
 		At:     time.Now(),
 		Delete: len(c.Body) == 0,
 		Diff:   diff,
 	})}
-	if n := len(v.Changes) - spread.MaxChanges; n > 0 {
+	if n := len(v.Changes) - syncer.MaxChanges; n > 0 {
 		v.Changes = v.Changes[n:]
 	}
 	return v.Encode()
@@ -146,18 +146,18 @@
 
 // write retries the write until it is known whether the change took effect, or
 // until maxWriteAttempts is reached.
-func (e *Amender) write(ctx context.Context, c Change, value []byte) (uint64, error) {
+func (e *Editor) write(ctx context.Context, c Change, value []byte) (uint64, error) {
 	mayHaveApplied := false
 	for attempt := range maxWriteAttempts {
 		if attempt > 0 {
 			time.Sleep(writeBackoff << attempt)
 		}
-		rev, err := e.store.Put(ctx, spread.Prefix+c.Path, value, c.Want, 0)
+		rev, err := e.store.Put(ctx, syncer.Prefix+c.Path, value, c.BaseVersion, 0)
 		if err == nil {
-			e.follower.Accepted(config.Document{Path: c.Path, Version: rev, Body: c.Body})
+			e.follower.ApplyWritten(config.Document{Path: c.Path, Version: rev, Body: c.Body})
 			return rev, nil
 		}
-		if store.Is(err, store.Unknown) {
+		if store.Is(err, store.OutcomeUnknown) {
 			mayHaveApplied = true
 		}
 		if !mayHaveApplied && !store.Is(err, store.Conflict) {
@@ -176,21 +176,21 @@
 // checkOutcome reads whether the change took effect, and reports whether that is
 // known. It is not known while the document is unchanged, because a write in
 // flight may still arrive; a retry of the write decides the outcome.
-func (e *Amender) checkOutcome(ctx context.Context, c Change) (uint64, bool, error) {
+func (e *Editor) checkOutcome(ctx context.Context, c Change) (uint64, bool, error) {
 	v, version, readErr := e.Read(ctx, c.Path)
 	switch {
 	case readErr != nil:
 		return 0, false, nil //nolint:nilerr // a failed read settles nothing
 	case v.Has(c.ID):
 		return version, true, nil
-	case version != c.Want:
+	case version != c.BaseVersion:
 		return 0, true, newConflict(c.Path, version, v)
 	default:
 		return 0, false, nil
 	}
 }
 
-func newConflict(path string, version uint64, v *spread.Value) error {
+func newConflict(path string, version uint64, v *syncer.Value) error {
 	e := &ConflictError{Path: path, Version: version}
 	if n := len(v.Changes); n > 0 {
 		e.By = v.Changes[n-1].By
@@ -200,15 +200,15 @@
 
 // Read returns the stored value at a settings path and its version, which is 0 if
 // there is no value.
-func (e *Amender) Read(ctx context.Context, path string) (*spread.Value, uint64, error) {
-	it, err := e.store.Get(ctx, spread.Prefix+path)
-	if store.Is(err, store.Missing) {
-		return &spread.Value{}, 0, nil
+func (e *Editor) Read(ctx context.Context, path string) (*syncer.Value, uint64, error) {
+	it, err := e.store.Get(ctx, syncer.Prefix+path)
+	if store.Is(err, store.NotFound) {
+		return &syncer.Value{}, 0, nil
 	}
 	if err != nil {
 		return nil, 0, trace.Wrap(err)
 	}
-	v, err := spread.DecodeValue(it.Value)
+	v, err := syncer.DecodeValue(it.Value)
 	return v, it.Revision, trace.Wrap(err)
 }
 
@@ -229,7 +229,7 @@
 // ChangeStatus returns the outcome of a change. A change that is not in the
 // document's history has not been applied if the document's version is later than
 // the one that the change is based on. Otherwise a write in flight may still arrive.
-func (e *Amender) Ask(ctx context.Context, path, id string, want uint64) Status {
+func (e *Editor) ChangeStatus(ctx context.Context, path, id string, want uint64) Status {
 	v, version, err := e.Read(ctx, path)
 	switch {
 	case err != nil:
@@ -245,7 +245,7 @@
 
 // warnings returns the warnings of quota.Check, such as limits beyond the servers'
 // capacity, for the settings with the change made to the document of the given version.
-func (e *Amender) warnings(c Change, version uint64) []string {
+func (e *Editor) warnings(c Change, version uint64) []string {
 	current := e.inForce()
 	next, err := current.With(config.Document{Path: c.Path, Version: max(version, current.Revision) + 1, Body: c.Body})
 	if err != nil {
--- a/internal/state/amend/editor_test.go
+++ b/internal/state/edit/editor_test.go
@@ -1,4 +1,4 @@
-package amend
+package edit
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"umberladder/internal/peer/store"
 	"umberladder/internal/state/config"
-	"umberladder/internal/state/spread"
+	"umberladder/internal/state/syncer"
 	"umberladder/internal/test/check"
 )
 
@@ -27,10 +27,10 @@
 
 func (s *fakeStore) Get(_ context.Context, path string) (store.Item, error) {
 	if s.outcome("get") != "" {
-		return store.Item{}, &store.Error{Fault: store.Down, Err: errors.New("down")}
+		return store.Item{}, &store.Error{Kind: store.Unavailable, Err: errors.New("down")}
 	}
 	if s.rev == 0 {
-		return store.Item{}, &store.Error{Fault: store.Missing, Err: errors.New("missing")}
+		return store.Item{}, &store.Error{Kind: store.NotFound, Err: errors.New("missing")}
 	}
 	return store.Item{Path: path, Revision: s.rev, Value: s.value}, nil
 }
@@ -38,26 +38,26 @@
 func (s *fakeStore) Put(_ context.Context, _ string, value []byte, want, _ uint64) (uint64, error) {
 	outcome := s.outcome("put")
 	if outcome == "down" {
-		return 0, &store.Error{Fault: store.Down, Err: errors.New("down")}
+		return 0, &store.Error{Kind: store.Unavailable, Err: errors.New("down")}
 	}
 	if outcome == "unsent" { // the request is lost: it has no effect, which the caller can't know
-		return 0, &store.Error{Fault: store.Unknown, Err: errors.New("no reply")}
+		return 0, &store.Error{Kind: store.OutcomeUnknown, Err: errors.New("no reply")}
 	}
 	if want != s.rev {
-		return 0, &store.Error{Fault: store.Conflict, Err: errors.New("conflict")}
+		return 0, &store.Error{Kind: store.Conflict, Err: errors.New("conflict")}
 	}
 	s.rev++
 	s.puts++
 	s.value = value
 	if outcome == "lost" {
-		return 0, &store.Error{Fault: store.Unknown, Err: errors.New("no reply")}
+		return 0, &store.Error{Kind: store.OutcomeUnknown, Err: errors.New("no reply")}
 	}
 	return s.rev, nil
 }
 
 type nopFollower struct{}
 
-func (nopFollower) Accepted(config.Document) {}
+func (nopFollower) ApplyWritten(config.Document) {}
 
 func (nopFollower) Refresh(context.Context) error { return nil }
 
@@ -72,7 +72,7 @@
 // result is checked against the history in the store, which must contain an accepted
 // change once and a refused one never.
 func TestOracle(t *testing.T) {
-	check.Checks(t, 300)
+	check.RapidChecks(t, 300)
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := &fakeStore{}
@@ -88,7 +88,7 @@
 				outcome = func(call string) string {
 					return rapid.SampledFrom([]string{"", "", "down", "lost", "unsent"}).Draw(rt, call)
 				}
-				c := Change{ID: fmt.Sprint(n), By: "me", Path: "/workspaces/w", Want: read, Body: workspace(n + 1)}
+				c := Change{ID: fmt.Sprint(n), By: "me", Path: "/workspaces/w", BaseVersion: read, Body: workspace(n + 1)}
 				_, err := e.Apply(context.Background(), c)
 				outcome = noFaults
 				v, _, rerr := e.Read(context.Background(), "/workspaces/w")
@@ -98,7 +98,7 @@
 					assert.Assert(t, v.Has(c.ID), "the change was accepted but is not in the history")
 				case IsUnknown(err):
 					// Both outcomes are possible. The status must match the history or be Unknown.
-					if s := e.Ask(context.Background(), c.Path, c.ID, c.Want); s != Unknown {
+					if s := e.ChangeStatus(context.Background(), c.Path, c.ID, c.BaseVersion); s != Unknown {
 						assert.Equal(t, s == Applied, v.Has(c.ID))
 					}
 				default:
@@ -138,18 +138,18 @@
 		assert.Equal(t, c.By, "ada")
 	})
 	t.Run("a dry run returns the diff without writing", func(t *testing.T) {
-		res, err := e.Apply(ctx, Change{ID: "3", Path: "/workspaces/w", Want: 1, Body: workspace(2), DryRun: true})
+		res, err := e.Apply(ctx, Change{ID: "3", Path: "/workspaces/w", BaseVersion: 1, Body: workspace(2), DryRun: true})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, res.Diff, []string{"/limits/concurrency changed"})
 		assert.Equal(t, s.puts, 1)
 	})
 	t.Run("the error of an invalid document names the member", func(t *testing.T) {
-		_, err := e.Apply(ctx, Change{ID: "4", Path: "/workspaces/w", Want: 1, Body: workspace(0)})
-		check.Field(t, err, "/limits/concurrency", "from 1")
+		_, err := e.Apply(ctx, Change{ID: "4", Path: "/workspaces/w", BaseVersion: 1, Body: workspace(0)})
+		check.FieldError(t, err, "/limits/concurrency", "from 1")
 		assert.Equal(t, s.puts, 1)
 	})
 	t.Run("a deletion creates a new version", func(t *testing.T) {
-		res, err := e.Apply(ctx, Change{ID: "5", Path: "/workspaces/w", Want: 1})
+		res, err := e.Apply(ctx, Change{ID: "5", Path: "/workspaces/w", BaseVersion: 1})
 		assert.NilError(t, err)
 		assert.Equal(t, res.Version, uint64(2))
 		v, _, err := e.Read(ctx, "/workspaces/w")
@@ -158,20 +158,20 @@
 	})
 	t.Run("the system's document can't be deleted", func(t *testing.T) {
 		_, err := e.Apply(ctx, Change{ID: "6", Path: config.SystemPath})
-		check.Field(t, err, "", "can't be deleted")
+		check.FieldError(t, err, "", "can't be deleted")
 	})
 }
 
 func TestHistoryIsBounded(t *testing.T) {
 	s := &fakeStore{outcome: noFaults}
 	e := New(s, nopFollower{}, config.New)
-	for n := range spread.MaxChanges + 5 {
-		_, err := e.Apply(context.Background(), Change{ID: fmt.Sprint(n), Path: "/workspaces/w", Want: uint64(n), Body: workspace(n + 1)})
+	for n := range syncer.MaxChanges + 5 {
+		_, err := e.Apply(context.Background(), Change{ID: fmt.Sprint(n), Path: "/workspaces/w", BaseVersion: uint64(n), Body: workspace(n + 1)})
 		assert.NilError(t, err)
 	}
 	v, _, err := e.Read(context.Background(), "/workspaces/w")
 	assert.NilError(t, err)
-	assert.Equal(t, len(v.Changes), spread.MaxChanges)
+	assert.Equal(t, len(v.Changes), syncer.MaxChanges)
 	assert.Equal(t, v.Changes[0].ID, "5")
 }
 
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -42,11 +42,11 @@
 
 // Membership maintains the membership list of one VM. It is safe for use by several
 // goroutines.
-type Fleet struct {
+type Membership struct {
 	transport       Transport
 	lister          Lister
-	settingsVersion func() member.Mark
-	onReceive       func(member.Member, member.Mark)
+	settingsVersion func() member.SettingsVersion
+	onReceive       func(member.Member, member.SettingsVersion)
 
 	mu               sync.Mutex
 	table            *member.Table
@@ -58,33 +58,33 @@
 // New returns a Membership. settingsVersion returns the version of the settings that this
 // VM has in force. onReceive is called with the sender of each packet and the version that
 // the sender has in force, and must not block.
-func New(table *member.Table, t Transport, l Lister, settingsVersion func() member.Mark, onReceive func(member.Member, member.Mark)) *Fleet {
-	f := &Fleet{transport: t, lister: l, settingsVersion: settingsVersion, onReceive: onReceive, table: table}
+func New(table *member.Table, t Transport, l Lister, settingsVersion func() member.SettingsVersion, onReceive func(member.Member, member.SettingsVersion)) *Membership {
+	f := &Membership{transport: t, lister: l, settingsVersion: settingsVersion, onReceive: onReceive, table: table}
 	f.publish()
 	return f
 }
 
 // View returns the current view.
-func (f *Fleet) View() *View { return f.view.Load() }
+func (f *Membership) View() *View { return f.view.Load() }
 
 // Rank returns the index of this VM among the live ones, and their number.
-func (f *Fleet) Rank() (int, int) {
+func (f *Membership) Rank() (int, int) {
 	v := f.View()
 	return v.Rank, max(len(v.Live), 1)
 }
 
 // LastSeen returns when the last packet from another VM arrived.
-func (f *Fleet) Heard() time.Time { return time.Unix(0, f.lastSeen.Load()) }
+func (f *Membership) LastSeen() time.Time { return time.Unix(0, f.lastSeen.Load()) }
 
 // Removals returns how many times this VM has declared another dead.
-func (f *Fleet) Removals() uint64 {
+func (f *Membership) Removals() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Removals()
 }
 
 // All returns every known VM, including dead ones.
-func (f *Fleet) All() []member.Member {
+func (f *Membership) All() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.All()
@@ -92,7 +92,7 @@
 
 // publish makes the table's state the current view. Except in New, the caller must hold
 // mu.
-func (f *Fleet) publish() {
+func (f *Membership) publish() {
 	v := &View{Self: f.table.Self(), Live: f.table.Live()}
 	for i, m := range v.Live {
 		if m.Name == v.Self.Name {
@@ -103,7 +103,7 @@
 }
 
 // Run pings other VMs and updates the membership until ctx is done.
-func (f *Fleet) Run(ctx context.Context) error {
+func (f *Membership) Run(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -117,43 +117,43 @@
 }
 
 // Receive handles packets from other VMs until ctx is done.
-func (f *Fleet) Receive(ctx context.Context) error {
+func (f *Membership) Receive(ctx context.Context) error {
 	return f.transport.Run(ctx, func(p member.Packet) {
 		f.lastSeen.Store(time.Now().UnixNano())
 		f.send(f.update(func() []member.Outbound { return f.table.Receive(p, time.Now()) }))
-		f.onReceive(p.From, p.Mark)
+		f.onReceive(p.From, p.SettingsVersion)
 	})
 }
 
 // PollList reads the platform's VM list at intervals until ctx is done.
-func (f *Fleet) Follow(ctx context.Context) error {
+func (f *Membership) PollList(ctx context.Context) error {
 	wait := firstListInterval
 	for ctx.Err() == nil {
 		list, err := f.lister.Members(ctx)
 		if err == nil {
 			wait = listInterval
 			f.update(func() []member.Outbound {
-				f.table.List(list, time.Now())
+				f.table.MergeList(list, time.Now())
 				return nil
 			})
 		}
-		retry.Pause(ctx, wait)
+		retry.Sleep(ctx, wait)
 	}
 	return nil
 }
 
 // Leave announces that this VM is shutting down.
-func (f *Fleet) Leave() {
+func (f *Membership) Leave() {
 	f.send(f.update(func() []member.Outbound { return f.table.Leave(time.Now()) }))
 }
 
 // SendUpdates sends the queued updates and the settings version to the given VMs at once,
 // instead of with the next pings and acks.
-func (f *Fleet) Notify(to []member.Member) {
+func (f *Membership) SendUpdates(to []member.Member) {
 	f.send(f.update(func() []member.Outbound { return f.table.Announce(to) }))
 }
 
-func (f *Fleet) update(apply func() []member.Outbound) []member.Outbound {
+func (f *Membership) update(apply func() []member.Outbound) []member.Outbound {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.SetSettingsVersion(f.settingsVersion())
@@ -165,7 +165,7 @@
 	return out
 }
 
-func (f *Fleet) send(out []member.Outbound) {
+func (f *Membership) send(out []member.Outbound) {
 	for i := range out {
 		// The protocol tolerates lost datagrams, so a send error needs no handling.
 		_ = f.transport.Send(out[i].To, &out[i].Packet)
@@ -173,7 +173,7 @@
 }
 
 // InDomain returns the live VMs of a failure domain.
-func (v *View) Domain(d ident.Domain) []member.Member {
+func (v *View) InDomain(d ident.FailureDomain) []member.Member {
 	var out []member.Member
 	for _, m := range v.Live {
 		if m.Domain == d {
--- a/internal/state/follow/follow_test.go
+++ b/internal/state/follow/follow_test.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sync/errgroup"
 	"gotest.tools/v3/assert"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/ident"
-	"umberladder/internal/state/backs"
-	"umberladder/internal/state/loop"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/state/routes"
+	"umberladder/internal/state/srvtab"
+	"umberladder/internal/state/watch"
 )
 
 // store is a fake of the platform's store that runs in virtual time.
@@ -29,7 +29,7 @@
 	down    bool
 	rev     Revision
 	version uint64
-	servers map[ident.Server]backs.Entry
+	servers map[ident.Server]srvtab.Entry
 	changes []Change
 	oldest  Revision // oldest revision in the history
 	calls   atomic.Int64
@@ -42,7 +42,7 @@
 )
 
 func newStore() *store {
-	return &store{version: 1, rev: 1, servers: make(map[ident.Server]backs.Entry), changed: make(chan struct{})}
+	return &store{version: 1, rev: 1, servers: make(map[ident.Server]srvtab.Entry), changed: make(chan struct{})}
 }
 
 func (s *store) change(f func()) {
@@ -54,17 +54,17 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *store) put(e backs.Entry) {
+func (s *store) put(e srvtab.Entry) {
 	s.change(func() {
 		s.servers[e.ID] = e
 		s.changes = append(s.changes, Change{Rev: s.rev, Entry: e})
 	})
 }
 
-func (s *store) remove(e backs.Entry) {
+func (s *store) remove(e srvtab.Entry) {
 	s.change(func() {
 		delete(s.servers, e.ID)
-		s.changes = append(s.changes, Change{Rev: s.rev, Gone: true, Entry: backs.Entry{ID: e.ID}})
+		s.changes = append(s.changes, Change{Rev: s.rev, Gone: true, Entry: srvtab.Entry{ID: e.ID}})
 	})
 }
 
@@ -72,7 +72,7 @@
 type backup struct {
 	rev     Revision
 	version uint64
-	servers map[ident.Server]backs.Entry
+	servers map[ident.Server]srvtab.Entry
 }
 
 func (s *store) backup() backup {
@@ -117,11 +117,11 @@
 	return routes.New(routes.Parts{Version: version}), nil
 }
 
-func (s *store) Servers(context.Context) ([]backs.Entry, Revision, error) {
+func (s *store) Servers(context.Context) ([]srvtab.Entry, Revision, error) {
 	rev, _, err := s.state()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []backs.Entry
+	var out []srvtab.Entry
 	for _, e := range s.servers {
 		out = append(out, e)
 	}
@@ -140,7 +140,7 @@
 		case compacted:
 			return 0, 0, errHistory
 		case rev.Era() > after.Era():
-			return 0, 0, ErrEra
+			return 0, 0, ErrNewEra
 		case err != nil || rev > after:
 			return rev, version, err
 		}
@@ -177,22 +177,22 @@
 
 // vm is a VM whose followers track a store.
 type vm struct {
-	current     *routes.Book
-	table       *backs.Table
-	settings    *Settings
-	servers     *Servers
+	current     *routes.Current
+	table       *srvtab.Table
+	settings    *SettingsFollower
+	servers     *ServerFollower
 	peersUpdate atomic.Bool
 	changes     atomic.Int64
-	peerData    atomic.Pointer[News] // servers that another VM provides; nil: there is none
-	clock       awake.Clock
+	peerData    atomic.Pointer[Update] // servers that another VM provides; nil: there is none
+	clock       uptime.Clock
 	suspended   atomic.Int64 // suspended time, which only clock includes
 }
 
-func (v *vm) fetch(context.Context) (News, error) {
+func (v *vm) fetch(context.Context) (Update, error) {
 	if n := v.peerData.Load(); n != nil {
 		return *n, nil
 	}
-	return News{}, ErrNobody
+	return Update{}, ErrNoPeer
 }
 
 func runFollowers(t *testing.T, s *store, f func(v *vm)) {
@@ -201,15 +201,15 @@
 		s.changed = make(chan struct{}) // must belong to the synctest bubble, so that its virtual time advances
 		start := time.Now()
 		v := &vm{}
-		v.clock = func() awake.Instant {
-			return awake.Instant(time.Since(start) + time.Hour + time.Duration(v.suspended.Load()))
+		v.clock = func() uptime.Instant {
+			return uptime.Instant(time.Since(start) + time.Hour + time.Duration(v.suspended.Load()))
 		}
-		v.current = routes.NewBook(v.clock)
-		v.table = backs.NewTable(func() {})
+		v.current = routes.NewCurrent(v.clock)
+		v.table = srvtab.NewTable(func() {})
 		peersUpdate := v.peersUpdate.Load
 		always := func() bool { return true }
-		v.settings = NewSettings(s, v.current, v.clock, peersUpdate, always, func() { v.changes.Add(1) }, zap.NewNop())
-		v.servers = NewServers(s, v.table, v.clock, peersUpdate, always, always, func() { v.changes.Add(1) }, v.fetch, zap.NewNop())
+		v.settings = NewSettingsFollower(s, v.current, v.clock, peersUpdate, always, func() { v.changes.Add(1) }, zap.NewNop())
+		v.servers = NewServerFollower(s, v.table, v.clock, peersUpdate, always, always, func() { v.changes.Add(1) }, v.fetch, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var g errgroup.Group
@@ -229,13 +229,13 @@
 // compressed returns a document in the form in which VMs share it.
 func compressed(t *testing.T, text string) []byte {
 	t.Helper()
-	b, err := routes.NewDocument([]byte(text)).Packed()
+	b, err := routes.NewDocument([]byte(text)).Compressed()
 	assert.NilError(t, err)
 	return b
 }
 
-func entry(n int) backs.Entry {
-	return backs.Entry{ID: ident.Server(fmt.Sprint(n)), Service: "s", Slots: 1}
+func entry(n int) srvtab.Entry {
+	return srvtab.Entry{ID: ident.Server(fmt.Sprint(n)), Service: "s", Slots: 1}
 }
 
 // assertUsable fails the test unless exactly n servers accept new work.
@@ -272,8 +272,8 @@
 			time.Sleep(5 * time.Second)
 			assert.Assert(t, v.current.Age() >= 5*time.Second, "a store that is down confirms no settings")
 			s.setDown(false)
-			time.Sleep(loop.LastPause + time.Millisecond)
-			assert.Assert(t, v.current.Age() <= loop.LastPause)
+			time.Sleep(watch.MaxBackoff + time.Millisecond)
+			assert.Assert(t, v.current.Age() <= watch.MaxBackoff)
 		})
 	})
 	t.Run("entries that expire in an outage stay until 2 s after it", func(t *testing.T) {
@@ -284,13 +284,13 @@
 			s.setDown(true)
 			time.Sleep(3 * time.Second)
 			s.mu.Lock()
-			s.servers = map[ident.Server]backs.Entry{}
+			s.servers = map[ident.Server]srvtab.Entry{}
 			s.mu.Unlock()
 			s.setDown(false)
-			time.Sleep(loop.LastPause + 100*time.Millisecond)
+			time.Sleep(watch.MaxBackoff + 100*time.Millisecond)
 			v.assertUsable(t, 2, "the store has just recovered")
 			s.put(entry(1))
-			time.Sleep(backs.ReturnTime)
+			time.Sleep(srvtab.ReregisterTime)
 			v.assertUsable(t, 1, "one entry was written again, the other server is gone")
 		})
 	})
@@ -309,13 +309,13 @@
 			v.peersUpdate.Store(false)
 			time.Sleep(leadBatchDelay)
 			v.assertUsable(t, 2, "the store has just recovered")
-			n, ok := v.servers.News(time.Now())
+			n, ok := v.servers.RecentChanges(time.Now())
 			assert.Assert(t, ok && len(n.Changes) == 2, "%+v", n)
 			for _, c := range n.Changes {
-				assert.Assert(t, c.Lapse > 0, "the change must tell other VMs that the entry may have expired: %+v", c)
+				assert.Assert(t, c.Grace > 0, "the change must tell other VMs that the entry may have expired: %+v", c)
 			}
 			s.put(entry(1))
-			time.Sleep(backs.ReturnTime)
+			time.Sleep(srvtab.ReregisterTime)
 			v.assertUsable(t, 1, "one entry was written again, the other server is gone")
 			s.remove(entry(1))
 			time.Sleep(leadBatchDelay + time.Millisecond)
@@ -328,7 +328,7 @@
 		runFollowers(t, s, func(v *vm) {
 			s.change(func() {
 				s.oldest = s.rev
-				s.servers = map[ident.Server]backs.Entry{"2": entry(2)}
+				s.servers = map[ident.Server]srvtab.Entry{"2": entry(2)}
 			})
 			time.Sleep(3 * time.Second)
 			v.assertUsable(t, 1, "the server whose change was missed")
@@ -363,14 +363,14 @@
 			assert.Assert(t, v.table.View().Server("1") == nil, "its entry in the copy is outdated")
 			s.put(entry(2))
 			s.put(entry(3))
-			time.Sleep(backs.ReturnTime + time.Second)
+			time.Sleep(srvtab.ReregisterTime + time.Second)
 			v.assertUsable(t, 2, "both wrote their entries again")
 		})
 	})
 	t.Run("a server that does not write its entry again is gone", func(t *testing.T) {
 		withRestore(t, func(s *store, v *vm) {
 			s.put(entry(2))
-			time.Sleep(backs.ReturnTime + time.Second)
+			time.Sleep(srvtab.ReregisterTime + time.Second)
 			v.assertUsable(t, 1, "the other server has ended")
 		})
 	})
@@ -384,9 +384,9 @@
 	})
 	t.Run("settings are neither reverted nor confirmed by an older version", func(t *testing.T) {
 		withRestore(t, func(s *store, v *vm) {
-			time.Sleep(backs.ReturnTime + 2*time.Second)
+			time.Sleep(srvtab.ReregisterTime + 2*time.Second)
 			assert.Equal(t, v.current.Load().Version, uint64(9))
-			assert.Assert(t, v.current.Age() > backs.ReturnTime, "the store does not hold the latest settings")
+			assert.Assert(t, v.current.Age() > srvtab.ReregisterTime, "the store does not hold the latest settings")
 			s.change(func() { s.version = 9 })
 			time.Sleep(time.Second)
 			assert.Assert(t, v.current.Age() <= settingsWait+100*time.Millisecond, "%s", v.current.Age())
@@ -396,8 +396,8 @@
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
 			s.restore(s.backup()) // nothing that this VM knows was lost
-			time.Sleep(backs.ReturnTime - 100*time.Millisecond)
-			assert.Assert(t, v.current.Age() >= backs.ReturnTime-200*time.Millisecond, "%s", v.current.Age())
+			time.Sleep(srvtab.ReregisterTime - 100*time.Millisecond)
+			assert.Assert(t, v.current.Age() >= srvtab.ReregisterTime-200*time.Millisecond, "%s", v.current.Age())
 			time.Sleep(time.Second)
 			assert.Assert(t, v.current.Age() <= settingsWait+100*time.Millisecond, "%s", v.current.Age())
 		})
@@ -409,32 +409,32 @@
 			time.Sleep(time.Second)
 			rev := NewRevision(1, 1)
 			assert.Assert(t, rev > v.servers.known(), "revisions of a later era are higher")
-			v.peerData.Store(&News{Rev: rev, Changes: []Change{{Rev: rev, Entry: entry(5)}}})
-			v.servers.Learn(News{Base: rev, Rev: rev}, time.Now())
+			v.peerData.Store(&Update{Rev: rev, Changes: []Change{{Rev: rev, Entry: entry(5)}}})
+			v.servers.ApplyUpdate(Update{Base: rev, Rev: rev}, time.Now())
 			time.Sleep(time.Second)
 			assert.Equal(t, v.servers.known(), rev)
-			v.servers.Learn(News{Rev: NewRevision(0, 99), Changes: []Change{{Rev: NewRevision(0, 99), Entry: entry(6)}}}, time.Now())
+			v.servers.ApplyUpdate(Update{Rev: NewRevision(0, 99), Changes: []Change{{Rev: NewRevision(0, 99), Entry: entry(6)}}}, time.Now())
 			v.assertUsable(t, 1, "updates of an earlier era are ignored")
 		})
 	})
 }
 
-// TestWakes guards against outdated data being treated as current after a suspension. A
+// TestResumeAfterSuspension guards against outdated data being treated as current after a suspension. A
 // VM resumes after some seconds and has not yet communicated with the store or other VMs;
 // the age of its data, also in its updates, must include the suspension.
-func TestWakes(t *testing.T) {
+func TestResumeAfterSuspension(t *testing.T) {
 	const suspension = 4 * time.Second
 	s := newStore()
 	s.put(entry(1))
 	runFollowers(t, s, func(v *vm) {
-		follower := NewServers(s, backs.NewTable(func() {}), v.clock, func() bool { return true }, nil, nil, func() {}, nil, zap.NewNop())
+		follower := NewServerFollower(s, srvtab.NewTable(func() {}), v.clock, func() bool { return true }, nil, nil, func() {}, nil, zap.NewNop())
 		follower.rev = 1
 		v.suspended.Store(int64(suspension))
 		assert.Assert(t, v.current.Age() >= suspension, "%s", v.current.Age())
 		assert.Assert(t, v.servers.Age() >= suspension, "%s", v.servers.Age())
-		n, ok := v.servers.News(time.Now())
+		n, ok := v.servers.RecentChanges(time.Now())
 		assert.Assert(t, ok && n.Age >= suspension, "%s", n.Age)
-		follower.Learn(n, time.Now())
+		follower.ApplyUpdate(n, time.Now())
 		assert.Assert(t, follower.Age() >= suspension, "%s", follower.Age())
 		time.Sleep(2*settingsWait + 100*time.Millisecond)
 		assert.Assert(t, v.current.Age() < suspension && v.servers.Age() < suspension, "the store has responded since")
@@ -458,7 +458,7 @@
 	})
 }
 
-func TestTold(t *testing.T) {
+func TestUpdatesFromPeers(t *testing.T) {
 	t.Run("a VM that receives updates does not call the store", func(t *testing.T) {
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
@@ -475,15 +475,15 @@
 			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			base := v.servers.known()
-			n := News{Base: base, Rev: base + 2, Changes: []Change{
+			n := Update{Base: base, Rev: base + 2, Changes: []Change{
 				{Rev: base + 1, Entry: entry(1)}, {Rev: base + 2, Entry: entry(2)},
 			}}
-			v.servers.Learn(n, time.Now())
+			v.servers.ApplyUpdate(n, time.Now())
 			v.assertUsable(t, 2, "both servers are added")
-			n = News{Base: base, Rev: base + 3, Changes: append(n.Changes, Change{Rev: base + 3, Gone: true, Entry: backs.Entry{ID: "1"}})}
-			v.servers.Learn(n, time.Now())
+			n = Update{Base: base, Rev: base + 3, Changes: append(n.Changes, Change{Rev: base + 3, Gone: true, Entry: srvtab.Entry{ID: "1"}})}
+			v.servers.ApplyUpdate(n, time.Now())
 			v.assertUsable(t, 1, "one server is removed, and known changes are not applied again")
-			v.servers.Learn(News{Base: base, Rev: base + 2, Changes: n.Changes[:1]}, time.Now())
+			v.servers.ApplyUpdate(Update{Base: base, Rev: base + 2, Changes: n.Changes[:1]}, time.Now())
 			v.assertUsable(t, 1, "a late update is ignored")
 		})
 	})
@@ -495,8 +495,8 @@
 			time.Sleep(2 * time.Second)
 			base := v.servers.known()
 			written := Change{Rev: base + 2, Entry: entry(1)}
-			removed := Change{Rev: base + 1, Gone: true, Entry: backs.Entry{ID: "1"}}
-			v.servers.Learn(News{Base: base, Rev: base + 2, Changes: []Change{removed, written}}, time.Now())
+			removed := Change{Rev: base + 1, Gone: true, Entry: srvtab.Entry{ID: "1"}}
+			v.servers.ApplyUpdate(Update{Base: base, Rev: base + 2, Changes: []Change{removed, written}}, time.Now())
 			v.servers.applyChanges([]Change{removed}, base+1, v.clock())
 			v.assertUsable(t, 1, "an older change is ignored")
 			v.servers.applyList(nil, base+1, v.clock())
@@ -510,7 +510,7 @@
 			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			s.put(entry(5))
-			v.servers.Learn(News{Base: 50, Rev: 60}, time.Now())
+			v.servers.ApplyUpdate(Update{Base: 50, Rev: 60}, time.Now())
 			v.peersUpdate.Store(false)
 			time.Sleep(time.Second)
 			v.assertUsable(t, 1, "read from the store")
@@ -522,12 +522,12 @@
 			v.peersUpdate.Store(true)
 			time.Sleep(2 * time.Second)
 			calls := s.calls.Load()
-			v.peerData.Store(&News{Rev: 60, Changes: []Change{{Rev: 60, Entry: entry(5)}}})
-			v.servers.Learn(News{Base: 50, Rev: 60}, time.Now())
+			v.peerData.Store(&Update{Rev: 60, Changes: []Change{{Rev: 60, Entry: entry(5)}}})
+			v.servers.ApplyUpdate(Update{Base: 50, Rev: 60}, time.Now())
 			time.Sleep(time.Second)
 			v.assertUsable(t, 1, "copied from the other VM")
 			assert.Equal(t, s.calls.Load(), calls, "the store was not called")
-			n, ok := v.servers.All()
+			n, ok := v.servers.Snapshot()
 			assert.Assert(t, ok && n.Rev == 60 && len(n.Changes) == 1, "%+v", n)
 		})
 	})
@@ -538,19 +538,19 @@
 			s.setDown(true)
 			time.Sleep(time.Second)
 			s.mu.Lock()
-			s.servers = map[ident.Server]backs.Entry{}
+			s.servers = map[ident.Server]srvtab.Entry{}
 			s.mu.Unlock()
 			s.setDown(false)
-			time.Sleep(loop.LastPause + 100*time.Millisecond)
-			n, ok := v.servers.All()
-			assert.Assert(t, ok && len(n.Changes) == 1 && n.Changes[0].Lapse > 0, "%+v", n)
+			time.Sleep(watch.MaxBackoff + 100*time.Millisecond)
+			n, ok := v.servers.Snapshot()
+			assert.Assert(t, ok && len(n.Changes) == 1 && n.Changes[0].Grace > 0, "%+v", n)
 			v.peersUpdate.Store(true)
 			v.peerData.Store(&n)
 			time.Sleep(time.Second)
-			v.servers.Learn(News{Base: n.Rev + 5, Rev: n.Rev + 6}, time.Now())
+			v.servers.ApplyUpdate(Update{Base: n.Rev + 5, Rev: n.Rev + 6}, time.Now())
 			time.Sleep(200 * time.Millisecond)
 			v.assertUsable(t, 1, "copied from the other VM")
-			time.Sleep(backs.ReturnTime)
+			time.Sleep(srvtab.ReregisterTime)
 			v.assertUsable(t, 0, "dropped when the other VM's grace period ends")
 		})
 	})
@@ -558,10 +558,10 @@
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
 			at := v.clock()
-			assert.NilError(t, v.settings.Adopt(compressed(t, "12"), at))
+			assert.NilError(t, v.settings.ApplyCompressed(compressed(t, "12"), at))
 			assert.Equal(t, v.current.Load().Version, uint64(12))
-			assert.Equal(t, v.current.Fresh(), at)
-			assert.Assert(t, v.settings.Adopt(compressed(t, "x"), at) != nil)
+			assert.Equal(t, v.current.FreshAt(), at)
+			assert.Assert(t, v.settings.ApplyCompressed(compressed(t, "x"), at) != nil)
 			assert.Equal(t, v.current.Load().Version, uint64(12), "an invalid document changes nothing")
 		})
 	})
@@ -569,15 +569,15 @@
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
 			at := v.clock().Add(time.Minute)
-			v.settings.Learn(context.Background(), 1, at)
-			assert.Equal(t, v.current.Fresh(), at)
+			v.settings.HandleVersion(context.Background(), 1, at)
+			assert.Equal(t, v.current.FreshAt(), at)
 			s.mu.Lock()
 			s.version = 9
 			s.mu.Unlock()
-			v.settings.Learn(context.Background(), 9, 0)
+			v.settings.HandleVersion(context.Background(), 9, 0)
 			assert.Equal(t, v.current.Load().Version, uint64(9))
-			v.settings.Learn(context.Background(), 3, at.Add(time.Hour))
-			assert.Equal(t, v.current.Fresh(), at, "an old version is ignored")
+			v.settings.HandleVersion(context.Background(), 3, at.Add(time.Hour))
+			assert.Equal(t, v.current.FreshAt(), at, "an old version is ignored")
 		})
 	})
 	t.Run("updates contain the changes read from the store", func(t *testing.T) {
@@ -585,16 +585,16 @@
 		runFollowers(t, s, func(v *vm) {
 			s.put(entry(1))
 			time.Sleep(leadBatchDelay + 10*time.Millisecond)
-			n, ok := v.servers.News(time.Now())
+			n, ok := v.servers.RecentChanges(time.Now())
 			assert.Assert(t, ok)
 			assert.Equal(t, len(n.Changes), 1)
 			assert.Assert(t, n.Base < n.Changes[0].Rev && n.Changes[0].Rev <= n.Rev)
 			time.Sleep(2 * changeRetention)
-			n, _ = v.servers.News(time.Now())
+			n, _ = v.servers.RecentChanges(time.Now())
 			assert.Equal(t, len(n.Changes), 0)
 			s.setDown(true)
 			time.Sleep(time.Second)
-			_, ok = v.servers.News(time.Now())
+			_, ok = v.servers.RecentChanges(time.Now())
 			assert.Assert(t, !ok, "a VM that can't reach the store sends no updates")
 		})
 	})
@@ -611,7 +611,7 @@
 		}
 		time.Sleep(leadBatchDelay + time.Millisecond)
 		v.assertUsable(t, 5000, "this VM knows all servers")
-		n, ok := v.servers.News(time.Now())
+		n, ok := v.servers.RecentChanges(time.Now())
 		assert.Assert(t, ok)
 		assert.Equal(t, len(n.Changes), maxChanges)
 		assert.Equal(t, n.Base, n.Changes[0].Rev-1, "VMs that lack earlier changes request the list")
@@ -623,15 +623,15 @@
 // the follower under its own lock, as it does to decide whether to announce a change, while
 // other VMs request all servers from the follower.
 func TestCallback(t *testing.T) {
-	var v *Servers
-	table := backs.NewTable(func() { v.Age() })
+	var v *ServerFollower
+	table := srvtab.NewTable(func() { v.Age() })
 	never := func() bool { return false }
-	v = NewServers(newStore(), table, awake.Now, never, never, never, func() {}, nil, zap.NewNop())
+	v = NewServerFollower(newStore(), table, uptime.Now, never, never, never, func() {}, nil, zap.NewNop())
 	v.rev = 1
 	var callers, waiter errgroup.Group
 	callers.Go(func() error {
 		for range 20_000 {
-			v.All()
+			v.Snapshot()
 		}
 		return nil
 	})
--- a/internal/state/follow/order_test.go
+++ b/internal/state/follow/order_test.go
@@ -11,36 +11,36 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/ident"
-	"umberladder/internal/state/backs"
+	"umberladder/internal/core/uptime"
+	"umberladder/internal/state/srvtab"
 	_ "umberladder/internal/test/check" // fixes the seed
 )
 
 // fleet models a store and the VMs that track it. The first VM reads only the store; the
 // others also receive updates, which may be lost, repeated, delayed or reordered.
 type fleet struct {
-	store   map[ident.Server]backs.Entry
+	store   map[ident.Server]srvtab.Entry
 	changes []Change
 	rev     Revision
-	vms     []*Servers
-	updates []News
+	vms     []*ServerFollower
+	updates []Update
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{store: make(map[ident.Server]backs.Entry), rev: 1}
+	f := &fleet{store: make(map[ident.Server]srvtab.Entry), rev: 1}
 	never := func() bool { return false }
-	fetch := func(context.Context) (News, error) {
-		if n, ok := f.vms[0].All(); ok {
+	fetch := func(context.Context) (Update, error) {
+		if n, ok := f.vms[0].Snapshot(); ok {
 			return n, nil
 		}
-		return News{}, ErrNobody
+		return Update{}, ErrNoPeer
 	}
 	for range n {
-		f.vms = append(f.vms, NewServers(newStore(), backs.NewTable(func() {}), awake.Now, never, never, never, func() {}, fetch, zap.NewNop()))
+		f.vms = append(f.vms, NewServerFollower(newStore(), srvtab.NewTable(func() {}), uptime.Now, never, never, never, func() {}, fetch, zap.NewNop()))
 	}
 	for _, v := range f.vms {
-		v.applyList(nil, f.rev, awake.Now())
+		v.applyList(nil, f.rev, uptime.Now())
 	}
 	return f
 }
@@ -53,7 +53,7 @@
 	f.rev++
 	if exists && rapid.Bool().Draw(t, "remove") {
 		delete(f.store, e.ID)
-		f.changes = append(f.changes, Change{Rev: f.rev, Gone: true, Entry: backs.Entry{ID: e.ID}})
+		f.changes = append(f.changes, Change{Rev: f.rev, Gone: true, Entry: srvtab.Entry{ID: e.ID}})
 		return
 	}
 	f.store[e.ID] = e
@@ -61,7 +61,7 @@
 }
 
 // readChanges applies to v the store's changes after the revision that v knows.
-func (f *fleet) readChanges(v *Servers) {
+func (f *fleet) readChanges(v *ServerFollower) {
 	known := v.known()
 	var list []Change
 	for _, c := range f.changes {
@@ -69,12 +69,12 @@
 			list = append(list, c)
 		}
 	}
-	v.applyChanges(list, f.rev, awake.Now())
+	v.applyChanges(list, f.rev, uptime.Now())
 }
 
 // assertMatchesStore fails the test unless v's table equals the store's entries.
-func (f *fleet) assertMatchesStore(t *rapid.T, v *Servers) {
-	got := make(map[ident.Server]backs.Entry)
+func (f *fleet) assertMatchesStore(t *rapid.T, v *ServerFollower) {
+	got := make(map[ident.Server]srvtab.Entry)
 	for _, e := range v.table.View().All() {
 		got[e.ID] = e
 	}
@@ -92,7 +92,7 @@
 			"change": f.changeEntry,
 			"read":   func(*rapid.T) { f.readChanges(f.vms[0]) },
 			"report": func(t *rapid.T) {
-				if n, ok := f.vms[rapid.IntRange(0, 3).Draw(t, "from")].News(time.Now()); ok {
+				if n, ok := f.vms[rapid.IntRange(0, 3).Draw(t, "from")].RecentChanges(time.Now()); ok {
 					f.updates = append(f.updates, n)
 				}
 			},
@@ -101,7 +101,7 @@
 					t.Skip("no updates")
 				}
 				v := f.vms[rapid.IntRange(1, 3).Draw(t, "to")]
-				v.Learn(f.updates[rapid.IntRange(0, len(f.updates)-1).Draw(t, "report")], time.Now())
+				v.ApplyUpdate(f.updates[rapid.IntRange(0, len(f.updates)-1).Draw(t, "report")], time.Now())
 				if v.known() == 0 {
 					v.copyFromPeer(ctx)
 				}
@@ -110,10 +110,10 @@
 			"other reads": func(t *rapid.T) { f.readChanges(f.vms[rapid.IntRange(1, 3).Draw(t, "vm")]) },
 		})
 		f.readChanges(f.vms[0])
-		n, ok := f.vms[0].News(time.Now())
+		n, ok := f.vms[0].RecentChanges(time.Now())
 		assert.Assert(t, ok)
 		for _, v := range f.vms {
-			v.Learn(n, time.Now())
+			v.ApplyUpdate(n, time.Now())
 			if v.known() == 0 {
 				assert.Assert(t, v.copyFromPeer(ctx))
 			}
--- a/internal/state/follow/revision.go
+++ b/internal/state/follow/revision.go
@@ -13,7 +13,7 @@
 
 // ErrNewEra is returned if the store has begun a new era, because the changes after a
 // revision of an earlier era are then not available.
-var ErrEra = errors.New("follow: store has a new era after a restore from a backup copy")
+var ErrNewEra = errors.New("follow: store has a new era after a restore from a backup copy")
 
 // NewRevision returns the revision with the given era and count.
 func NewRevision(era, count uint64) Revision {
--- a/internal/state/follow/servers.go
+++ b/internal/state/follow/servers.go
@@ -9,10 +9,10 @@
 
 	"go.uber.org/zap"
 
-	"umberladder/internal/core/awake"
 	"umberladder/internal/core/ident"
-	"umberladder/internal/state/backs"
-	"umberladder/internal/state/loop"
+	"umberladder/internal/core/uptime"
+	"umberladder/internal/state/srvtab"
+	"umberladder/internal/state/watch"
 )
 
 const (
@@ -35,21 +35,21 @@
 // Change is one change of a server's entry.
 type Change struct {
 	Rev   Revision
-	Entry backs.Entry // only the ID, without its start, if Gone
+	Entry srvtab.Entry // only the ID, without its start, if Gone
 	Gone  bool
-	Lapse time.Duration // time until a server counts as gone whose entry expired in an outage; zero: not expired
+	Grace time.Duration // time until a server counts as gone whose entry expired in an outage; zero: not expired
 }
 
 // goneAt returns the time at which a server with a removed entry counts as gone.
 func (c *Change) goneAt(grace, now time.Time) time.Time {
-	if c.Lapse > 0 {
-		return now.Add(c.Lapse)
+	if c.Grace > 0 {
+		return now.Add(c.Grace)
 	}
 	return grace
 }
 
 // Update holds the changes in a range of revisions, for VMs that do not watch the store.
-type News struct {
+type Update struct {
 	Base    Revision      // the receiving VM must know this revision or a later one
 	Rev     Revision      // the changes are complete up to this revision
 	Age     time.Duration // since the store last confirmed that Rev is its latest revision
@@ -59,24 +59,24 @@
 // ServerSource reads the servers' entries in the store. Its calls have an idle timeout:
 // they fail if the store sends nothing for some time, and continue while data arrives.
 type ServerSource interface {
-	Servers(ctx context.Context) ([]backs.Entry, Revision, error)
+	Servers(ctx context.Context) ([]srvtab.Entry, Revision, error)
 	// AwaitServers returns the changes after a revision, or none if there was no
 	// change within wait, and the revision up to which the changes are complete.
 	AwaitServers(ctx context.Context, after Revision, wait time.Duration) ([]Change, Revision, error)
 }
 
 // ServerFollower keeps a table of servers up to date with the store.
-type Servers struct {
+type ServerFollower struct {
 	src   ServerSource
-	table *backs.Table
-	clock awake.Clock
+	table *srvtab.Table
+	clock uptime.Clock
 	log   *zap.Logger
 
 	peersUpdate func() bool
 	probes      func() bool
 	leads       func() bool
 	onChange    func()
-	fetch       func(ctx context.Context) (News, error)
+	fetch       func(ctx context.Context) (Update, error)
 
 	// applyMu serialises updates of the table, so that they apply in order of revision.
 	// It must be locked before mu, which the table's callbacks lock.
@@ -91,7 +91,7 @@
 	lastUpdate time.Time     // when another VM last sent a recent update
 	// confirmed is the latest time at which the data was known to be current, according to
 	// the store or other VMs. It is zero while there is no data.
-	confirmed awake.Instant
+	confirmed uptime.Instant
 }
 
 // timedChange is a change and the time at which this VM learned of it.
@@ -119,25 +119,25 @@
 // must quickly detect that the store has recovered. The follower calls onChange when it
 // has new changes to send to other VMs. While it has no data, it copies the servers from
 // another VM with fetch, or reads them in the store if no other VM can provide them.
-func NewServers(src ServerSource, table *backs.Table, clock awake.Clock, peersUpdate, probes, leads func() bool, onChange func(),
-	fetch func(ctx context.Context) (News, error), log *zap.Logger,
-) *Servers {
-	return &Servers{src: src, table: table, clock: clock, peersUpdate: peersUpdate, probes: probes, leads: leads, onChange: onChange, fetch: fetch, log: log}
+func NewServerFollower(src ServerSource, table *srvtab.Table, clock uptime.Clock, peersUpdate, probes, leads func() bool, onChange func(),
+	fetch func(ctx context.Context) (Update, error), log *zap.Logger,
+) *ServerFollower {
+	return &ServerFollower{src: src, table: table, clock: clock, peersUpdate: peersUpdate, probes: probes, leads: leads, onChange: onChange, fetch: fetch, log: log}
 }
 
 // RecentChanges returns the recent changes as an update for other VMs. It returns false
 // if this VM receives changes neither from the store nor from other VMs.
-func (s *Servers) News(now time.Time) (News, bool) {
+func (s *ServerFollower) RecentChanges(now time.Time) (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rev == 0 || s.storeDown && now.Sub(s.lastUpdate) > relayTime {
-		return News{}, false
+		return Update{}, false
 	}
 	s.prune(now)
-	n := News{Base: s.base, Rev: s.rev, Age: s.age()}
+	n := Update{Base: s.base, Rev: s.rev, Age: s.age()}
 	for _, d := range s.recent {
-		if d.Lapse > 0 {
-			d.Lapse = max(d.Lapse-now.Sub(d.at), 1)
+		if d.Grace > 0 {
+			d.Grace = max(d.Grace-now.Sub(d.at), 1)
 		}
 		n.Changes = append(n.Changes, d.Change)
 	}
@@ -145,7 +145,7 @@
 }
 
 // prune removes the changes that are older than changeRetention or exceed maxChanges.
-func (s *Servers) prune(now time.Time) {
+func (s *ServerFollower) prune(now time.Time) {
 	old := 0
 	for old < len(s.recent) && (now.Sub(s.recent[old].at) > changeRetention || len(s.recent)-old > maxChanges) {
 		s.base = s.recent[old].Rev
@@ -156,14 +156,14 @@
 
 // ApplyUpdate applies an update from another VM. If there is a gap before the update,
 // everything is read again.
-func (s *Servers) Learn(n News, now time.Time) {
+func (s *ServerFollower) ApplyUpdate(n Update, now time.Time) {
 	if s.applyRemote(n, now) {
 		s.onChange()
 	}
 }
 
 // applyRemote applies an update from another VM and reports whether it removed entries.
-func (s *Servers) applyRemote(n News, now time.Time) bool {
+func (s *ServerFollower) applyRemote(n Update, now time.Time) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	removed := false
@@ -176,7 +176,7 @@
 
 // selectNew returns the unknown changes of n and records them as known. They are also
 // forwarded, for VMs that do not receive updates from the sender of n.
-func (s *Servers) selectNew(n News, now time.Time) []Change {
+func (s *ServerFollower) selectNew(n Update, now time.Time) []Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rev == 0 || n.Rev < s.rev {
@@ -203,40 +203,40 @@
 }
 
 // Age returns the time since the server data was last known to be current.
-func (s *Servers) Age() time.Duration {
+func (s *ServerFollower) Age() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.age()
 }
 
-func (s *Servers) age() time.Duration { return s.clock().Sub(s.confirmed) }
+func (s *ServerFollower) age() time.Duration { return s.clock().Sub(s.confirmed) }
 
-func (s *Servers) known() Revision {
+func (s *ServerFollower) known() Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rev
 }
 
 // Run follows the servers until ctx is done.
-func (s *Servers) Run(ctx context.Context) {
-	l := loop.New(loop.Source[Revision]{
-		Name:  "servers",
-		Wait:  serversWait,
-		Rest:  s.batchDelay,
-		Adopt: s.copyFromPeer,
-		Read:  s.read,
-		Await: s.awaitChanges,
-		Lost:  s.storeUnreachable,
-		Back:  s.storeRecovered,
-		Known: s.known,
-		Empty: func() bool { return s.known() == 0 },
-		Told:  s.peersUpdate,
-		First: s.probes,
+func (s *ServerFollower) Run(ctx context.Context) {
+	l := watch.New(watch.Source[Revision]{
+		Name:         "servers",
+		WatchTimeout: serversWait,
+		Pause:        s.batchDelay,
+		CopyFromPeer: s.copyFromPeer,
+		Read:         s.read,
+		Watch:        s.awaitChanges,
+		OnLost:       s.storeUnreachable,
+		OnRecovered:  s.storeRecovered,
+		Revision:     s.known,
+		Empty:        func() bool { return s.known() == 0 },
+		Informed:     s.peersUpdate,
+		ProbesStore:  s.probes,
 	}, s.log)
 	l.Run(ctx)
 }
 
-func (s *Servers) batchDelay() time.Duration {
+func (s *ServerFollower) batchDelay() time.Duration {
 	if s.leads() {
 		return leadBatchDelay
 	}
@@ -245,7 +245,7 @@
 
 // Expire drops the servers whose entries expired in a store outage and were not written
 // again within the grace period. It runs until ctx is done.
-func (s *Servers) Expire(ctx context.Context) {
+func (s *ServerFollower) Expire(ctx context.Context) {
 	t := time.NewTicker(expireInterval)
 	defer t.Stop()
 	for {
@@ -260,23 +260,23 @@
 	}
 }
 
-func (s *Servers) storeUnreachable(time.Time) {
+func (s *ServerFollower) storeUnreachable(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeDown = true
 }
 
-func (s *Servers) storeRecovered(now time.Time) {
+func (s *ServerFollower) storeRecovered(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeDown = false
-	s.graceEnd = now.Add(backs.ReturnTime)
+	s.graceEnd = now.Add(srvtab.ReregisterTime)
 }
 
 // updateGrace returns the time until which a missing entry counts as expired rather than
 // removed. A VM that does not read the store itself cannot observe an outage, so stale
 // data is treated as an outage.
-func (s *Servers) updateGrace(now time.Time) time.Time {
+func (s *ServerFollower) updateGrace(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	age := s.age()
@@ -285,12 +285,12 @@
 		s.log.Info("servers are stale, missing entries may have lapsed in a store outage", zap.Duration("age", age))
 	}
 	if s.storeDown || stale {
-		s.graceEnd = now.Add(backs.ReturnTime)
+		s.graceEnd = now.Add(srvtab.ReregisterTime)
 	}
 	return s.graceEnd
 }
 
-func (s *Servers) read(ctx context.Context) (Revision, error) {
+func (s *ServerFollower) read(ctx context.Context) (Revision, error) {
 	requested := s.clock()
 	s.updateGrace(time.Now())
 	list, rev, err := s.src.Servers(ctx)
@@ -307,7 +307,7 @@
 // applyList replaces the table with the store's list at rev, which was requested at the
 // given time. It ignores the list if a later revision is known, and reports whether there
 // are changes to send to other VMs.
-func (s *Servers) applyList(list []backs.Entry, rev Revision, requested awake.Instant) bool {
+func (s *ServerFollower) applyList(list []srvtab.Entry, rev Revision, requested uptime.Instant) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	known := s.known()
@@ -335,59 +335,59 @@
 // filterKnown returns the entries of known servers. The first list of a new era may
 // contain servers that ended after the backup copy was made. Running servers write their
 // entries again and become known then.
-func (s *Servers) filterKnown(list []backs.Entry) []backs.Entry {
+func (s *ServerFollower) filterKnown(list []srvtab.Entry) []srvtab.Entry {
 	view := s.table.View()
-	return slices.DeleteFunc(list, func(e backs.Entry) bool { return view.Server(e.ID) == nil })
+	return slices.DeleteFunc(list, func(e srvtab.Entry) bool { return view.Server(e.ID) == nil })
 }
 
 // recordAll records the changes found by reading the complete list, so that VMs that
 // receive updates need not request the list.
-func (s *Servers) recordAll(rev Revision, changed []backs.Entry, missing []ident.Server, grace, now time.Time) {
+func (s *ServerFollower) recordAll(rev Revision, changed []srvtab.Entry, missing []ident.Server, grace, now time.Time) {
 	for _, e := range changed {
 		s.recent = append(s.recent, timedChange{Change: Change{Rev: rev, Entry: e}, at: now})
 	}
 	for _, id := range missing {
-		gone := Change{Rev: rev, Gone: true, Entry: backs.Entry{ID: ident.NewServer(id.Name(), time.Time{})}, Lapse: max(grace.Sub(now), 0)}
+		gone := Change{Rev: rev, Gone: true, Entry: srvtab.Entry{ID: ident.NewServer(id.Name(), time.Time{})}, Grace: max(grace.Sub(now), 0)}
 		s.recent = append(s.recent, timedChange{Change: gone, at: now})
 	}
 }
 
 // Snapshot returns all servers as an update for a VM that knows none. It returns false if
 // this VM's data is incomplete.
-func (s *Servers) All() (News, bool) {
+func (s *ServerFollower) Snapshot() (Update, bool) {
 	s.mu.Lock()
 	rev, age := s.rev, s.age()
 	s.mu.Unlock()
 	if rev == 0 {
-		return News{}, false
+		return Update{}, false
 	}
 	// The table calls this follower while holding its own lock, so mu must not be held
 	// here. Changes later than rev may be included already and are sent again later.
-	n := News{Rev: rev, Age: age}
+	n := Update{Rev: rev, Age: age}
 	grace := s.table.RemainingGrace(time.Now())
 	for _, e := range s.table.View().All() {
-		n.Changes = append(n.Changes, Change{Rev: rev, Entry: e, Lapse: grace[e.ID]})
+		n.Changes = append(n.Changes, Change{Rev: rev, Entry: e, Grace: grace[e.ID]})
 	}
 	return n, true
 }
 
 // ErrNoPeer is returned if there is no other VM to copy the servers from.
-var ErrNobody = errors.New("follow: no other VM to copy the servers from")
+var ErrNoPeer = errors.New("follow: no other VM to copy the servers from")
 
 // copyFromPeer copies all servers from another VM, unless this VM has newer data. It
 // reports whether this VM has complete data afterwards.
-func (s *Servers) copyFromPeer(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, loop.ReadLimit)
+func (s *ServerFollower) copyFromPeer(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, watch.ReadTimeout)
 	defer cancel()
 	n, err := s.fetch(ctx)
-	if errors.Is(err, ErrNobody) {
+	if errors.Is(err, ErrNoPeer) {
 		return false
 	}
 	if err != nil {
 		s.log.Info("servers not taken from another VM", zap.Error(err))
 		return false
 	}
-	list := make([]backs.Entry, 0, len(n.Changes))
+	list := make([]srvtab.Entry, 0, len(n.Changes))
 	for _, c := range n.Changes {
 		list = append(list, c.Entry)
 	}
@@ -399,9 +399,9 @@
 	now := time.Now()
 	s.table.Replace(list, time.Time{}, now)
 	for _, c := range n.Changes {
-		if c.Lapse > 0 {
+		if c.Grace > 0 {
 			// No later update announces the end of the grace period.
-			s.table.Remove(c.Entry.ID.Name(), now.Add(c.Lapse), now)
+			s.table.Remove(c.Entry.ID.Name(), now.Add(c.Grace), now)
 		}
 	}
 	s.mu.Lock()
@@ -412,7 +412,7 @@
 	return n.Rev != 0
 }
 
-func (s *Servers) awaitChanges(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
+func (s *ServerFollower) awaitChanges(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
 	requested := s.clock()
 	s.updateGrace(time.Now())
 	changes, rev, err := s.src.AwaitServers(ctx, after, wait)
@@ -429,7 +429,7 @@
 // applyChanges applies the store's changes up to rev, which was the latest revision at
 // the given time. It skips changes up to the known revision, and reports whether there
 // are changes to send to other VMs.
-func (s *Servers) applyChanges(changes []Change, rev Revision, at awake.Instant) bool {
+func (s *ServerFollower) applyChanges(changes []Change, rev Revision, at uptime.Instant) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	now, known, changed := time.Now(), s.known(), false
@@ -438,7 +438,7 @@
 			continue
 		}
 		if c.Gone {
-			c.Lapse = max(s.updateGrace(now).Sub(now), 0)
+			c.Grace = max(s.updateGrace(now).Sub(now), 0)
 		}
 		if s.applyChange(&c, s.updateGrace(now)) {
 			s.record(c, now)
@@ -451,7 +451,7 @@
 	return changed
 }
 
-func (s *Servers) record(c Change, now time.Time) {
+func (s *ServerFollower) record(c Change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recent = append(s.recent, timedChange{Change: c, at: now})
@@ -460,7 +460,7 @@
 // applyChange applies a change and reports whether it is a removal or changed the entry.
 // A server whose entry was removed stays usable until grace, or for the change's own
 // grace period.
-func (s *Servers) applyChange(c *Change, grace time.Time) bool {
+func (s *ServerFollower) applyChange(c *Change, grace time.Time) bool {
 	id := zap.String("server", string(c.Entry.ID))
 	if c.Gone {
 		now := time.Now()
--- a/internal/state/follow/settings.go
+++ b/internal/state/follow/settings.go
@@ -9,10 +9,10 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/singleflight"
 
-	"umberladder/internal/core/awake"
-	"umberladder/internal/state/backs"
-	"umberladder/internal/state/loop"
+	"umberladder/internal/core/uptime"
 	"umberladder/internal/state/routes"
+	"umberladder/internal/state/srvtab"
+	"umberladder/internal/state/watch"
 )
 
 // settingsWait is how long the store holds a request for new settings. It bounds the
@@ -35,10 +35,10 @@
 }
 
 // SettingsFollower keeps the settings in force up to date with the store.
-type Settings struct {
+type SettingsFollower struct {
 	src         SettingsSource
-	current     *routes.Book
-	clock       awake.Clock
+	current     *routes.Current
+	clock       uptime.Clock
 	log         *zap.Logger
 	peersUpdate func() bool
 	probes      func() bool
@@ -56,28 +56,28 @@
 // peersUpdate reports false, which means that no updates come from other VMs. probes
 // reports whether this VM must quickly detect that the store has recovered. The follower
 // calls onChange when it has read newer settings in the store.
-func NewSettings(src SettingsSource, current *routes.Book, clock awake.Clock, peersUpdate, probes func() bool, onChange func(), log *zap.Logger) *Settings {
-	return &Settings{src: src, current: current, clock: clock, peersUpdate: peersUpdate, probes: probes, onChange: onChange, log: log}
+func NewSettingsFollower(src SettingsSource, current *routes.Current, clock uptime.Clock, peersUpdate, probes func() bool, onChange func(), log *zap.Logger) *SettingsFollower {
+	return &SettingsFollower{src: src, current: current, clock: clock, peersUpdate: peersUpdate, probes: probes, onChange: onChange, log: log}
 }
 
 // HandleVersion processes another VM's report that a version was the latest at the given
 // time. If the version is newer than the one in force, the settings are read.
-func (s *Settings) Learn(ctx context.Context, version uint64, at awake.Instant) {
+func (s *SettingsFollower) HandleVersion(ctx context.Context, version uint64, at uptime.Instant) {
 	snap := s.current.Load()
 	switch {
 	case snap == nil || version > snap.Version:
-		if err := s.Refresh(ctx, loop.ReadLimit); err != nil {
+		if err := s.Refresh(ctx, watch.ReadTimeout); err != nil {
 			s.log.Info("newer settings not read", zap.Uint64("version", version), zap.Error(err))
 		}
 	case version == snap.Version:
-		s.current.Confirm(at)
+		s.current.ConfirmNewest(at)
 	}
 }
 
 // ApplyCompressed puts a compressed document from another VM in force. The document was
 // the latest at the given time.
-func (s *Settings) Adopt(compressed []byte, at awake.Instant) error {
-	doc, data, err := routes.Unpack(compressed)
+func (s *SettingsFollower) ApplyCompressed(compressed []byte, at uptime.Instant) error {
+	doc, data, err := routes.Decompress(compressed)
 	if err != nil {
 		return err
 	}
@@ -91,20 +91,20 @@
 }
 
 // Run follows the settings until ctx is done.
-func (s *Settings) Run(ctx context.Context) {
-	l := loop.New(loop.Source[Revision]{
-		Name:  "settings",
-		Wait:  settingsWait,
-		Rest:  func() time.Duration { return 0 },
-		Adopt: func(context.Context) bool { return false }, // other VMs report newer versions
-		Read:  func(ctx context.Context) (Revision, error) { return s.sharedRead(ctx, loop.ReadLimit) },
-		Await: s.awaitVersion,
-		Lost:  func(time.Time) {},
-		Back:  func(time.Time) {},
-		Known: func() Revision { return Revision(s.rev.Load()) },
-		Empty: func() bool { return s.current.Load() == nil },
-		Told:  s.peersUpdate,
-		First: s.probes,
+func (s *SettingsFollower) Run(ctx context.Context) {
+	l := watch.New(watch.Source[Revision]{
+		Name:         "settings",
+		WatchTimeout: settingsWait,
+		Pause:        func() time.Duration { return 0 },
+		CopyFromPeer: func(context.Context) bool { return false }, // other VMs report newer versions
+		Read:         func(ctx context.Context) (Revision, error) { return s.sharedRead(ctx, watch.ReadTimeout) },
+		Watch:        s.awaitVersion,
+		OnLost:       func(time.Time) {},
+		OnRecovered:  func(time.Time) {},
+		Revision:     func() Revision { return Revision(s.rev.Load()) },
+		Empty:        func() bool { return s.current.Load() == nil },
+		Informed:     s.peersUpdate,
+		ProbesStore:  s.probes,
 	}, s.log)
 	l.Run(ctx)
 }
@@ -114,7 +114,7 @@
 
 // Refresh reads the settings now and waits up to limit for them. The read continues
 // after the limit, and concurrent calls share it.
-func (s *Settings) Refresh(ctx context.Context, limit time.Duration) error {
+func (s *SettingsFollower) Refresh(ctx context.Context, limit time.Duration) error {
 	_, err := s.sharedRead(ctx, limit)
 	return err
 }
@@ -122,11 +122,11 @@
 // sharedRead waits for the read in progress, or starts one if there is none. A caller's
 // limit does not cancel the read: when it did, each caller started the read over and
 // none completed, because 0.8 MB of 1.1 MB arrived within the limit of 0.7 s.
-func (s *Settings) sharedRead(ctx context.Context, limit time.Duration) (Revision, error) {
+func (s *SettingsFollower) sharedRead(ctx context.Context, limit time.Duration) (Revision, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, limit, ErrSlow)
 	defer cancel()
 	result := s.reads.DoChan("", func() (any, error) {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loop.ReadLimit)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), watch.ReadTimeout)
 		defer cancel()
 		return s.read(ctx)
 	})
@@ -139,7 +139,7 @@
 	}
 }
 
-func (s *Settings) read(ctx context.Context) (Revision, error) {
+func (s *SettingsFollower) read(ctx context.Context) (Revision, error) {
 	requested := s.clock()
 	snap, rev, err := s.src.Settings(ctx)
 	if err != nil {
@@ -154,7 +154,7 @@
 }
 
 // applyStored puts settings in force that the store held at the given time.
-func (s *Settings) applyStored(snap *routes.Snapshot, at awake.Instant) {
+func (s *SettingsFollower) applyStored(snap *routes.Snapshot, at uptime.Instant) {
 	s.storedVersion.Store(snap.Version)
 	if !s.isAuthoritative(at) {
 		at = 0 // newer settings may have been lost
@@ -169,32 +169,32 @@
 
 // compress compresses the settings document before the new version is announced. Other VMs
 // request it immediately, and their requests time out if compression starts only then.
-func (s *Settings) compress(snap *routes.Snapshot) {
+func (s *SettingsFollower) compress(snap *routes.Snapshot) {
 	if snap.Source == nil {
 		return
 	}
-	if _, err := snap.Source.Packed(); err != nil {
+	if _, err := snap.Source.Compressed(); err != nil {
 		s.log.Error("failed to compress settings", zap.Uint64("version", snap.Version), zap.Error(err))
 	}
 }
 
 // recordRevision records the revision of a response from the store. A new era starts
 // the grace period in which lost settings are written again.
-func (s *Settings) recordRevision(rev Revision) {
+func (s *SettingsFollower) recordRevision(rev Revision) {
 	old := Revision(s.rev.Swap(uint64(rev)))
 	if old != 0 && rev.Era() > old.Era() {
-		s.restoreGraceEnd.Store(int64(s.clock().Add(backs.ReturnTime)))
+		s.restoreGraceEnd.Store(int64(s.clock().Add(srvtab.ReregisterTime)))
 		s.log.Warn("store back from a copy", zap.Uint64("era", rev.Era()))
 	}
 }
 
 // isAuthoritative reports whether the settings that the store held at the given time
 // were the latest.
-func (s *Settings) isAuthoritative(at awake.Instant) bool {
+func (s *SettingsFollower) isAuthoritative(at uptime.Instant) bool {
 	return int64(at) >= s.restoreGraceEnd.Load()
 }
 
-func (s *Settings) awaitVersion(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
+func (s *SettingsFollower) awaitVersion(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
 	requested := s.clock()
 	snap, rev, err := s.src.AwaitSettings(ctx, after, wait)
 	if err != nil {
@@ -207,7 +207,7 @@
 	}
 	at := confirmedAt(s.clock, requested, wait)
 	if now := s.current.Load(); now != nil && s.storedVersion.Load() >= now.Version && s.isAuthoritative(at) {
-		s.current.Confirm(at)
+		s.current.ConfirmNewest(at)
 	}
 	return rev, nil
 }
@@ -215,7 +215,7 @@
 // confirmedAt returns the latest time at which a wait that ended without changes shows
 // that nothing had changed. That is the end of the wait, or its start if the response
 // came earlier.
-func confirmedAt(clock awake.Clock, requested awake.Instant, wait time.Duration) awake.Instant {
+func confirmedAt(clock uptime.Clock, requested uptime.Instant, wait time.Duration) uptime.Instant {
 	if clock().Sub(requested) < wait {
 		return requested
 	}
@@ -223,8 +223,8 @@
 }
 
 // apply puts settings in force and reports whether they were not in force before.
-func (s *Settings) apply(snap *routes.Snapshot, at awake.Instant) bool {
-	if !s.current.Put(snap, at) {
+func (s *SettingsFollower) apply(snap *routes.Snapshot, at uptime.Instant) bool {
+	if !s.current.Update(snap, at) {
 		return false
 	}
 	s.log.Info("settings in force", zap.Uint64("version", snap.Version))
--- a/internal/state/names/doc.go
+++ b/internal/state/hubreg/doc.go
@@ -3,4 +3,4 @@
 //
 // Among VMs that start together and find no registrations, those of the highest
 // capacity register first, and the others find them.
-package names
+package hubreg
--- a/internal/state/names/names.go
+++ b/internal/state/hubreg/names.go
@@ -1,4 +1,4 @@
-package names
+package hubreg
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 	retryPause = 1200 * time.Millisecond
 	// ReachableTime is how long after a response the store counts as reachable for a VM.
 	// It covers one read and one retry.
-	TouchTime = readInterval + retryPause + 300*time.Millisecond
+	ReachableTime = readInterval + retryPause + 300*time.Millisecond
 	// maxStaleness bounds the age of the registrations that a read returns.
 	maxStaleness = 8 * time.Second
 	// standbyDelay is how long hubs other than the one that leads the watch wait before
@@ -50,7 +50,7 @@
 )
 
 // ErrLeaseExpired is returned for a lease that has expired.
-var ErrLapsed = errors.New("hubreg: lease expired")
+var ErrLeaseExpired = errors.New("hubreg: lease expired")
 
 // Lease identifies a lease in the store.
 type Lease uint64
@@ -58,38 +58,38 @@
 // Registry stores the registrations of hubs.
 type Registry interface {
 	// Register writes this VM's name and address under a new lease.
-	Announce(ctx context.Context, vm ident.VM, addr netip.AddrPort, ttl time.Duration) (Lease, error)
+	Register(ctx context.Context, vm ident.VM, addr netip.AddrPort, ttl time.Duration) (Lease, error)
 	// Renew renews a lease. It returns ErrLeaseExpired if the lease has expired.
 	Renew(ctx context.Context, l Lease) error
 	// Read returns what VMs have written. The result may be up to maxStaleness old,
 	// unless fresh is set.
 	Read(ctx context.Context, fresh bool) (Records, error)
 	// Quarantine stores a quarantined request.
-	Quarantine(ctx context.Context, e poison.Entry) error
+	Quarantine(ctx context.Context, e poison.Quarantine) error
 }
 
 // Records are what VMs have written to the store.
 type Records struct {
 	VMs         map[ident.VM]netip.AddrPort // addresses of registered VMs
-	Quarantined []poison.Entry
+	Quarantined []poison.Quarantine
 }
 
 // Quarantine holds the quarantined requests. They are also written to the store, so that
 // they survive the loss of all VMs.
 type Quarantine interface {
 	// Stored records which requests the store holds.
-	Stored(list []poison.Entry, now time.Time)
+	Stored(list []poison.Quarantine, now time.Time)
 	// Unstored returns the requests that were quarantined longer than age ago and that
 	// the store has not been known to hold for the duration unconfirmed.
-	Unstored(age, unconfirmed time.Duration, now time.Time) []poison.Entry
+	Unstored(age, unconfirmed time.Duration, now time.Time) []poison.Quarantine
 }
 
 // Registrar reads the registrations in the store, and maintains this VM's while it is a
 // hub.
-type Keeper struct {
+type Registrar struct {
 	self         hubs.Candidate
 	startedAt    time.Time
-	hubs         *hubs.Hubs
+	hubs         *hubs.Tracker
 	registry     Registry
 	quarantined  Quarantine
 	wake         chan struct{}
@@ -103,12 +103,12 @@
 
 // New returns the Registrar of a VM that started at startedAt. It calls onRead after each
 // read of the registrations while the VM is isolated.
-func New(self hubs.Candidate, startedAt time.Time, h *hubs.Hubs, registry Registry, quarantined Quarantine, onRead func(), log *zap.Logger) *Keeper {
-	return &Keeper{self: self, startedAt: startedAt, hubs: h, registry: registry, quarantined: quarantined, wake: make(chan struct{}, 1), onRead: onRead, log: log}
+func New(self hubs.Candidate, startedAt time.Time, h *hubs.Tracker, registry Registry, quarantined Quarantine, onRead func(), log *zap.Logger) *Registrar {
+	return &Registrar{self: self, startedAt: startedAt, hubs: h, registry: registry, quarantined: quarantined, wake: make(chan struct{}, 1), onRead: onRead, log: log}
 }
 
 // Wake makes a hub perform the next step at once, so that it stores quarantined requests.
-func (k *Keeper) Wake() {
+func (k *Registrar) Wake() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -116,7 +116,7 @@
 }
 
 // Run maintains and reads registrations until ctx is done.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Registrar) Run(ctx context.Context) {
 	earliest := time.Now().Add(startDelay(k.self.Capacity))
 	for ctx.Err() == nil {
 		err := k.step(ctx, earliest)
@@ -132,9 +132,9 @@
 
 // wait waits for d. Wake ends the wait early on a hub, unless the last call to the store
 // failed.
-func (k *Keeper) wait(ctx context.Context, d time.Duration) {
+func (k *Registrar) wait(ctx context.Context, d time.Duration) {
 	wake := k.wake
-	if k.failures > 0 || !k.hubs.Hub(time.Now()) {
+	if k.failures > 0 || !k.hubs.IsHub(time.Now()) {
 		wake = nil
 	}
 	t := time.NewTimer(d)
@@ -151,11 +151,11 @@
 	return time.Duration(noDelayCapacity-min(c, noDelayCapacity))*delayPerCapacity + rand.N(maxJitter)
 }
 
-func (k *Keeper) pause(err error, now time.Time) time.Duration {
+func (k *Registrar) pause(err error, now time.Time) time.Duration {
 	switch {
 	case err != nil && k.failures == 1:
 		return retryPause
-	case k.hubs.Heard(now) == 0 && now.Sub(k.startedAt) < TouchTime:
+	case k.hubs.LivePeers(now) == 0 && now.Sub(k.startedAt) < ReachableTime:
 		return isolatedReadInterval
 	default:
 		return readInterval
@@ -164,7 +164,7 @@
 
 // step reads the registrations once, stores quarantined requests, and registers this VM
 // or renews its lease if it is a hub. A VM does not register before earliest.
-func (k *Keeper) step(ctx context.Context, earliest time.Time) error {
+func (k *Registrar) step(ctx context.Context, earliest time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	registered, err := k.read(ctx, false)
@@ -181,17 +181,17 @@
 	if k.lease != 0 {
 		return k.renew(ctx, now)
 	}
-	if now.Before(earliest) || !k.hubs.Hub(now) {
+	if now.Before(earliest) || !k.hubs.IsHub(now) {
 		return nil
 	}
-	if k.hubs.Heard(now) == 0 {
+	if k.hubs.LivePeers(now) == 0 {
 		// VMs that started at the same time may have registered meanwhile.
 		if registered, err = k.read(ctx, true); err != nil || k.hubs.CountResponding(registered, time.Now()) >= hubs.Count {
 			return err
 		}
 		k.hubs.EndDiscovery(now)
 	}
-	lease, err := k.registry.Announce(ctx, k.self.VM, k.self.Addr, leaseTTL)
+	lease, err := k.registry.Register(ctx, k.self.VM, k.self.Addr, leaseTTL)
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (k *Keeper) read(ctx context.Context, fresh bool) (map[ident.VM]netip.AddrPort, error) {
+func (k *Registrar) read(ctx context.Context, fresh bool) (map[ident.VM]netip.AddrPort, error) {
 	records, err := k.registry.Read(ctx, fresh)
 	if err != nil {
 		return nil, err
@@ -207,7 +207,7 @@
 	now := time.Now()
 	k.hubs.SetRegistered(records.VMs, now)
 	k.quarantined.Stored(records.Quarantined, now)
-	if k.hubs.Heard(now) == 0 {
+	if k.hubs.LivePeers(now) == 0 {
 		k.onRead()
 	}
 	return records.VMs, nil
@@ -215,34 +215,34 @@
 
 // storeQuarantined writes the quarantined requests that the store does not hold. The hub
 // that leads the watch does so at once, other hubs after standbyDelay.
-func (k *Keeper) storeQuarantined(ctx context.Context, now time.Time) error {
-	if !k.hubs.Hub(now) {
+func (k *Registrar) storeQuarantined(ctx context.Context, now time.Time) error {
+	if !k.hubs.IsHub(now) {
 		return nil
 	}
 	age := standbyDelay
-	if k.hubs.Lead(now) {
+	if k.hubs.LeadsWatch(now) {
 		age = 0
 	}
 	for _, e := range k.quarantined.Unstored(age, maxStaleness, now) {
 		if err := k.registry.Quarantine(ctx, e); err != nil {
 			return err
 		}
-		k.quarantined.Stored([]poison.Entry{e}, now)
+		k.quarantined.Stored([]poison.Quarantine{e}, now)
 	}
 	return nil
 }
 
 // renew renews the lease when it is due, or lets it expire if this VM is no longer a hub.
-func (k *Keeper) renew(ctx context.Context, now time.Time) error {
+func (k *Registrar) renew(ctx context.Context, now time.Time) error {
 	if now.Before(k.renewAt) {
 		return nil
 	}
-	if !k.hubs.Hub(now) {
+	if !k.hubs.IsHub(now) {
 		k.lease = 0
 		return nil
 	}
 	err := k.registry.Renew(ctx, k.lease)
-	if errors.Is(err, ErrLapsed) {
+	if errors.Is(err, ErrLeaseExpired) {
 		k.lease = 0
 	}
 	if err == nil {
--- a/internal/state/names/names_test.go
+++ b/internal/state/hubreg/names_test.go
@@ -1,4 +1,4 @@
-package names
+package hubreg
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 	expired     bool
 	writesFail  bool // registrations can't be written, though leases are granted
 	registered  map[ident.VM]netip.AddrPort
-	quarantined []poison.Entry
+	quarantined []poison.Quarantine
 	writes      int
 	freshReads  int
 }
@@ -40,12 +40,12 @@
 // noQuarantine is a Quarantine without any quarantined requests.
 type noQuarantine struct{}
 
-func (noQuarantine) Stored([]poison.Entry, time.Time)                                {}
-func (noQuarantine) Unstored(time.Duration, time.Duration, time.Time) []poison.Entry { return nil }
+func (noQuarantine) Stored([]poison.Quarantine, time.Time)                                {}
+func (noQuarantine) Unstored(time.Duration, time.Duration, time.Time) []poison.Quarantine { return nil }
 
 var errUnreachable = errors.New("unreachable")
 
-func (r *fakeRegistry) Announce(_ context.Context, vm ident.VM, a netip.AddrPort, _ time.Duration) (Lease, error) {
+func (r *fakeRegistry) Register(_ context.Context, vm ident.VM, a netip.AddrPort, _ time.Duration) (Lease, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writes++
@@ -60,12 +60,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.expired {
-		return ErrLapsed
+		return ErrLeaseExpired
 	}
 	return nil
 }
 
-func (r *fakeRegistry) Quarantine(_ context.Context, e poison.Entry) error {
+func (r *fakeRegistry) Quarantine(_ context.Context, e poison.Quarantine) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.writesFail {
@@ -102,7 +102,7 @@
 }
 
 func TestNames(t *testing.T) {
-	run := func(t *testing.T, r *fakeRegistry, f func(h *hubs.Hubs)) {
+	run := func(t *testing.T, r *fakeRegistry, f func(h *hubs.Tracker)) {
 		synctest.Test(t, func(t *testing.T) {
 			if r.registered == nil {
 				r.registered = make(map[ident.VM]netip.AddrPort)
@@ -121,10 +121,10 @@
 	}
 	t.Run("a VM that finds no others registers", func(t *testing.T) {
 		r := &fakeRegistry{}
-		run(t, r, func(h *hubs.Hubs) {
+		run(t, r, func(h *hubs.Tracker) {
 			time.Sleep(hubs.DiscoveryTimeout)
 			assert.Equal(t, r.writeCount(), 1)
-			assert.Assert(t, h.Asks(time.Now()))
+			assert.Assert(t, h.ShouldWatch(time.Now()))
 			r.change(func() { r.registered, r.expired = make(map[ident.VM]netip.AddrPort), true })
 			time.Sleep(maxStaleness + readInterval + retryPause)
 			assert.Equal(t, r.writeCount(), 2, "a registration that the store has lost is written again")
@@ -132,7 +132,7 @@
 	})
 	t.Run("a registration that failed is retried soon", func(t *testing.T) {
 		r := &fakeRegistry{writesFail: true}
-		run(t, r, func(*hubs.Hubs) {
+		run(t, r, func(*hubs.Tracker) {
 			time.Sleep(hubs.DiscoveryTimeout)
 			r.change(func() { r.writesFail = false })
 			time.Sleep(readInterval)
@@ -146,25 +146,25 @@
 		for n := range hubs.Count {
 			r.registered[candidate(10+n).VM] = candidate(10 + n).Addr
 		}
-		run(t, r, func(*hubs.Hubs) {
+		run(t, r, func(*hubs.Tracker) {
 			time.Sleep(hubs.DiscoveryTimeout)
 			assert.Equal(t, r.writeCount(), 0)
 		})
 	})
 	t.Run("a VM knows whether the store is reachable", func(t *testing.T) {
 		r := &fakeRegistry{}
-		run(t, r, func(h *hubs.Hubs) {
+		run(t, r, func(h *hubs.Tracker) {
 			time.Sleep(time.Second)
 			for range 20 {
 				time.Sleep(time.Second)
-				assert.Assert(t, h.Touch(TouchTime, time.Now()))
+				assert.Assert(t, h.StoreRespondedWithin(ReachableTime, time.Now()))
 			}
 			r.change(func() { r.unreachable = true })
-			time.Sleep(TouchTime + time.Second)
-			assert.Assert(t, !h.Touch(TouchTime, time.Now()))
+			time.Sleep(ReachableTime + time.Second)
+			assert.Assert(t, !h.StoreRespondedWithin(ReachableTime, time.Now()))
 			r.change(func() { r.unreachable = false })
 			time.Sleep(readInterval + time.Millisecond)
-			assert.Assert(t, h.Touch(TouchTime, time.Now()))
+			assert.Assert(t, h.StoreRespondedWithin(ReachableTime, time.Now()))
 		})
 	})
 }
--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -11,14 +11,14 @@
 
 const (
 	// ReportInterval is how often a VM reports when nothing has changed.
-	Beat = 500 * time.Millisecond
+	ReportInterval = 500 * time.Millisecond
 	// Count is the number of hubs: two watch the store and two are their standbys.
 	// The hubs divide the services to coordinate among themselves.
 	Count = 4
 	// maxListed is how many candidates a hub lists in a response: one spare per hub.
 	maxListed = 2 * Count
 	// PeerTimeout is how long after its last message a VM counts as live.
-	Silence = time.Second
+	PeerTimeout = time.Second
 	// probeInterval is how often a report is sent to a VM that has not responded.
 	probeInterval = 150 * time.Millisecond
 	// minUnanswered is how many reports a VM must have left unanswered to count as
@@ -49,8 +49,8 @@
 
 // StoreStatus is what a VM reports about its access to the store.
 type StoreStatus struct {
-	Asks bool          // whether it watches the store
-	Age  time.Duration // of its data on the servers
+	Watching bool          // whether it watches the store
+	Age      time.Duration // of its data on the servers
 }
 
 // Report is what a VM says of itself in a report to a hub, and a hub of itself in its
@@ -83,7 +83,7 @@
 
 // Tracker tracks what one VM knows of the others and which of them are hubs. It is safe
 // for use by several goroutines.
-type Hubs struct {
+type Tracker struct {
 	self      Candidate
 	seeds     []netip.AddrPort
 	startedAt time.Time
@@ -101,18 +101,18 @@
 
 // New returns the tracker of a VM that has just started and received no message yet. The
 // seeds are addresses of VMs that it reports to while it is isolated.
-func New(self Candidate, seeds []netip.AddrPort, start time.Time) *Hubs {
-	return &Hubs{self: self, seeds: seeds, startedAt: start, peers: make(map[ident.VM]*peer), listings: make(map[ident.VM]listing)}
+func New(self Candidate, seeds []netip.AddrPort, start time.Time) *Tracker {
+	return &Tracker{self: self, seeds: seeds, startedAt: start, peers: make(map[ident.VM]*peer), listings: make(map[ident.VM]listing)}
 }
 
 // recordMessage records that a message of another VM arrived, and what it says of it.
-func (h *Hubs) recordMessage(r Report, now time.Time) *peer {
+func (h *Tracker) recordMessage(r Report, now time.Time) *peer {
 	p := h.peers[r.VM]
 	if p == nil {
 		p = &peer{}
 		h.peers[r.VM] = p
 	}
-	if now.Sub(p.lastSeen) >= Silence || p.Candidate != r.Candidate {
+	if now.Sub(p.lastSeen) >= PeerTimeout || p.Candidate != r.Candidate {
 		h.topAt = time.Time{}
 	}
 	p.Candidate, p.status = r.Candidate, r.StoreStatus
@@ -124,7 +124,7 @@
 }
 
 // HandleReport records another VM's report.
-func (h *Hubs) Reported(r Report, now time.Time) {
+func (h *Tracker) HandleReport(r Report, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.recordMessage(r, now).lastReport = now
@@ -134,7 +134,7 @@
 // if its digest equals the one in the report. HandleResponse returns whether there is a
 // hub that this VM has neither reported to nor received a message from, in which case
 // the caller should send reports at once.
-func (h *Hubs) Answered(r Report, list []Candidate, digest uint64, now time.Time) bool {
+func (h *Tracker) HandleResponse(r Report, list []Candidate, digest uint64, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.recordMessage(r, now)
@@ -144,7 +144,7 @@
 		old.at = now
 		h.listings[r.VM] = old
 	case len(list) > 0:
-		if now.Sub(old.at) >= Silence {
+		if now.Sub(old.at) >= PeerTimeout {
 			old.list = nil // the hub is new or was away itself
 		}
 		h.resetReturned(old.list, list, now)
@@ -161,7 +161,7 @@
 
 // resetReturned resets the count of unanswered reports of VMs that a hub lists now and
 // did not list before: they have come back.
-func (h *Hubs) resetReturned(old, list []Candidate, now time.Time) {
+func (h *Tracker) resetReturned(old, list []Candidate, now time.Time) {
 	for _, c := range list {
 		if p := h.peers[c.VM]; p.notResponding(now) && !slices.Contains(old, c) {
 			p.unansweredSince, p.unanswered = time.Time{}, 0
@@ -171,7 +171,7 @@
 
 // SetRegistered records the VMs that are registered in the store, and that the store
 // responded at now.
-func (h *Hubs) SetRegistered(registered map[ident.VM]netip.AddrPort, now time.Time) {
+func (h *Tracker) SetRegistered(registered map[ident.VM]netip.AddrPort, now time.Time) {
 	list := make([]Candidate, 0, len(registered))
 	for name, addr := range registered {
 		if name != h.self.VM {
@@ -187,7 +187,7 @@
 
 // CountResponding counts the other VMs registered in the store, except those that are not
 // responding.
-func (h *Hubs) CountResponding(registered map[ident.VM]netip.AddrPort, now time.Time) int {
+func (h *Tracker) CountResponding(registered map[ident.VM]netip.AddrPort, now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -201,7 +201,7 @@
 
 // EndDiscovery ends the search for other VMs at once, although none has sent a message. It
 // is called when too few VMs are registered in the store to wait for.
-func (h *Hubs) EndDiscovery(now time.Time) {
+func (h *Tracker) EndDiscovery(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.joinedAt = now.Add(-joinTimeout)
@@ -209,7 +209,7 @@
 
 // Leave puts this VM last in the order by setting its capacity to zero, so that another
 // replaces it as a hub before it stops.
-func (h *Hubs) Leave() {
+func (h *Tracker) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.self.Capacity = 0
@@ -217,7 +217,7 @@
 }
 
 // Self returns this VM as a candidate.
-func (h *Hubs) Own() Candidate {
+func (h *Tracker) Self() Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.self
@@ -225,17 +225,17 @@
 
 // notResponding reports whether a VM has left enough reports unanswered for long enough.
 func (p *peer) notResponding(now time.Time) bool {
-	return p != nil && p.unanswered >= minUnanswered && now.Sub(p.unansweredSince) >= Silence
+	return p != nil && p.unanswered >= minUnanswered && now.Sub(p.unansweredSince) >= PeerTimeout
 }
 
 // live reports whether a message of the VM arrived within PeerTimeout.
-func (p *peer) live(now time.Time) bool { return p != nil && now.Sub(p.lastSeen) < Silence }
+func (p *peer) live(now time.Time) bool { return p != nil && now.Sub(p.lastSeen) < PeerTimeout }
 
 // topCandidates returns the top of the order and computes it anew once it is older than
 // orderTTL. The order contains the live VMs and those on hub lists, except VMs that are
 // not responding. The VMs registered in the store replace the hub lists while these
 // contain no VM that may respond.
-func (h *Hubs) topCandidates(now time.Time) []Candidate {
+func (h *Tracker) topCandidates(now time.Time) []Candidate {
 	if now.Sub(h.topAt) < orderTTL {
 		return h.top
 	}
@@ -277,7 +277,7 @@
 // currentCandidates returns the candidates of all hub lists that are less than
 // PeerTimeout older than the newest one. When all hubs are lost, no newer list arrives,
 // and the candidates that they listed last replace them.
-func (h *Hubs) currentCandidates(now time.Time) []Candidate {
+func (h *Tracker) currentCandidates(now time.Time) []Candidate {
 	var newest time.Time
 	for by, l := range h.listings {
 		if by != storeSource && l.at.After(newest) {
@@ -289,7 +289,7 @@
 	}
 	var out []Candidate
 	for by, l := range h.listings {
-		if by != storeSource && newest.Sub(l.at) < Silence {
+		if by != storeSource && newest.Sub(l.at) < PeerTimeout {
 			out = append(out, l.list...)
 		}
 	}
@@ -300,7 +300,7 @@
 }
 
 // noneRespond reports whether all candidates but this VM are not responding.
-func (h *Hubs) noneRespond(list []Candidate, now time.Time) bool {
+func (h *Tracker) noneRespond(list []Candidate, now time.Time) bool {
 	for _, c := range list {
 		if c.VM != h.self.VM && !h.peers[c.VM].notResponding(now) {
 			return false
@@ -312,7 +312,7 @@
 // LiveCandidates returns the candidates that this VM lists in its responses: only those
 // that are live, since VMs that repeated each other's lists would keep one that is gone
 // listed forever.
-func (h *Hubs) Names(now time.Time) []Candidate {
+func (h *Tracker) LiveCandidates(now time.Time) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Candidate
@@ -325,7 +325,7 @@
 }
 
 // CandidateDigest returns the digest of the candidates that a hub listed last.
-func (h *Hubs) Named(hub ident.VM) uint64 {
+func (h *Tracker) CandidateDigest(hub ident.VM) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.listings[hub].digest
@@ -336,7 +336,7 @@
 // to find out whether it responds now. With all set, the hubs are included even if they
 // are not due, because something has to be reported at once. An isolated VM also reports
 // to its seeds.
-func (h *Hubs) Targets(now time.Time, all bool) []Candidate {
+func (h *Tracker) Targets(now time.Time, all bool) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := h.otherHubs(now)
@@ -358,7 +358,7 @@
 }
 
 // isolated reports whether no other VM is live.
-func (h *Hubs) isolated(now time.Time) bool {
+func (h *Tracker) isolated(now time.Time) bool {
 	for _, p := range h.peers {
 		if p.live(now) {
 			return false
@@ -368,10 +368,10 @@
 }
 
 // NextReport returns how long it is until the next report is due.
-func (h *Hubs) Next(now time.Time) time.Duration {
+func (h *Tracker) NextReport(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	next := Beat
+	next := ReportInterval
 	if h.isolated(now) {
 		next = probeInterval
 	}
@@ -382,7 +382,7 @@
 }
 
 // otherHubs returns the hubs other than this VM, which it reports to.
-func (h *Hubs) otherHubs(now time.Time) []Candidate {
+func (h *Tracker) otherHubs(now time.Time) []Candidate {
 	first := h.topCandidates(now)
 	out := make([]Candidate, 0, Count+1)
 	for _, c := range firstHubs(first) {
@@ -396,7 +396,7 @@
 // nextDue returns when the next report to a VM is due. A VM with an unanswered report is
 // sent the next one soon, so that a few lost messages do not make it count as
 // not responding.
-func (h *Hubs) nextDue(name ident.VM) time.Time {
+func (h *Tracker) nextDue(name ident.VM) time.Time {
 	p := h.peers[name]
 	switch {
 	case p == nil:
@@ -406,20 +406,20 @@
 	case !p.unansweredSince.IsZero():
 		return p.lastSent.Add(probeInterval)
 	default:
-		return p.lastSent.Add(Beat)
+		return p.lastSent.Add(ReportInterval)
 	}
 }
 
 // recordAttempt records that a report is sent to a VM. The count of unanswered reports
 // starts anew if the last one was sent PeerTimeout or longer ago and the VM does not count
 // as not responding.
-func (h *Hubs) recordAttempt(c Candidate, now time.Time) {
+func (h *Tracker) recordAttempt(c Candidate, now time.Time) {
 	p := h.peers[c.VM]
 	if p == nil {
 		p = &peer{Candidate: c}
 		h.peers[c.VM] = p
 	}
-	if !p.notResponding(now) && now.Sub(p.lastSent) >= Silence {
+	if !p.notResponding(now) && now.Sub(p.lastSent) >= PeerTimeout {
 		p.unansweredSince, p.unanswered = time.Time{}, 0
 	}
 	p.lastSent = now
@@ -432,7 +432,7 @@
 // probeCandidate returns a candidate that is not live and was sent no report within
 // retryInterval. Hubs probe the VMs registered in the store as well as those on hub
 // lists; other VMs probe only VMs on hub lists that are not responding.
-func (h *Hubs) probeCandidate(targets []Candidate, now time.Time) (Candidate, bool) {
+func (h *Tracker) probeCandidate(targets []Candidate, now time.Time) (Candidate, bool) {
 	var list []Candidate
 	for by, l := range h.listings {
 		if by != storeSource || h.rank < Count {
@@ -454,12 +454,12 @@
 }
 
 // Reporters returns the VMs that have reported to this one within PeerTimeout.
-func (h *Hubs) Reporters(now time.Time) []Candidate {
+func (h *Tracker) Reporters(now time.Time) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Candidate
 	for _, p := range h.peers {
-		if now.Sub(p.lastReport) < Silence {
+		if now.Sub(p.lastReport) < PeerTimeout {
 			out = append(out, p.Candidate)
 		}
 	}
@@ -468,14 +468,14 @@
 
 // ReporterCounts returns how many VMs have reported to this one within forgetAfter
 // (known) and within PeerTimeout (live).
-func (h *Hubs) Count(now time.Time) (known, live int) {
+func (h *Tracker) ReporterCounts(now time.Time) (known, live int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.peers {
 		if now.Sub(p.lastReport) < forgetAfter {
 			known++
 		}
-		if now.Sub(p.lastReport) < Silence {
+		if now.Sub(p.lastReport) < PeerTimeout {
 			live++
 		}
 	}
@@ -483,7 +483,7 @@
 }
 
 // LivePeers returns how many other VMs are live.
-func (h *Hubs) Heard(now time.Time) int {
+func (h *Tracker) LivePeers(now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -497,22 +497,22 @@
 
 // CoordinatorCandidate is a VM that may coordinate a service, that is, decide the placement
 // of its calls.
-type Rank struct {
+type CoordinatorCandidate struct {
 	VM   ident.VM
 	Addr netip.AddrPort // not valid: this VM
 }
 
 // CoordinatorOrder returns the first n hubs in the order in which they take over the
 // coordination of a service. Logs and metrics call the coordinator the home.
-func (h *Hubs) Order(service ident.Service, n int, now time.Time) []Rank {
+func (h *Tracker) CoordinatorOrder(service ident.Service, n int, now time.Time) []CoordinatorCandidate {
 	h.mu.Lock()
 	hubs := slices.Clone(h.topCandidates(now))
 	h.mu.Unlock()
 	hubs = firstHubs(hubs)
 	sortForService(service, hubs)
-	out := make([]Rank, 0, n)
+	out := make([]CoordinatorCandidate, 0, n)
 	for _, c := range hubs[:min(len(hubs), n)] {
-		r := Rank{VM: c.VM, Addr: c.Addr}
+		r := CoordinatorCandidate{VM: c.VM, Addr: c.Addr}
 		if c.VM == h.self.VM {
 			r.Addr = netip.AddrPort{}
 		}
--- a/internal/state/hubs/hubs_test.go
+++ b/internal/state/hubs/hubs_test.go
@@ -19,15 +19,15 @@
 }
 
 // watching is the status of a VM that watches the store and gets responses.
-var watching = StoreStatus{Asks: true, Age: 100 * time.Millisecond}
+var watching = StoreStatus{Watching: true, Age: 100 * time.Millisecond}
 
 // newWithHubs returns the tracker of a VM that has received reports from the given number
 // of VMs of higher capacity.
-func newWithHubs(hubs int, status StoreStatus, now time.Time) *Hubs {
+func newWithHubs(hubs int, status StoreStatus, now time.Time) *Tracker {
 	h := New(candidate(99, 12), nil, now.Add(-time.Minute))
 	h.EndDiscovery(now)
 	for n := range hubs {
-		h.Reported(Report{Candidate: candidate(n, 14), StoreStatus: status}, now)
+		h.HandleReport(Report{Candidate: candidate(n, 14), StoreStatus: status}, now)
 	}
 	return h
 }
@@ -44,32 +44,32 @@
 		"one hub watches":                                   {hubs: 1, status: watching, want: true},
 		"two hubs watch":                                    {hubs: 2, status: watching},
 		"two hubs do not watch":                             {hubs: 2, status: StoreStatus{}, want: true},
-		"the store responds to none of the hubs":            {hubs: 3, status: StoreStatus{Asks: true, Age: time.Minute}, want: true},
+		"the store responds to none of the hubs":            {hubs: 3, status: StoreStatus{Watching: true, Age: time.Minute}, want: true},
 		"this VM is not a hub":                              {hubs: 4, status: watching},
-		"not a hub, and the store responds to no hub":       {hubs: 4, status: StoreStatus{Asks: true, Age: time.Minute}},
-		"not a hub, and the store responds only to this VM": {hubs: 4, status: StoreStatus{Asks: true, Age: time.Minute}, responded: true, want: true},
+		"not a hub, and the store responds to no hub":       {hubs: 4, status: StoreStatus{Watching: true, Age: time.Minute}},
+		"not a hub, and the store responds only to this VM": {hubs: 4, status: StoreStatus{Watching: true, Age: time.Minute}, responded: true, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newWithHubs(tc.hubs, tc.status, now)
 			if tc.responded {
 				h.SetRegistered(nil, now)
 			}
-			assert.Equal(t, h.Asks(now), tc.want)
+			assert.Equal(t, h.ShouldWatch(now), tc.want)
 		})
 	}
 	t.Run("a hub that stops responding is replaced", func(t *testing.T) {
 		h := newWithHubs(2, watching, now)
-		assert.Assert(t, !h.Asks(now.Add(watcherTimeout-1)))
-		assert.Assert(t, h.Asks(now.Add(watcherTimeout)))
-		assert.Assert(t, h.Lead(now.Add(watcherTimeout)))
+		assert.Assert(t, !h.ShouldWatch(now.Add(watcherTimeout-1)))
+		assert.Assert(t, h.ShouldWatch(now.Add(watcherTimeout)))
+		assert.Assert(t, h.LeadsWatch(now.Add(watcherTimeout)))
 	})
 	t.Run("a starting VM waits for messages of others", func(t *testing.T) {
 		h := New(candidate(1, 12), nil, now)
-		assert.Assert(t, !h.Asks(now.Add(DiscoveryTimeout-1)))
-		assert.Assert(t, h.Asks(now.Add(DiscoveryTimeout)))
-		h.Reported(Report{Candidate: candidate(2, 10)}, now)
-		assert.Assert(t, !h.Asks(now.Add(joinTimeout-1)))
-		assert.Assert(t, h.Asks(now.Add(joinTimeout)), "the other has less capacity")
+		assert.Assert(t, !h.ShouldWatch(now.Add(DiscoveryTimeout-1)))
+		assert.Assert(t, h.ShouldWatch(now.Add(DiscoveryTimeout)))
+		h.HandleReport(Report{Candidate: candidate(2, 10)}, now)
+		assert.Assert(t, !h.ShouldWatch(now.Add(joinTimeout-1)))
+		assert.Assert(t, h.ShouldWatch(now.Add(joinTimeout)), "the other has less capacity")
 	})
 }
 
@@ -82,26 +82,26 @@
 	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
 	assert.Equal(t, len(h.Targets(now, true)), 1, "the VM that is registered in the store")
 	list := []Candidate{candidate(0, 14), candidate(1, 14), candidate(2, 14), candidate(3, 14), candidate(4, 13)}
-	assert.Assert(t, h.Answered(Report{Candidate: list[0], StoreStatus: watching}, list, Digest(list), now), "there are new hubs to report to")
+	assert.Assert(t, h.HandleResponse(Report{Candidate: list[0], StoreStatus: watching}, list, Digest(list), now), "there are new hubs to report to")
 	assert.Equal(t, len(h.Targets(now, false)), Count-1, "the hubs that no report was sent to yet")
 	for _, c := range list[:3] {
-		h.Answered(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), now)
+		h.HandleResponse(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), now)
 	}
 	assert.Equal(t, len(h.Targets(now.Add(probeInterval), false)), 1, "the hub that has not responded")
-	expired := now.Add(Silence + orderTTL)
+	expired := now.Add(PeerTimeout + orderTTL)
 	for at := now; !at.After(expired); at = at.Add(probeInterval) {
 		h.Targets(at, false)
 	}
 	for _, c := range list[:3] {
-		h.Answered(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), expired)
+		h.HandleResponse(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), expired)
 	}
 	var names []ident.VM
 	for _, c := range h.Targets(expired, true) {
 		names = append(names, c.VM)
 	}
 	assert.Assert(t, !contains(names, "vm-3") && contains(names, "vm-4"), "%s: the next candidate replaces it", names)
-	h.Answered(Report{Candidate: list[1], StoreStatus: watching}, list[:3], 1, expired) // this hub receives nothing from vm-3 either
-	h.Answered(Report{Candidate: list[1], StoreStatus: watching}, list, Digest(list), expired)
+	h.HandleResponse(Report{Candidate: list[1], StoreStatus: watching}, list[:3], 1, expired) // this hub receives nothing from vm-3 either
+	h.HandleResponse(Report{Candidate: list[1], StoreStatus: watching}, list, Digest(list), expired)
 	names = nil
 	for _, c := range h.Targets(expired, true) {
 		names = append(names, c.VM)
@@ -125,7 +125,7 @@
 	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
 	assert.Equal(t, len(h.Targets(now, true)), 1)
 	now = now.Add(orderTTL)
-	assert.Equal(t, len(h.Order("s", Count, now)), 2, "it may still respond")
+	assert.Equal(t, len(h.CoordinatorOrder("s", Count, now)), 2, "it may still respond")
 }
 
 func contains(list []ident.VM, vm ident.VM) bool {
@@ -150,11 +150,11 @@
 		var all []Candidate
 		for n := range rapid.IntRange(Count, 30).Draw(t, "candidates") {
 			c := candidate(n, Capacity(rapid.IntRange(12, 13).Draw(t, "capacity")))
-			c.Domain = ident.Domain(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"))
+			c.Domain = ident.FailureDomain(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"))
 			all = append(all, c)
 		}
 		slices.SortFunc(all, compareCandidates)
-		domains := make(map[ident.Domain]bool)
+		domains := make(map[ident.FailureDomain]bool)
 		for _, c := range all {
 			if c.Capacity == all[0].Capacity {
 				domains[c.Domain] = true
@@ -163,7 +163,7 @@
 		subset := slices.Clone(all)
 		spreadDomains(all)
 		hubs := firstHubs(all)
-		covered := make(map[ident.Domain]bool)
+		covered := make(map[ident.FailureDomain]bool)
 		for _, c := range hubs {
 			covered[c.Domain] = true
 		}
--- a/internal/state/hubs/order.go
+++ b/internal/state/hubs/order.go
@@ -37,7 +37,7 @@
 	VM       ident.VM
 	Addr     netip.AddrPort // not valid: this VM
 	Capacity Capacity
-	Domain   ident.Domain // empty: not known
+	Domain   ident.FailureDomain // empty: not known
 }
 
 // compareCandidates orders candidates by falling capacity, and those of the same capacity
@@ -72,7 +72,7 @@
 
 // countInDomain counts the chosen hubs in a failure domain. Unknown failure domains count
 // as different from each other.
-func countInDomain(chosen []Candidate, d ident.Domain) int {
+func countInDomain(chosen []Candidate, d ident.FailureDomain) int {
 	n := 0
 	for _, c := range chosen {
 		if d != "" && c.Domain == d {
--- a/internal/state/hubs/watch.go
+++ b/internal/state/hubs/watch.go
@@ -27,7 +27,7 @@
 // ShouldWatch reports whether this VM has to watch the store for changes. The first
 // watcherCount hubs that the store responds to do so and report the changes to the others.
 // Another VM does so if the store responds to it and no peer has recent data.
-func (h *Hubs) Asks(now time.Time) bool {
+func (h *Tracker) ShouldWatch(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.joining(now) {
@@ -41,7 +41,7 @@
 }
 
 // joining reports whether this VM is still starting and looks for other VMs.
-func (h *Hubs) joining(now time.Time) bool {
+func (h *Tracker) joining(now time.Time) bool {
 	if h.joinedAt.IsZero() {
 		return now.Sub(h.startedAt) < DiscoveryTimeout
 	}
@@ -56,11 +56,11 @@
 
 // watchersBefore returns how many VMs before this one in the order watch the store and
 // get responses.
-func (h *Hubs) watchersBefore(now time.Time) int {
+func (h *Tracker) watchersBefore(now time.Time) int {
 	n := 0
 	for _, c := range h.topCandidates(now)[:h.rank] {
 		p := h.peers[c.VM]
-		if p != nil && p.status.Asks && now.Sub(p.lastSeen) < watcherTimeout && p.status.Age < maxResponseAge {
+		if p != nil && p.status.Watching && now.Sub(p.lastSeen) < watcherTimeout && p.status.Age < maxResponseAge {
 			n++
 		}
 	}
@@ -69,7 +69,7 @@
 
 // LeadsWatch reports whether no VM before this one in the order watches the store and
 // gets responses.
-func (h *Hubs) Lead(now time.Time) bool {
+func (h *Tracker) LeadsWatch(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.watchersBefore(now) == 0
@@ -78,7 +78,7 @@
 // ProbesStore reports whether this VM is one of the first watcherCount hubs. While the
 // store is down, only these find out soon that it has recovered. An isolated VM is not one
 // of them: there may be many such VMs, and each is the first of the order that it knows.
-func (h *Hubs) First(now time.Time) bool {
+func (h *Tracker) ProbesStore(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.topCandidates(now)
@@ -86,7 +86,7 @@
 }
 
 // IsHub reports whether this VM is a hub.
-func (h *Hubs) Hub(now time.Time) bool {
+func (h *Tracker) IsHub(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.topCandidates(now)
@@ -95,24 +95,26 @@
 
 // StoreRespondedWithin reports whether the store's last response to this VM is more recent
 // than the given duration.
-func (h *Hubs) Touch(within time.Duration, now time.Time) bool {
+func (h *Tracker) StoreRespondedWithin(within time.Duration, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return now.Sub(h.storeResponded) < within
 }
 
 // StoreReachable reports whether the store has responded to this VM within reachableTime.
-func (h *Hubs) Answers(now time.Time) bool { return h.Touch(reachableTime, now) }
+func (h *Tracker) StoreReachable(now time.Time) bool {
+	return h.StoreRespondedWithin(reachableTime, now)
+}
 
 // PeerDataAge returns the age of the newest data on the servers that any other VM has
 // reported, or forgetAfter if there is none.
-func (h *Hubs) Quiet(now time.Time) time.Duration {
+func (h *Tracker) PeerDataAge(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.peerDataAge(now)
 }
 
-func (h *Hubs) peerDataAge(now time.Time) time.Duration {
+func (h *Tracker) peerDataAge(now time.Time) time.Duration {
 	age := forgetAfter
 	for _, p := range h.peers {
 		age = min(age, p.status.Age+now.Sub(p.lastSeen))
@@ -121,11 +123,11 @@
 }
 
 // PeersReachStore reports whether the store responds to another VM that watches it.
-func (h *Hubs) StoreAnswers(now time.Time) bool {
+func (h *Tracker) PeersReachStore(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, p := range h.peers {
-		if p.live(now) && p.status.Asks && p.status.Age < maxResponseAge {
+		if p.live(now) && p.status.Watching && p.status.Age < maxResponseAge {
 			return true
 		}
 	}
@@ -133,7 +135,7 @@
 }
 
 // HubAddrs returns the addresses of the other hubs that are live.
-func (h *Hubs) Addresses(now time.Time) []netip.AddrPort {
+func (h *Tracker) HubAddrs(now time.Time) []netip.AddrPort {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []netip.AddrPort
--- a/internal/state/member/home.go
+++ b/internal/state/member/home.go
@@ -8,8 +8,8 @@
 // hash of key and VM name (rendezvous hashing: Thaler and Ravishankar, Using
 // Name-Based Mappings to Increase Hit Rates, 1998). It returns false if there is
 // no live VM.
-func Home(key string, live []Member) (Member, bool) {
-	top := Top(key, live, 1)
+func Owner(key string, live []Member) (Member, bool) {
+	top := TopOwners(key, live, 1)
 	if len(top) == 0 {
 		return Member{}, false
 	}
@@ -17,7 +17,7 @@
 }
 
 // TopOwners returns the k VMs with the highest hashes for key, the highest first.
-func Top(key string, live []Member, k int) []Member {
+func TopOwners(key string, live []Member, k int) []Member {
 	type scored struct {
 		m Member
 		h uint64
--- a/internal/state/member/receive.go
+++ b/internal/state/member/receive.go
@@ -91,7 +91,7 @@
 		if e.State > Suspect {
 			continue
 		}
-		out = append(out, Outbound{To: e.Address, Packet: t.newPacket(Announced, 0)})
+		out = append(out, Outbound{To: e.Address, Packet: t.newPacket(Announcement, 0)})
 		if len(out) == leaveFanout {
 			break
 		}
@@ -109,7 +109,7 @@
 	var out []Outbound
 	for _, m := range to {
 		if m.Name != t.self.Name {
-			out = append(out, Outbound{To: m.Address, Packet: t.newPacket(Announced, 0)})
+			out = append(out, Outbound{To: m.Address, Packet: t.newPacket(Announcement, 0)})
 		}
 	}
 	return out
--- a/internal/state/member/table.go
+++ b/internal/state/member/table.go
@@ -29,7 +29,7 @@
 	lastTick        time.Time
 	nextPing        time.Time
 	pings           int
-	settingsVersion Mark
+	settingsVersion SettingsVersion
 	version         uint64
 	removals        uint64 // how often this VM has declared another dead
 }
@@ -74,7 +74,7 @@
 func (t *Table) Self() Member { return t.self }
 
 // SetSettingsVersion sets the version of the settings in force that packets report.
-func (t *Table) SetSettingsVersion(v Mark) { t.settingsVersion = v }
+func (t *Table) SetSettingsVersion(v SettingsVersion) { t.settingsVersion = v }
 
 // Removals returns how many times this VM itself has declared another dead.
 func (t *Table) Removals() uint64 { return t.removals }
@@ -109,7 +109,7 @@
 // incarnation 0, which is lower than any that it may report itself. A VM that is
 // no longer on the list is forgotten once it has been dead or left for four
 // suspicion timeouts.
-func (t *Table) List(list []Member, now time.Time) {
+func (t *Table) MergeList(list []Member, now time.Time) {
 	on := make(map[ident.VM]bool, len(list))
 	for _, m := range list {
 		on[m.Name] = true
@@ -268,7 +268,7 @@
 
 // newPacket returns a packet with the updates that were sent the fewest times.
 func (t *Table) newPacket(k Kind, seq uint64) Packet {
-	p := Packet{Kind: k, Sequence: seq, From: t.self, Mark: t.settingsVersion}
+	p := Packet{Kind: k, Sequence: seq, From: t.self, SettingsVersion: t.settingsVersion}
 	slices.SortStableFunc(t.updates, func(a, b *queuedUpdate) int { return cmp.Compare(a.sends, b.sends) })
 	limit := retransmitFactor * (bits.Len(uint(len(t.others)+1)) + 1)
 	for _, u := range t.updates[:min(len(t.updates), t.cfg.MaxUpdates)] {
--- a/internal/state/member/table_test.go
+++ b/internal/state/member/table_test.go
@@ -45,7 +45,7 @@
 		c.list = append(c.list, Member{
 			Name:    ident.VM(fmt.Sprintf("vm-%02d", i)),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 1),
-			Domain:  ident.Domain(fmt.Sprintf("fd-%d", i%3)),
+			Domain:  ident.FailureDomain(fmt.Sprintf("fd-%d", i%3)),
 		})
 	}
 	for i := range c.list {
@@ -59,7 +59,7 @@
 	m := c.list[i]
 	m.Incarnation = uint64(c.now.UnixMilli())
 	t := New(DefaultConfig(), m, rand.New(rand.NewPCG(c.rng.Uint64(), 2)))
-	t.List(c.list, c.now)
+	t.MergeList(c.list, c.now)
 	c.tables[m.Address] = t
 	c.down[m.Name] = false
 }
@@ -231,14 +231,14 @@
 	const keys = 2000
 	for k := range keys {
 		key := fmt.Sprint(k)
-		a, _ := Home(key, c.list)
-		b, _ := Home(key, c.list[:9])
+		a, _ := Owner(key, c.list)
+		b, _ := Owner(key, c.list[:9])
 		if a.Name != b.Name {
 			moved++
 			assert.Equal(t, a.Name, c.list[9].Name, "only keys of the removed VM move")
 		}
 	}
 	assert.Assert(t, moved > keys/20 && moved < keys/5, "%d of %d", moved, keys)
-	_, ok := Home("k", nil)
+	_, ok := Owner("k", nil)
 	assert.Assert(t, !ok)
 }
--- a/internal/state/member/types.go
+++ b/internal/state/member/types.go
@@ -27,7 +27,7 @@
 type Member struct {
 	Name        ident.VM
 	Address     netip.AddrPort
-	Domain      ident.Domain
+	Domain      ident.FailureDomain
 	Incarnation uint64
 	State       State
 }
@@ -45,24 +45,24 @@
 
 // The kinds of packets.
 const (
-	Ping      Kind = iota // asks for an Ack
-	Ack                   // response to a Ping or PingReq with the same sequence number
-	PingReq               // asks to ping Target for the sender
-	Announced             // carries updates only; no response
+	Ping         Kind = iota // asks for an Ack
+	Ack                      // response to a Ping or PingReq with the same sequence number
+	PingReq                  // asks to ping Target for the sender
+	Announcement             // carries updates only; no response
 )
 
 // Packet is one datagram.
 type Packet struct {
-	Kind     Kind
-	Sequence uint64
-	From     Member
-	Target   ident.VM // of a PingReq
-	Updates  []Member
-	Mark     Mark // of the settings in force at the sender
+	Kind            Kind
+	Sequence        uint64
+	From            Member
+	Target          ident.VM // of a PingReq
+	Updates         []Member
+	SettingsVersion SettingsVersion // of the settings in force at the sender
 }
 
 // SettingsVersion identifies the settings that a VM has in force.
-type Mark struct {
+type SettingsVersion struct {
 	Revision uint64 // every document up to this revision is in force
 	Ahead    uint64 // sum of the versions of documents in force above Revision
 }
--- a/internal/state/quota/quota.go
+++ b/internal/state/quota/quota.go
@@ -24,7 +24,7 @@
 	var out []string
 	out = append(out, checkReserves(s.System)...)
 	out = append(out, checkRates(s)...)
-	for _, w := range s.All() {
+	for _, w := range s.AllWorkspaces() {
 		out = append(out, checkReferences(s.System, w)...)
 	}
 	slices.Sort(out)
@@ -82,7 +82,7 @@
 // allowedRate returns the sum of the rate limits of the workspaces that use a model, and
 // the names of those without a limit.
 func allowedRate(s *config.Snapshot, m *config.Model) (sum int, unlimited []string) {
-	for _, w := range s.All() {
+	for _, w := range s.AllWorkspaces() {
 		if !uses(w, m) {
 			continue
 		}
--- a/internal/state/routes/book.go
+++ b/internal/state/routes/book.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"umberladder/internal/core/awake"
+	"umberladder/internal/core/uptime"
 )
 
 // Current holds the snapshot in force. Reads take no lock.
-type Book struct {
-	clock        awake.Clock
+type Current struct {
+	clock        uptime.Clock
 	mu           sync.Mutex // orders writes
 	active       atomic.Pointer[Snapshot]
 	freshAt      atomic.Int64  // Instant at which the snapshot was last known to be the newest
@@ -23,20 +23,20 @@
 // peerVersion is a version that another VM reported to have in force.
 type peerVersion struct {
 	version uint64
-	at      awake.Instant
+	at      uptime.Instant
 }
 
 // NewCurrent returns a Current without a snapshot.
-func NewBook(clock awake.Clock) *Book {
-	return &Book{clock: clock}
+func NewCurrent(clock uptime.Clock) *Current {
+	return &Current{clock: clock}
 }
 
 // Load returns the snapshot in force, or nil.
-func (c *Book) Load() *Snapshot { return c.active.Load() }
+func (c *Current) Load() *Snapshot { return c.active.Load() }
 
 // Update puts s in force, which was the newest snapshot at the given time, and reports
 // whether the version in force changed. It ignores a version older than the one in force.
-func (c *Book) Put(s *Snapshot, at awake.Instant) bool {
+func (c *Current) Update(s *Snapshot, at uptime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.active.Load()
@@ -54,7 +54,7 @@
 
 // RecordVersion records that another VM had a version in force at the given time. It does
 // not change the snapshot in force.
-func (c *Book) Hear(version uint64, at awake.Instant) {
+func (c *Current) RecordVersion(version uint64, at uptime.Instant) {
 	if version <= c.knownVersion.Load() {
 		return
 	}
@@ -71,7 +71,7 @@
 // pruneNewer removes from newer the versions that are not newer than the one in force,
 // and those reported before the one in force was known to be the newest, since no newer
 // version existed then.
-func (c *Book) pruneNewer() {
+func (c *Current) pruneNewer() {
 	var version uint64
 	if s := c.active.Load(); s != nil {
 		version = s.Version
@@ -88,34 +88,34 @@
 
 // KnownVersion returns the newest version that this VM has in force or that another VM
 // has reported.
-func (c *Book) Known() uint64 { return c.knownVersion.Load() }
+func (c *Current) KnownVersion() uint64 { return c.knownVersion.Load() }
 
 // BehindFor returns for how long a version newer than the one in force has been known, or
 // zero if there is none.
-func (c *Book) Behind() time.Duration {
+func (c *Current) BehindFor() time.Duration {
 	since := c.behindSince.Load()
 	if since == 0 {
 		return 0
 	}
-	return c.clock().Sub(awake.Instant(since))
+	return c.clock().Sub(uptime.Instant(since))
 }
 
 // ConfirmNewest records that the snapshot in force was the newest at the given time.
-func (c *Book) Confirm(at awake.Instant) {
+func (c *Current) ConfirmNewest(at uptime.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.confirm(at)
 	c.pruneNewer()
 }
 
-func (c *Book) confirm(at awake.Instant) {
+func (c *Current) confirm(at uptime.Instant) {
 	if int64(at) > c.freshAt.Load() {
 		c.freshAt.Store(int64(at))
 	}
 }
 
 // FreshAt returns the time at which the snapshot was last known to be the newest.
-func (c *Book) Fresh() awake.Instant { return awake.Instant(c.freshAt.Load()) }
+func (c *Current) FreshAt() uptime.Instant { return uptime.Instant(c.freshAt.Load()) }
 
 // Age returns how long ago the snapshot was last known to be the newest.
-func (c *Book) Age() time.Duration { return c.clock().Sub(c.Fresh()) }
+func (c *Current) Age() time.Duration { return c.clock().Sub(c.FreshAt()) }
--- a/internal/state/routes/document.go
+++ b/internal/state/routes/document.go
@@ -27,7 +27,7 @@
 func NewDocument(raw []byte) *Document { return &Document{raw: raw} }
 
 // Decompress returns a document with the given compressed content, and its content.
-func Unpack(compressed []byte) (*Document, []byte, error) {
+func Decompress(compressed []byte) (*Document, []byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, nil, trace.Wrap(err)
@@ -51,7 +51,7 @@
 }
 
 // Compressed returns the document in compressed form. The first call compresses it.
-func (d *Document) Packed() ([]byte, error) {
+func (d *Document) Compressed() ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.compressed != nil {
--- a/internal/state/routes/snapshot.go
+++ b/internal/state/routes/snapshot.go
@@ -73,7 +73,7 @@
 func (s *Snapshot) Service(name ident.Service) *Service { return s.services[name] }
 
 // EngineServices returns the names of the services whose servers are engines.
-func (s *Snapshot) Engines() []ident.Service {
+func (s *Snapshot) EngineServices() []ident.Service {
 	var out []ident.Service
 	for name, v := range s.services {
 		if v.Engine != nil {
@@ -84,14 +84,14 @@
 }
 
 // RequiresKey reports whether calls of the route need an API key.
-func (s *Snapshot) Keyed(r *Route) bool { return s.keysRequired && !r.Public }
+func (s *Snapshot) RequiresKey(r *Route) bool { return s.keysRequired && !r.Public }
 
 // WorkspaceByKey returns the workspace that an API key belongs to, or nil.
-func (s *Snapshot) Holder(key string) *Workspace { return s.keys[key] }
+func (s *Snapshot) WorkspaceByKey(key string) *Workspace { return s.keys[key] }
 
 // PickService returns a service chosen by the weights of the route's shares. draw is a
 // random number in [0, 1).
-func (r *Route) Pick(draw float64) ident.Service {
+func (r *Route) PickService(draw float64) ident.Service {
 	total := 0
 	for _, s := range r.Shares {
 		total += max(s.Weight, 0)
--- a/internal/state/routes/types.go
+++ b/internal/state/routes/types.go
@@ -9,18 +9,18 @@
 
 // Route says which service serves the paths under a prefix of a host.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string // begins and ends with a slash
-	Kind      call.Kind
-	Timeout   time.Duration // maximum time for which a call may be kept waiting
-	Target    time.Duration // latency target of the response, or of a stream's first event
-	Gap       time.Duration // target for the time between two events; zero if there is none
-	Priority  int           // 0 is the most urgent
-	Attempts  int           // maximum number of backend servers that one call is sent to
-	Public    bool          // calls need no API key
-	Resumable bool          // another run may continue a stream after the last event received
-	Shares    []Share       // the services that serve the route
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Kind          call.Kind
+	Timeout       time.Duration // maximum time for which a call may be kept waiting
+	LatencyTarget time.Duration // latency target of the response, or of a stream's first event
+	GapTarget     time.Duration // target for the time between two events; zero if there is none
+	Priority      int           // 0 is the most urgent
+	MaxAttempts   int           // maximum number of backend servers that one call is sent to
+	Public        bool          // calls need no API key
+	Resumable     bool          // another run may continue a stream after the last event received
+	Shares        []Share       // the services that serve the route
 }
 
 // Share is one service's share of a route's calls, relative to the weights of the others.
@@ -31,22 +31,22 @@
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
-	Name        ident.Service
-	Health      string  // path of the health check
-	Connections int     // maximum number of connections from all VMs to one server
-	Engine      *Engine // nil for a service whose servers are not engines
+	Name           ident.Service
+	HealthPath     string  // path of the health check
+	MaxConnections int     // maximum number of connections from all VMs to one server
+	Engine         *Engine // nil for a service whose servers are not engines
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots      int           // number of requests that run concurrently
-	Memory     int           // capacity of the KV cache, in tokens
-	TokenBytes int           // bytes per token in the KV cache
-	Stride     int           // tokens per event of a stream
-	Mbps       float64       // bandwidth for KV cache copies, in Mbit/s
-	Moves      bool          // whether the KV cache of a running generation can be copied to another engine
-	Backups    bool          // whether the KV cache can be sent to a backup engine as it grows
-	CopyTTL    time.Duration // how long an unused KV cache copy is kept
+	Slots            int           // number of requests that run concurrently
+	KVCapacityTokens int           // capacity of the KV cache, in tokens
+	KVTokenBytes     int           // bytes per token in the KV cache
+	TokensPerEvent   int           // tokens per event of a stream
+	LinkMbps         float64       // bandwidth for KV cache copies, in Mbit/s
+	CanMove          bool          // whether the KV cache of a running generation can be copied to another engine
+	CanBackUp        bool          // whether the KV cache can be sent to a backup engine as it grows
+	CopyTTL          time.Duration // how long an unused KV cache copy is kept
 }
 
 // Workspace holds the settings of one team.
@@ -58,8 +58,8 @@
 
 // Limits bound the size of a client's requests and the time it may take.
 type Limits struct {
-	Header     int // bytes
-	Body       int // bytes
-	HeaderTime time.Duration
-	Idle       time.Duration // between two calls on one connection
+	MaxHeaderBytes int // bytes
+	MaxBodyBytes   int // bytes
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration // between two calls on one connection
 }
--- a/internal/state/keeper/acquire.go
+++ b/internal/state/shards/acquire.go
@@ -1,4 +1,4 @@
-package keeper
+package shards
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 // acquire writes this VM's name as the shard's holder and starts a term. The
 // term's start is read from the store's clock after the write, so it is not
 // before the end of any earlier holder's term.
-func (m *Keeper) acquire(ctx context.Context, shard int) {
+func (m *Manager) acquire(ctx context.Context, shard int) {
 	if !m.locks[shard].lock(ctx) {
 		return
 	}
@@ -47,13 +47,13 @@
 		return
 	}
 	delete(m.uncertain, shard)
-	m.held[shard] = &holding{shard: term.New(l.Now), revision: rev}
+	m.held[shard] = &holding{shard: term.New(l.StoreTime), revision: rev}
 }
 
 // resolve handles a shard with an unfinished acquisition whose assigned owner is now
 // another VM. It reads whether the store names this VM as the holder, and if so, schedules
 // the release of the shard.
-func (m *Keeper) resolve(ctx context.Context, shard int) {
+func (m *Manager) resolve(ctx context.Context, shard int) {
 	if !m.locks[shard].lock(ctx) {
 		return
 	}
@@ -65,7 +65,7 @@
 	lease := m.lease
 	m.mu.Unlock()
 	rev, err := m.ownRevision(ctx, shard, m.valuePrefix(lease))
-	if err != nil && !trace.IsAlreadyExists(err) && !store.Is(err, store.Missing) {
+	if err != nil && !trace.IsAlreadyExists(err) && !store.Is(err, store.NotFound) {
 		return // the outcome is still unknown
 	}
 	m.clearUncertain(shard)
@@ -78,7 +78,7 @@
 
 // clearUncertain records that it is known whether the store names this VM as the
 // shard's holder.
-func (m *Keeper) clearUncertain(shard int) {
+func (m *Manager) clearUncertain(shard int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.uncertain, shard)
@@ -86,7 +86,7 @@
 
 // valuePrefix returns the prefix of every stored value that names this VM as a holder
 // under the given lease.
-func (m *Keeper) valuePrefix(lease uint64) string {
+func (m *Manager) valuePrefix(lease uint64) string {
 	return fmt.Sprintf("%s/%d/", m.vm, lease)
 }
 
@@ -95,13 +95,13 @@
 // lost or the write conflicts, it reads whether the write took effect. With from 0 any value
 // of this VM counts, since only such a write can have left it. In a handover only the value
 // that replaced revision from counts.
-func (m *Keeper) writeHolder(ctx context.Context, shard int, lease, from uint64) (uint64, error) {
+func (m *Manager) writeHolder(ctx context.Context, shard int, lease, from uint64) (uint64, error) {
 	value := m.valuePrefix(lease)
 	if from != 0 {
 		value += strconv.FormatUint(from, 10) + "/"
 	}
 	rev, err := m.store.Put(ctx, shardPath(shard), []byte(value), from, lease)
-	if store.Is(err, store.Conflict) || store.Is(err, store.Unknown) {
+	if store.Is(err, store.Conflict) || store.Is(err, store.OutcomeUnknown) {
 		return m.ownRevision(ctx, shard, value)
 	}
 	return rev, trace.Wrap(err)
@@ -109,7 +109,7 @@
 
 // ownRevision returns the revision of the shard's stored value if the value has the given
 // prefix, and an error otherwise.
-func (m *Keeper) ownRevision(ctx context.Context, shard int, prefix string) (uint64, error) {
+func (m *Manager) ownRevision(ctx context.Context, shard int, prefix string) (uint64, error) {
 	it, err := m.store.Get(ctx, shardPath(shard))
 	if err != nil {
 		return 0, trace.Wrap(err)
@@ -122,13 +122,13 @@
 
 // releaseAll deletes the stored values of the shards that this VM releases. A value that
 // another holder has replaced already needs no deletion.
-func (m *Keeper) releaseAll(ctx context.Context) {
+func (m *Manager) releaseAll(ctx context.Context) {
 	m.mu.Lock()
 	pending := maps.Clone(m.releasing)
 	m.mu.Unlock()
 	for shard, rev := range pending {
 		err := m.store.Delete(ctx, shardPath(shard), rev)
-		if err != nil && !store.Is(err, store.Conflict) && !store.Is(err, store.Missing) {
+		if err != nil && !store.Is(err, store.Conflict) && !store.Is(err, store.NotFound) {
 			return
 		}
 		m.mu.Lock()
--- a/internal/state/keeper/handover.go
+++ b/internal/state/shards/handover.go
@@ -1,4 +1,4 @@
-package keeper
+package shards
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 
 // startHandover ends this VM's term on a shard, which is to be handed over until the given
 // time. From now on this VM accepts no claims on the shard's keys in this term.
-func (m *Keeper) startHandover(shard int, until time.Time) {
+func (m *Manager) startHandover(shard int, until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.held[shard]
@@ -42,7 +42,7 @@
 // handOverPending tries once to hand over each shard in handingOver, and releases
 // those whose deadline has passed. A VM that does not accept a shard is offered no
 // more shards in this round.
-func (m *Keeper) handOverPending(ctx context.Context) {
+func (m *Manager) handOverPending(ctx context.Context) {
 	m.mu.Lock()
 	pending := maps.Clone(m.handingOver)
 	m.mu.Unlock()
@@ -52,7 +52,7 @@
 	others := m.others()
 	refused := map[ident.VM]bool{}
 	for shard, h := range pending {
-		to, ok := HomeOf(shard, others)
+		to, ok := AssignedOwner(shard, others)
 		accepted := ok && !refused[to.Name] && m.offer(ctx, to, shard, h)
 		refused[to.Name] = !accepted
 		m.finishHandover(shard, h, accepted)
@@ -61,7 +61,7 @@
 
 // offer tries to hand over a shard to a VM. An attempt whose reply was lost can be
 // retried, because the next holder records the revision at which it accepted the shard.
-func (m *Keeper) offer(ctx context.Context, to member.Member, shard int, h *holding) bool {
+func (m *Manager) offer(ctx context.Context, to member.Member, shard int, h *holding) bool {
 	m.mu.Lock()
 	start, claims := h.shard.Export()
 	m.mu.Unlock()
@@ -71,7 +71,7 @@
 	return err == nil && accepted
 }
 
-func (m *Keeper) finishHandover(shard int, h *holding, accepted bool) {
+func (m *Manager) finishHandover(shard int, h *holding, accepted bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	expired := !time.Now().Before(h.deadline)
@@ -88,8 +88,8 @@
 // by a compare-and-swap on the revision that the holder wrote, so no other VM held the
 // shard in between. It also returns true if the shard was accepted at that revision
 // before.
-func (m *Keeper) Accept(ctx context.Context, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
-	if shard < 0 || shard >= Shards {
+func (m *Manager) Accept(ctx context.Context, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
+	if shard < 0 || shard >= Count {
 		return false, trace.BadParameter("there is no shard %d", shard)
 	}
 	if !m.locks[shard].lock(ctx) {
@@ -119,7 +119,7 @@
 }
 
 // HandOverAll hands over every shard, acquires no more, and revokes the lease.
-func (m *Keeper) Leave(ctx context.Context) {
+func (m *Manager) HandOverAll(ctx context.Context) {
 	m.mu.Lock()
 	m.draining = true
 	shards := slices.Sorted(maps.Keys(m.held))
@@ -130,7 +130,7 @@
 		m.startHandover(s, until)
 	}
 	for m.handOverPending(ctx); m.hasPending() && ctx.Err() == nil; m.handOverPending(ctx) {
-		retry.Pause(ctx, handoverRetryDelay)
+		retry.Sleep(ctx, handoverRetryDelay)
 	}
 	if lease != 0 {
 		_ = m.store.Revoke(ctx, lease)
@@ -138,14 +138,14 @@
 }
 
 // hasPending reports whether a handover is pending and there is a VM to hand over to.
-func (m *Keeper) hasPending() bool {
+func (m *Manager) hasPending() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.handingOver) > 0 && len(m.others()) > 0
 }
 
 // others returns the live VMs except this one.
-func (m *Keeper) others() []member.Member {
+func (m *Manager) others() []member.Member {
 	return slices.DeleteFunc(slices.Clone(m.fleet.View().Live), func(peer member.Member) bool {
 		return peer.Name == m.vm
 	})
--- a/internal/state/keeper/manager.go
+++ b/internal/state/shards/manager.go
@@ -6,7 +6,7 @@
 // The store names at most one holder of a shard at a time. Once the handover of
 // a shard starts, this VM decides no more claims on its keys, even if the
 // handover fails.
-package keeper
+package shards
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 )
 
 // Count is the number of shards that the keys are divided into.
-const Shards = 64
+const Count = 64
 
 const (
 	shardPrefix   = "/claims/shards/"
@@ -58,17 +58,17 @@
 
 // HandoverClient hands a shard's term over to its next holder, and reports whether
 // that VM accepted it.
-type Hander interface {
+type HandoverClient interface {
 	Handover(ctx context.Context, to member.Member, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error)
 }
 
 // Manager manages the shards that this VM holds. It is safe for concurrent use.
-type Keeper struct {
+type Manager struct {
 	vm     ident.VM
 	ttl    time.Duration
 	store  Store
 	fleet  Fleet
-	client Hander
+	client HandoverClient
 	log    *zap.Logger
 
 	mu          sync.Mutex
@@ -83,7 +83,7 @@
 
 	// locks serialise acquire, Accept and resolve for each shard. They are locked
 	// before mu.
-	locks [Shards]ctxLock
+	locks [Count]ctxLock
 }
 
 // ctxLock is a mutex whose lock method can be cancelled by a context.
@@ -119,8 +119,8 @@
 }
 
 // New returns a Manager whose leases last ttl.
-func New(vm ident.VM, ttl time.Duration, s Store, f Fleet, h Hander, log *zap.Logger) *Keeper {
-	m := &Keeper{
+func New(vm ident.VM, ttl time.Duration, s Store, f Fleet, h HandoverClient, log *zap.Logger) *Manager {
+	m := &Manager{
 		vm:          vm,
 		ttl:         ttl,
 		store:       s,
@@ -140,12 +140,12 @@
 }
 
 // AssignedOwner returns the VM that should hold a shard, by rendezvous hashing.
-func HomeOf(shard int, live []member.Member) (member.Member, bool) {
-	return member.Home(ownerPrefix+strconv.Itoa(shard), live)
+func AssignedOwner(shard int, live []member.Member) (member.Member, bool) {
+	return member.Owner(ownerPrefix+strconv.Itoa(shard), live)
 }
 
 // Run acquires shards, renews the lease and hands shards over until ctx is done.
-func (m *Keeper) Run(ctx context.Context) error {
+func (m *Manager) Run(ctx context.Context) error {
 	start := time.Now()
 	t := time.NewTicker(roundInterval)
 	defer t.Stop()
@@ -162,15 +162,15 @@
 	}
 }
 
-func (m *Keeper) round(ctx context.Context) {
+func (m *Manager) round(ctx context.Context) {
 	if err := m.renew(ctx); err != nil {
 		m.log.Debug("failed to renew claim lease", zap.Error(err))
 		return
 	}
 	m.releaseAll(ctx)
 	live := m.fleet.View().Live
-	for shard := range Shards {
-		owner, ok := HomeOf(shard, live)
+	for shard := range Count {
+		owner, ok := AssignedOwner(shard, live)
 		if !ok {
 			return
 		}
@@ -188,7 +188,7 @@
 
 // renew renews the lease once a third of its duration has passed. All shards are lost
 // with a lease that has expired.
-func (m *Keeper) renew(ctx context.Context) error {
+func (m *Manager) renew(ctx context.Context) error {
 	m.mu.Lock()
 	lease, leaseEnd := m.lease, m.leaseEnd
 	m.mu.Unlock()
@@ -202,7 +202,7 @@
 			m.setLease(lease, requested)
 			return nil
 		}
-		if !store.Is(err, store.Missing) {
+		if !store.Is(err, store.NotFound) {
 			m.dropExpired(requested)
 			return trace.Wrap(err)
 		}
@@ -218,14 +218,14 @@
 
 // setLease records a lease. Its duration is counted from the time of the request, which
 // is before the store granted it.
-func (m *Keeper) setLease(id uint64, requested time.Time) {
+func (m *Manager) setLease(id uint64, requested time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lease = id
-	m.leaseEnd = expiry{at: requested.Add(m.ttl - term.Margin)}
+	m.leaseEnd = expiry{at: requested.Add(m.ttl - term.MaxClockSkew)}
 }
 
-func (m *Keeper) dropExpired(now time.Time) {
+func (m *Manager) dropExpired(now time.Time) {
 	m.mu.Lock()
 	expired := !m.leaseEnd.valid(now)
 	m.mu.Unlock()
@@ -234,7 +234,7 @@
 	}
 }
 
-func (m *Keeper) dropAll() {
+func (m *Manager) dropAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lease = 0
@@ -245,7 +245,7 @@
 	clear(m.uncertain)
 }
 
-func (m *Keeper) shouldAcquire(shard int) bool {
+func (m *Manager) shouldAcquire(shard int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held[shard] == nil && !m.isReleasing(shard) && !m.draining && !time.Now().Before(m.retryAt[shard])
@@ -253,18 +253,18 @@
 
 // isReleasing reports whether the store may still name this VM as the holder of a shard
 // on which it has ended its term. The caller must hold mu.
-func (m *Keeper) isReleasing(shard int) bool {
+func (m *Manager) isReleasing(shard int) bool {
 	_, freeing := m.releasing[shard]
 	return freeing || m.handingOver[shard] != nil
 }
 
-func (m *Keeper) isHeld(shard int) bool {
+func (m *Manager) isHeld(shard int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held[shard] != nil
 }
 
-func (m *Keeper) isUncertain(shard int) bool {
+func (m *Manager) isUncertain(shard int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.uncertain[shard]
@@ -273,7 +273,7 @@
 func shardPath(shard int) string { return fmt.Sprintf("%s%02d", shardPrefix, shard) }
 
 // Claim decides a claim on a key of a shard that this VM holds.
-func (m *Keeper) Claim(shard int, key string, minted time.Time, sum [32]byte, r ident.Request) (term.Verdict, *proto.Answer) {
+func (m *Manager) Claim(shard int, key string, minted time.Time, sum [32]byte, r ident.Request) (term.Decision, *proto.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -286,7 +286,7 @@
 
 // Finish records the end of a request whose key is in a shard that this VM holds or
 // is handing over.
-func (m *Keeper) Finish(shard int, key string, r ident.Request, ran bool, answer *proto.Answer) {
+func (m *Manager) Finish(shard int, key string, r ident.Request, ran bool, answer *proto.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range []*holding{m.held[shard], m.handingOver[shard]} {
@@ -298,16 +298,16 @@
 
 // Ready reports whether this VM's term has begun on every shard assigned to it, so that
 // it does not reject a key created now.
-func (m *Keeper) Settled() bool {
+func (m *Manager) Ready() bool {
 	live := m.fleet.View().Live
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for s := range Shards {
-		owner, ok := HomeOf(s, live)
+	for s := range Count {
+		owner, ok := AssignedOwner(s, live)
 		if !ok || owner.Name != m.vm {
 			continue
 		}
-		if h := m.held[s]; h == nil || !h.shard.Begun(time.Now()) {
+		if h := m.held[s]; h == nil || !h.shard.Started(time.Now()) {
 			return false
 		}
 	}
@@ -315,7 +315,7 @@
 }
 
 // Held returns the number of shards that this VM holds and the number of claims in them.
-func (m *Keeper) Held() (shards, claims int) {
+func (m *Manager) Held() (shards, claims int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range m.held {
