--- a/internal/state/keeper/manager_test.go
+++ b/internal/state/shards/manager_test.go
@@ -1,4 +1,4 @@
-package keeper
+package shards
 
 import (
 	"context"
@@ -24,17 +24,17 @@
 // fakeStore is an in-memory store with injected faults.
 type fakeStore struct {
 	table *table.Table
-	fail  func(call string) store.Fault
+	fail  func(call string) store.ErrorKind
 	// onCall, if set, is called during each get and put, for a put after it has taken
 	// effect and before its reply.
 	onCall func(call string)
 }
 
-const noFault = store.Fault(255)
+const noFault = store.ErrorKind(255)
 
 func (m *fakeStore) faultOf(call string) error {
 	if f := m.fail(call); f != noFault {
-		return &store.Error{Fault: f, Err: errors.New(call)}
+		return &store.Error{Kind: f, Err: errors.New(call)}
 	}
 	return nil
 }
@@ -49,23 +49,23 @@
 	m.delay("get")
 	it, ok := m.table.Get(path, time.Now())
 	if !ok {
-		return store.Item{}, &store.Error{Fault: store.Missing, Err: errors.New(path)}
+		return store.Item{}, &store.Error{Kind: store.NotFound, Err: errors.New(path)}
 	}
 	return store.Item{Path: path, Revision: it.Revision, Value: it.Value}, m.faultOf("get")
 }
 
 func (m *fakeStore) Put(_ context.Context, path string, value []byte, want, lease uint64) (uint64, error) {
 	fault := m.fail("put")
-	if fault == store.Down || fault == store.Budget {
-		return 0, &store.Error{Fault: fault, Err: errors.New("put")}
+	if fault == store.Unavailable || fault == store.BudgetExhausted {
+		return 0, &store.Error{Kind: fault, Err: errors.New("put")}
 	}
 	rev, ok := m.table.Put(path, value, want, lease, time.Now())
 	if !ok {
-		return 0, &store.Error{Fault: store.Conflict, Err: errors.New(path)}
+		return 0, &store.Error{Kind: store.Conflict, Err: errors.New(path)}
 	}
 	m.delay("put")
 	if fault != noFault {
-		return 0, &store.Error{Fault: fault, Err: errors.New("put")}
+		return 0, &store.Error{Kind: fault, Err: errors.New("put")}
 	}
 	return rev, nil
 }
@@ -75,13 +75,13 @@
 		return err
 	}
 	if !m.table.Delete(path, want, time.Now()) {
-		return &store.Error{Fault: store.Conflict, Err: errors.New(path)}
+		return &store.Error{Kind: store.Conflict, Err: errors.New(path)}
 	}
 	return nil
 }
 
 func (m *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
-	return store.Lease{ID: m.table.Grant(ttl, time.Now()), Now: time.Now()}, m.faultOf("grant")
+	return store.Lease{ID: m.table.Grant(ttl, time.Now()), StoreTime: time.Now()}, m.faultOf("grant")
 }
 
 func (m *fakeStore) Renew(_ context.Context, id uint64) (store.Lease, error) {
@@ -89,9 +89,9 @@
 		return store.Lease{}, err
 	}
 	if !m.table.Renew(id, time.Now()) {
-		return store.Lease{}, &store.Error{Fault: store.Missing, Err: errors.New("lapsed")}
+		return store.Lease{}, &store.Error{Kind: store.NotFound, Err: errors.New("lapsed")}
 	}
-	return store.Lease{ID: id, Now: time.Now()}, nil
+	return store.Lease{ID: id, StoreTime: time.Now()}, nil
 }
 
 func (m *fakeStore) Revoke(_ context.Context, id uint64) error {
@@ -102,7 +102,7 @@
 // cluster holds the managers of a test, provides their membership and carries handovers.
 type cluster struct {
 	live          []member.Member
-	managers      map[ident.VM]*Keeper
+	managers      map[ident.VM]*Manager
 	handoversFail bool // handovers fail
 }
 
@@ -116,14 +116,14 @@
 }
 
 func newCluster(m *fakeStore, n int) *cluster {
-	c := &cluster{managers: map[ident.VM]*Keeper{}}
+	c := &cluster{managers: map[ident.VM]*Manager{}}
 	for i := range n {
 		c.add(m, i)
 	}
 	return c
 }
 
-func (c *cluster) add(m *fakeStore, i int) *Keeper {
+func (c *cluster) add(m *fakeStore, i int) *Manager {
 	name := ident.VM(fmt.Sprintf("vm-%d", i))
 	c.live = append(c.live, member.Member{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	c.managers[name] = New(name, 10*time.Second, m, c, c, zap.NewNop())
@@ -147,7 +147,7 @@
 		n, _ := k.Held()
 		total += n
 	}
-	assert.Equal(t, total, Shards)
+	assert.Equal(t, total, Count)
 }
 
 // assertStoreNamesHolders fails the test unless the store names each holder at the
@@ -162,11 +162,11 @@
 	}
 }
 
-func noFaults(string) store.Fault { return noFault }
+func noFaults(string) store.ErrorKind { return noFault }
 
 // failOnly returns a fail function under which each call of one kind fails.
-func failOnly(kind string, f store.Fault) func(string) store.Fault {
-	return func(call string) store.Fault {
+func failOnly(kind string, f store.ErrorKind) func(string) store.ErrorKind {
+	return func(call string) store.ErrorKind {
 		if call == kind {
 			return f
 		}
@@ -193,20 +193,20 @@
 			c.runRounds(4)
 			old := c.managers["vm-0"]
 			minted := time.Now()
-			for s := range Shards {
+			for s := range Count {
 				v, _ := old.Claim(s, "k", minted, [32]byte{}, "r1")
-				assert.Equal(t, v, term.Run)
+				assert.Equal(t, v, term.Granted)
 			}
 			joined := c.add(m, 1)
 			joined.round(context.Background())
 			c.runRounds(3)
 			c.assertAllHeld(t)
 			n, claims := joined.Held()
-			assert.Assert(t, n > Shards/4 && claims == n, "%d shards, %d claims", n, claims)
-			for s := range Shards {
+			assert.Assert(t, n > Count/4 && claims == n, "%d shards, %d claims", n, claims)
+			for s := range Count {
 				for _, k := range c.managers {
 					if v, _ := k.Claim(s, "k", minted, [32]byte{}, "r2"); v != term.NotHolder {
-						assert.Equal(t, v, term.Running)
+						assert.Equal(t, v, term.InProgress)
 					}
 				}
 			}
@@ -219,7 +219,7 @@
 			c.runRounds(4)
 			c.add(m, 1)
 			c.handoversFail = true
-			m.fail = failOnly("delete", store.Down)
+			m.fail = failOnly("delete", store.Unavailable)
 			c.runRounds(3)
 			m.fail = noFaults
 			c.runRounds(12) // the handover is retried until handoverTimeout
@@ -233,7 +233,7 @@
 			c.runRounds(4)
 			c.add(m, 1)
 			c.handoversFail = true
-			m.fail = failOnly("delete", store.Down)
+			m.fail = failOnly("delete", store.Unavailable)
 			c.runRounds(9) // shards are to be released, and remain in the store
 			c.live = c.live[:1]
 			c.runRounds(6)
@@ -245,18 +245,18 @@
 	t.Run("hold a shard whose acquisition lost its reply", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			m := newFakeStore()
-			m.fail = failOnly("put", store.Unknown)
+			m.fail = failOnly("put", store.OutcomeUnknown)
 			c := newCluster(m, 2)
 			c.runRounds(8)
 			c.assertAllHeld(t)
 		})
 	})
 	t.Run("release a partly acquired shard whose assigned owner has changed", func(t *testing.T) {
-		for call, lost := range map[string]store.Fault{"renew": store.Budget, "put": store.Unknown} {
+		for call, lost := range map[string]store.ErrorKind{"renew": store.BudgetExhausted, "put": store.OutcomeUnknown} {
 			synctest.Test(t, func(t *testing.T) {
 				m := newFakeStore()
 				c := newCluster(m, 1)
-				m.fail = func(c string) store.Fault {
+				m.fail = func(c string) store.ErrorKind {
 					if c == call || c == "get" {
 						return lost
 					}
@@ -276,10 +276,10 @@
 			c := newCluster(m, 1)
 			c.runRounds(4)
 			k := c.managers["vm-0"]
-			m.fail = func(string) store.Fault { return store.Down }
+			m.fail = func(string) store.ErrorKind { return store.Unavailable }
 			time.Sleep(7 * time.Second)
 			v, _ := k.Claim(0, "before", time.Now(), [32]byte{}, "r")
-			assert.Equal(t, v, term.Run, "an outage shorter than the lease has no effect")
+			assert.Equal(t, v, term.Granted, "an outage shorter than the lease has no effect")
 			time.Sleep(4 * time.Second)
 			v, _ = k.Claim(0, "after", time.Now(), [32]byte{}, "r")
 			assert.Equal(t, v, term.NotHolder)
@@ -287,7 +287,7 @@
 			c.runRounds(8)
 			c.assertAllHeld(t)
 			v, _ = k.Claim(0, "before", time.Now(), [32]byte{}, "r2")
-			assert.Equal(t, v, term.Run, "the key was minted in the new term")
+			assert.Equal(t, v, term.Granted, "the key was minted in the new term")
 		})
 	})
 	t.Run("a VM that leaves hands over all shards", func(t *testing.T) {
@@ -296,7 +296,7 @@
 			c.runRounds(4)
 			leaving := c.managers["vm-1"]
 			c.live = append(c.live[:1:1], c.live[2:]...)
-			leaving.Leave(context.Background())
+			leaving.HandOverAll(context.Background())
 			n, _ := leaving.Held()
 			assert.Equal(t, n, 0)
 			c.assertAllHeld(t)
@@ -310,20 +310,20 @@
 			leaving := c.managers["vm-1"]
 			_, minted := leaving.claimAll()
 			used := 0
-			m.fail = func(call string) store.Fault {
+			m.fail = func(call string) store.ErrorKind {
 				if call != "put" {
 					return noFault
 				}
 				if used++; used%8 == 0 { // the token bucket is empty
-					return store.Budget
+					return store.BudgetExhausted
 				}
 				return noFault
 			}
 			c.live = c.live[:1]
-			leaving.Leave(context.Background())
-			for s := range Shards {
+			leaving.HandOverAll(context.Background())
+			for s := range Count {
 				v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again")
-				assert.Assert(t, v == term.Run || v == term.Running, "shard %d lost its claims: %d", s, v)
+				assert.Assert(t, v == term.Granted || v == term.InProgress, "shard %d lost its claims: %d", s, v)
 			}
 		})
 	})
@@ -333,13 +333,13 @@
 			c := newCluster(m, 2)
 			c.runRounds(4)
 			n, minted := c.managers["vm-1"].claimAll()
-			m.fail = failOnly("put", store.Unknown)
+			m.fail = failOnly("put", store.OutcomeUnknown)
 			leaving := c.managers["vm-1"]
 			c.live = c.live[:1]
-			leaving.Leave(context.Background())
+			leaving.HandOverAll(context.Background())
 			kept := 0
-			for s := range Shards {
-				if v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again"); v == term.Running {
+			for s := range Count {
+				if v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again"); v == term.InProgress {
 					kept++
 				}
 			}
@@ -373,14 +373,14 @@
 				}
 			}
 			joined.acquire(context.Background(), shard)
-			time.Sleep(3 * term.Margin)
+			time.Sleep(3 * term.MaxClockSkew)
 			minted := time.Now()
 			before, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r1")
 			<-handedOver
 			after, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r2")
-			assert.Assert(t, before != term.Run || after != term.Run, "the key was allowed to run twice")
+			assert.Assert(t, before != term.Granted || after != term.Granted, "the key was allowed to run twice")
 			v, _ := joined.Claim(shard, "new", time.Now(), [32]byte{}, "r3")
-			assert.Equal(t, v, term.Run, "the shard must be handed over in the end")
+			assert.Equal(t, v, term.Granted, "the shard must be handed over in the end")
 		})
 	})
 	t.Run("a shard that is offered again after its next handover started", func(t *testing.T) {
@@ -400,7 +400,7 @@
 				assert.Assert(t, offer())
 				minted := time.Now()
 				v, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r1")
-				assert.Equal(t, v, term.Run)
+				assert.Equal(t, v, term.Granted)
 				assert.Assert(t, offer(), "an offer whose reply was lost is retried")
 				joined.startHandover(shard, time.Now())
 				if step == "releasing" {
@@ -444,10 +444,10 @@
 
 // claimAll claims one key in each shard that m holds, and returns the number of
 // successful claims and the time at which the keys were minted.
-func (m *Keeper) claimAll() (n int, minted time.Time) {
+func (m *Manager) claimAll() (n int, minted time.Time) {
 	minted = time.Now()
-	for s := range Shards {
-		if v, _ := m.Claim(s, "k", minted, [32]byte{}, "first"); v == term.Run {
+	for s := range Count {
+		if v, _ := m.Claim(s, "k", minted, [32]byte{}, "first"); v == term.Granted {
 			n++
 		}
 	}
@@ -455,17 +455,17 @@
 }
 
 // assignedShards returns the shards whose assigned owner is this VM.
-func (m *Keeper) assignedShards() []int {
+func (m *Manager) assignedShards() []int {
 	var out []int
-	for s := range Shards {
-		if owner, ok := HomeOf(s, m.fleet.View().Live); ok && owner.Name == m.vm {
+	for s := range Count {
+		if owner, ok := AssignedOwner(s, m.fleet.View().Live); ok && owner.Name == m.vm {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func TestLapseByEitherClock(t *testing.T) {
+func TestExpiryByEitherClock(t *testing.T) {
 	now := time.Now()
 	lease := expiry{at: now.Add(time.Second)}
 	assert.Assert(t, lease.valid(now))
--- a/internal/state/backs/drain.go
+++ b/internal/state/srvtab/drain.go
@@ -1,4 +1,4 @@
-package backs
+package srvtab
 
 import (
 	"slices"
@@ -42,13 +42,13 @@
 
 // MarkDraining records that a server has reported that it is draining. It reports whether
 // the drain was unknown before.
-func (t *Table) Drain(id ident.Server, now time.Time) bool {
-	return len(t.Drains([]ident.Server{id}, true, now)) > 0
+func (t *Table) MarkDraining(id ident.Server, now time.Time) bool {
+	return len(t.MarkAllDraining([]ident.Server{id}, true, now)) > 0
 }
 
 // MarkAllDraining records that servers are draining and returns those whose drain was
 // unknown before. If announce is set, this VM announces the drains to other VMs.
-func (t *Table) Drains(ids []ident.Server, announce bool, now time.Time) []ident.Server {
+func (t *Table) MarkAllDraining(ids []ident.Server, announce bool, now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []ident.Server
@@ -86,7 +86,7 @@
 // DrainsToAnnounce returns the servers whose drain this VM announces, latest first. It
 // learned of these drains from the servers or, as a hub, from other VMs. A drain is
 // announced until the server's entry confirms it.
-func (t *Table) Draining(now time.Time) []ident.Server {
+func (t *Table) DrainsToAnnounce(now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []ident.Server
--- a/internal/state/backs/table.go
+++ b/internal/state/srvtab/table.go
@@ -1,4 +1,4 @@
-package backs
+package srvtab
 
 import (
 	"maps"
@@ -12,14 +12,14 @@
 
 // ReregisterTime is the longest time that a live server needs to write its entry
 // again after a store outage in which the entry expired. The platform specifies 2 s.
-const ReturnTime = 2 * time.Second
+const ReregisterTime = 2 * time.Second
 
 // Entry is a server's registration in the store.
 type Entry struct {
 	ID      ident.Server
 	Service ident.Service
 	Addr    netip.AddrPort
-	Domain  ident.Domain
+	Domain  ident.FailureDomain
 	Slots   int
 	Leaving bool
 }
@@ -32,10 +32,10 @@
 }
 
 // Retired returns a channel that is closed once the server accepts no new work.
-func (s *Server) Leave() <-chan struct{} { return s.retired }
+func (s *Server) Retired() <-chan struct{} { return s.retired }
 
 // IsRetired reports whether the server accepts no new work.
-func (s *Server) Left() bool {
+func (s *Server) IsRetired() bool {
 	select {
 	case <-s.retired:
 		return true
@@ -151,7 +151,7 @@
 	if !ok || known == id {
 		return true
 	}
-	if id.Born().Before(known.Born()) {
+	if id.StartTime().Before(known.StartTime()) {
 		return false
 	}
 	t.dropAndAnnounce(known)
@@ -182,7 +182,7 @@
 // ApplyRetired drops servers that another VM reports as retired, and returns those that
 // were in use here. If forward is set, they are announced to other VMs as if this VM had
 // seen them leave.
-func (t *Table) Receive(ids []ident.Server, forward bool) []ident.Server {
+func (t *Table) ApplyRetired(ids []ident.Server, forward bool) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var left []ident.Server
@@ -205,7 +205,7 @@
 
 // MarkReplaced drops a server at whose address another server answers. It reports
 // whether the server was in use here.
-func (t *Table) Left(id ident.Server) bool {
+func (t *Table) MarkReplaced(id ident.Server) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.servers[id]; s == nil || s.Leaving {
@@ -219,7 +219,7 @@
 
 // RetiredToAnnounce returns the servers that this VM announces as retired: those that it
 // has recently seen leave or, as a hub, learned of from other VMs.
-func (t *Table) Leaving(now time.Time) []ident.Server {
+func (t *Table) RetiredToAnnounce(now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []ident.Server
--- a/internal/state/backs/table_test.go
+++ b/internal/state/srvtab/table_test.go
@@ -1,4 +1,4 @@
-package backs
+package srvtab
 
 import (
 	"testing"
@@ -26,7 +26,7 @@
 
 func isRetired(s *Server) bool {
 	select {
-	case <-s.Leave():
+	case <-s.Retired():
 		return true
 	default:
 		return false
@@ -56,8 +56,8 @@
 		assertUsable(t, tab, "b")
 		assert.Assert(t, isRetired(s))
 		assert.Equal(t, announced, 1)
-		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{"a"})
-		assert.Equal(t, len(tab.Leaving(now.Add(time.Minute))), 0)
+		assert.DeepEqual(t, tab.RetiredToAnnounce(now), []ident.Server{"a"})
+		assert.Equal(t, len(tab.RetiredToAnnounce(now.Add(time.Minute))), 0)
 	})
 	t.Run("removing an entry retires its server", func(t *testing.T) {
 		tab := newTable()
@@ -68,7 +68,7 @@
 	})
 	t.Run("a server stays usable for the grace period after its entry expires in an outage", func(t *testing.T) {
 		tab := newTable()
-		until := now.Add(ReturnTime)
+		until := now.Add(ReregisterTime)
 		tab.Remove("a", until, now)
 		assertUsable(t, tab, "a", "b")
 		assert.Equal(t, len(tab.Expire(until.Add(-1))), 0)
@@ -78,7 +78,7 @@
 	})
 	t.Run("an expired entry is written again", func(t *testing.T) {
 		tab := newTable()
-		until := now.Add(ReturnTime)
+		until := now.Add(ReregisterTime)
 		tab.Replace([]Entry{server("b")}, until, now)
 		tab.Put(server("a"))
 		assert.Equal(t, len(tab.Expire(until)), 0)
@@ -92,18 +92,18 @@
 	t.Run("a removal seen by another VM does not override a later entry", func(t *testing.T) {
 		other, tab := newTable(), newTable()
 		other.Remove("a", time.Time{}, now)
-		tab.Remove("a", now.Add(ReturnTime), now)
+		tab.Remove("a", now.Add(ReregisterTime), now)
 		tab.Put(server("a"))
-		tab.Receive(other.Leaving(now), true)
+		tab.ApplyRetired(other.RetiredToAnnounce(now), true)
 		assertUsable(t, tab, "a", "b")
 	})
 	t.Run("retired servers reported by another VM", func(t *testing.T) {
 		tab := newTable()
-		assert.DeepEqual(t, tab.Receive([]ident.Server{"a", "unknown"}, false), []ident.Server{"a"})
+		assert.DeepEqual(t, tab.ApplyRetired([]ident.Server{"a", "unknown"}, false), []ident.Server{"a"})
 		assertUsable(t, tab, "b")
-		assert.Equal(t, len(tab.Leaving(now)), 0, "reports are not forwarded")
-		tab.Receive([]ident.Server{"b"}, true)
-		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{"b"}) // a hub forwards them
+		assert.Equal(t, len(tab.RetiredToAnnounce(now)), 0, "reports are not forwarded")
+		tab.ApplyRetired([]ident.Server{"b"}, true)
+		assert.DeepEqual(t, tab.RetiredToAnnounce(now), []ident.Server{"b"}) // a hub forwards them
 	})
 }
 
@@ -126,13 +126,13 @@
 		assertUsable(t, tab, string(second.ID))
 		assert.Assert(t, isRetired(old), "calls running on the earlier start have ended")
 		assert.Assert(t, !isRetired(tab.View().Server(second.ID)))
-		assert.DeepEqual(t, tab.Leaving(now), []ident.Server{first.ID})
+		assert.DeepEqual(t, tab.RetiredToAnnounce(now), []ident.Server{first.ID})
 	})
 	t.Run("late updates about the earlier start are ignored", func(t *testing.T) {
 		tab, _ := newTable()
 		tab.Put(second)
 		assert.Assert(t, !tab.Put(first))
-		tab.Receive([]ident.Server{first.ID}, false)
+		tab.ApplyRetired([]ident.Server{first.ID}, false)
 		tab.Replace([]Entry{first}, time.Time{}, now)
 		assertUsable(t, tab, string(second.ID))
 	})
@@ -147,7 +147,7 @@
 	})
 	t.Run("an entry that expired in an outage is written again by a later start", func(t *testing.T) {
 		tab, old := newTable()
-		until := now.Add(ReturnTime)
+		until := now.Add(ReregisterTime)
 		tab.Remove("a", until, now)
 		tab.Put(second)
 		assert.Equal(t, len(tab.Expire(until)), 0)
@@ -180,9 +180,9 @@
 	}
 	t.Run("an entry that shows it as ready does not return it to service", func(t *testing.T) {
 		table := newTable()
-		leave := table.View().Server("a").Leave()
-		assert.Assert(t, table.Drain("a", now))
-		assert.Assert(t, !table.Drain("a", now), "the drain is already known")
+		leave := table.View().Server("a").Retired()
+		assert.Assert(t, table.MarkDraining("a", now))
+		assert.Assert(t, !table.MarkDraining("a", now), "the drain is already known")
 		<-leave
 		assertInUse(t, table, 1)
 		table.Put(ready("a"))
@@ -207,23 +207,23 @@
 	})
 	t.Run("a drain is announced until the entry confirms it", func(t *testing.T) {
 		table := newTable()
-		table.Drain("a", now)
+		table.MarkDraining("a", now)
 		later := now.Add(10 * retireAnnounceTime)
-		assert.DeepEqual(t, table.Draining(later), []ident.Server{"a"})
+		assert.DeepEqual(t, table.DrainsToAnnounce(later), []ident.Server{"a"})
 		table.Put(Entry{ID: "a", Service: "s", Leaving: true})
-		assert.Equal(t, len(table.Draining(later)), 0)
+		assert.Equal(t, len(table.DrainsToAnnounce(later)), 0)
 	})
 	t.Run("a reported drain is forwarded on request", func(t *testing.T) {
 		table := newTable()
-		assert.DeepEqual(t, table.Drains([]ident.Server{"a"}, false, now), []ident.Server{"a"})
+		assert.DeepEqual(t, table.MarkAllDraining([]ident.Server{"a"}, false, now), []ident.Server{"a"})
 		assertInUse(t, table, 1)
-		assert.Equal(t, len(table.Draining(now)), 0)
-		assert.Equal(t, len(table.Drains([]ident.Server{"a"}, true, now)), 0)
-		assert.DeepEqual(t, table.Draining(now), []ident.Server{"a"})
+		assert.Equal(t, len(table.DrainsToAnnounce(now)), 0)
+		assert.Equal(t, len(table.MarkAllDraining([]ident.Server{"a"}, true, now)), 0)
+		assert.DeepEqual(t, table.DrainsToAnnounce(now), []ident.Server{"a"})
 	})
 	t.Run("a drain reported before the server is known", func(t *testing.T) {
 		table := newTable()
-		table.Drains([]ident.Server{"c"}, false, now)
+		table.MarkAllDraining([]ident.Server{"c"}, false, now)
 		table.Put(ready("c"))
 		assertInUse(t, table, 2)
 	})
--- a/internal/state/spread/current.go
+++ b/internal/state/syncer/current.go
@@ -1,4 +1,4 @@
-package spread
+package syncer
 
 import (
 	"sync"
@@ -12,8 +12,8 @@
 
 // Current holds the snapshot in force. It is safe for concurrent use, and Load is
 // one atomic read.
-type Book struct {
-	invariants *invar.Book
+type Current struct {
+	invariants *invar.Checker
 	snapshot   atomic.Pointer[config.Snapshot]
 
 	mu       sync.Mutex
@@ -21,28 +21,28 @@
 }
 
 // NewCurrent returns a Current with no settings in force.
-func NewBook(invariants *invar.Book) *Book {
-	b := &Book{invariants: invariants}
+func NewCurrent(invariants *invar.Checker) *Current {
+	b := &Current{invariants: invariants}
 	b.snapshot.Store(config.New())
 	return b
 }
 
 // Load returns the snapshot in force.
-func (b *Book) Load() *config.Snapshot { return b.snapshot.Load() }
+func (b *Current) Load() *config.Snapshot { return b.snapshot.Load() }
 
 // Apply puts those of docs in force that are newer, as config.Snapshot.With does,
 // and reports whether anything changed.
-func (b *Book) Apply(docs []config.Document) (bool, error) {
+func (b *Current) Apply(docs []config.Document) (bool, error) {
 	return b.update(func(s *config.Snapshot) (*config.Snapshot, error) { return s.With(docs...) })
 }
 
 // Merge puts those of docs in force that are newer, as config.Snapshot.Merge does,
 // and reports whether anything changed.
-func (b *Book) Merge(upTo uint64, docs []config.Document) (bool, error) {
+func (b *Current) Merge(upTo uint64, docs []config.Document) (bool, error) {
 	return b.update(func(s *config.Snapshot) (*config.Snapshot, error) { return s.Merge(upTo, docs...) })
 }
 
-func (b *Book) update(apply func(*config.Snapshot) (*config.Snapshot, error)) (bool, error) {
+func (b *Current) update(apply func(*config.Snapshot) (*config.Snapshot, error)) (bool, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.snapshot.Load()
@@ -63,7 +63,7 @@
 
 // Watch calls f with the snapshot in force now and with each later one, in
 // order. f must not call Apply, Merge or Watch, which would deadlock.
-func (b *Book) Watch(f func(*config.Snapshot)) {
+func (b *Current) Watch(f func(*config.Snapshot)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.watchers = append(b.watchers, f)
--- a/internal/state/spread/doc.go
+++ b/internal/state/syncer/doc.go
@@ -5,4 +5,4 @@
 // never decrease. A Follower keeps it up to date: from the platform's key-value
 // service if this VM is one of the watchers of its failure domain, and from
 // other VMs otherwise.
-package spread
+package syncer
--- a/internal/state/spread/follower.go
+++ b/internal/state/syncer/follower.go
@@ -1,4 +1,4 @@
-package spread
+package syncer
 
 import (
 	"context"
@@ -52,10 +52,10 @@
 // with all newer documents. Documents that were written while the store could
 // not be read are in force ahead of the revision.
 type Follower struct {
-	current       *Book
+	current       *Current
 	store         Reader
 	peers         Puller
-	fleet         *fleet.Fleet
+	fleet         *fleet.Membership
 	group         Group
 	log           *zap.Logger
 	mu            sync.Mutex
@@ -66,7 +66,7 @@
 }
 
 // NewFollower returns a follower. SetFleet must be called before any other method.
-func NewFollower(current *Book, s Reader, p Puller, g Group, log *zap.Logger, rng *rand.Rand) *Follower {
+func NewFollower(current *Current, s Reader, p Puller, g Group, log *zap.Logger, rng *rand.Rand) *Follower {
 	return &Follower{
 		current: current,
 		store:   s,
@@ -80,15 +80,15 @@
 
 // SetFleet sets the membership. It is not an argument of NewFollower because the
 // membership is created with methods of the follower.
-func (f *Follower) Start(fl *fleet.Fleet) { f.fleet = fl }
+func (f *Follower) SetFleet(fl *fleet.Membership) { f.fleet = fl }
 
 // Revision returns the revision of the settings in force.
 func (f *Follower) Revision() uint64 { return f.current.Load().Revision }
 
 // SettingsVersion describes the settings in force on this VM for other VMs.
-func (f *Follower) Mark() member.Mark {
+func (f *Follower) SettingsVersion() member.SettingsVersion {
 	s := f.current.Load()
-	return member.Mark{Revision: s.Revision, Ahead: s.Ahead}
+	return member.SettingsVersion{Revision: s.Revision, Ahead: s.Ahead}
 }
 
 // Run keeps the settings up to date until ctx is done. A watcher watches the
@@ -100,7 +100,7 @@
 			f.watchOnce(ctx)
 			continue
 		}
-		retry.Pause(ctx, checkInterval)
+		retry.Sleep(ctx, checkInterval)
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 func (f *Follower) isWatcher() bool {
 	v := f.fleet.View()
 	key := watchKey + string(v.Self.Domain)
-	for _, m := range member.Top(key, v.Domain(v.Self.Domain), watchersPerDomain) {
+	for _, m := range member.TopOwners(key, v.InDomain(v.Self.Domain), watchersPerDomain) {
 		if m.Name == v.Self.Name {
 			return true
 		}
@@ -120,7 +120,7 @@
 // isIsolated reports whether this VM has no settings yet or receives nothing
 // from other VMs.
 func (f *Follower) isIsolated() bool {
-	return f.current.Load().System == nil || time.Since(f.fleet.Heard()) > isolatedAfter
+	return f.current.Load().System == nil || time.Since(f.fleet.LastSeen()) > isolatedAfter
 }
 
 // watchOnce makes one watch request to the store. A VM that is not a watcher
@@ -140,7 +140,7 @@
 	f.mu.Unlock()
 	f.applyItems(items, rev)
 	if wait == 0 {
-		retry.Pause(ctx, f.jitter(isolatedAfter))
+		retry.Sleep(ctx, f.jitter(isolatedAfter))
 	}
 }
 
@@ -150,14 +150,14 @@
 func (f *Follower) handleFailure(ctx context.Context, err error) {
 	f.mu.Lock()
 	f.failures++
-	d := retry.Delay(f.rng, f.failures, retryBase, retryLimit)
+	d := retry.Backoff(f.rng, f.failures, retryBase, retryLimit)
 	f.mu.Unlock()
 	f.log.Debug("failed to watch store", zap.Error(err))
 	if f.current.Load().System == nil {
 		f.pullFromAny(ctx)
 		d = min(d, time.Second)
 	}
-	retry.Pause(ctx, d)
+	retry.Sleep(ctx, d)
 }
 
 // pullFromAny pulls from the live VMs until one of them provides settings.
@@ -210,13 +210,13 @@
 	}
 	if changed {
 		v := f.fleet.View()
-		f.fleet.Notify(v.Domain(v.Self.Domain))
+		f.fleet.SendUpdates(v.InDomain(v.Self.Domain))
 	}
 }
 
 // ApplyWritten puts a document in force that was written through this VM, and
 // notifies other VMs. It works also while no VM can read the store.
-func (f *Follower) Accepted(d config.Document) {
+func (f *Follower) ApplyWritten(d config.Document) {
 	f.notifyDomain(f.current.Merge(0, []config.Document{d}))
 }
 
@@ -233,8 +233,8 @@
 
 // HandlePeerVersion processes the settings version of another VM, and pulls the
 // settings from that VM if this one may lack some of them.
-func (f *Follower) Heard(from member.Member, theirs member.Mark) {
-	ours := f.Mark()
+func (f *Follower) HandlePeerVersion(from member.Member, theirs member.SettingsVersion) {
+	ours := f.SettingsVersion()
 	if theirs.Revision <= ours.Revision && (theirs.Ahead == 0 || theirs.Ahead == ours.Ahead) {
 		return
 	}
@@ -273,7 +273,7 @@
 
 // DocumentsAfter returns the documents in force that are newer than a revision, and
 // the revision up to which these are complete, for another VM's pull.
-func (f *Follower) Newer(after uint64) ([]config.Document, uint64) {
+func (f *Follower) DocumentsAfter(after uint64) ([]config.Document, uint64) {
 	s := f.current.Load()
 	var out []config.Document
 	for _, d := range s.Documents {
--- a/internal/state/spread/follower_test.go
+++ b/internal/state/syncer/follower_test.go
@@ -1,4 +1,4 @@
-package spread
+package syncer
 
 import (
 	"context"
@@ -49,9 +49,9 @@
 type vm struct {
 	cluster  *cluster
 	self     member.Member
-	current  *Book
-	invars   *invar.Book
-	fleet    *fleet.Fleet
+	current  *Current
+	invars   *invar.Checker
+	fleet    *fleet.Membership
 	follower *Follower
 	inbox    chan member.Packet
 	paused   bool // sends and receives nothing; packets are queued
@@ -64,18 +64,18 @@
 		list = append(list, member.Member{
 			Name:        ident.VM(fmt.Sprintf("vm-%d", i)),
 			Address:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 1),
-			Domain:      ident.Domain(fmt.Sprintf("fd-%d", i%2)),
+			Domain:      ident.FailureDomain(fmt.Sprintf("fd-%d", i%2)),
 			Incarnation: 1,
 		})
 	}
 	for i, m := range list {
-		d := &vm{cluster: c, self: m, invars: &invar.Book{}, inbox: make(chan member.Packet, 10_000)}
-		d.current = NewBook(d.invars)
+		d := &vm{cluster: c, self: m, invars: &invar.Checker{}, inbox: make(chan member.Packet, 10_000)}
+		d.current = NewCurrent(d.invars)
 		d.follower = NewFollower(d.current, d, d, &c.group, zap.NewNop(), rand.New(rand.NewPCG(seed, uint64(i+1))))
 		t := member.New(member.DefaultConfig(), m, rand.New(rand.NewPCG(seed, uint64(100+i))))
-		t.List(list, time.Now())
-		d.fleet = fleet.New(t, d, staticList(list), d.follower.Mark, d.follower.Heard)
-		d.follower.Start(d.fleet)
+		t.MergeList(list, time.Now())
+		d.fleet = fleet.New(t, d, staticList(list), d.follower.SettingsVersion, d.follower.HandlePeerVersion)
+		d.follower.SetFleet(d.fleet)
 		c.vms = append(c.vms, d)
 	}
 	for _, d := range c.vms {
@@ -182,7 +182,7 @@
 	d.cluster.mu.Unlock()
 	time.Sleep(slow)
 	if down {
-		return &store.Error{Fault: store.Down, Err: errors.New("down")}
+		return &store.Error{Kind: store.Unavailable, Err: errors.New("down")}
 	}
 	return nil
 }
@@ -227,7 +227,7 @@
 	for _, other := range d.cluster.vms {
 		if other.self.Name == from.Name {
 			other.waitWhilePaused()
-			docs, upTo := other.follower.Newer(after)
+			docs, upTo := other.follower.DocumentsAfter(after)
 			time.Sleep(wait)
 			return docs, upTo, nil
 		}
@@ -261,7 +261,7 @@
 	it, _ := c.table.Get(fmt.Sprintf("%s/workspaces/w%d", Prefix, name), time.Now())
 	doc, err := Decode(store.Item{Path: it.Path, Revision: it.Revision, Value: it.Value})
 	assert.NilError(t, err)
-	d.follower.Accepted(doc)
+	d.follower.ApplyWritten(doc)
 	return rev
 }
 
@@ -295,7 +295,7 @@
 // up to its revision; after the faults end, the last write must be in force on all
 // VMs in time.
 func TestSpread(t *testing.T) {
-	check.Checks(t, 60)
+	check.RapidChecks(t, 60)
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/state/spread/value.go
+++ b/internal/state/syncer/value.go
@@ -1,4 +1,4 @@
-package spread
+package syncer
 
 import (
 	"strings"
--- a/internal/state/term/shard.go
+++ b/internal/state/term/shard.go
@@ -12,17 +12,17 @@
 )
 
 // Decision is the decision of a shard's lease holder on a key.
-type Verdict uint8
+type Decision uint8
 
 // The decisions.
 const (
-	Run        Verdict = iota // this request may run
-	Replay                    // an earlier request completed; its response is returned
-	Running                   // an earlier request is running
-	MayHaveRun                // an earlier request may have run
-	Mismatch                  // the key was used for a different request before
-	FutureKey                 // the key's creation time is in the future
-	NotHolder                 // this VM does not hold the shard's lease now
+	Granted    Decision = iota // this request may run
+	Replay                     // an earlier request completed; its response is returned
+	InProgress                 // an earlier request is running
+	MayHaveRun                 // an earlier request may have run
+	Mismatch                   // the key was used for a different request before
+	FutureKey                  // the key's creation time is in the future
+	NotHolder                  // this VM does not hold the shard's lease now
 )
 
 const (
@@ -30,7 +30,7 @@
 	// is MayHaveRun.
 	Retention = time.Hour
 	// MaxClockSkew bounds the difference between any two clocks of the system.
-	Margin = 250 * time.Millisecond
+	MaxClockSkew = 250 * time.Millisecond
 	// lostAfter is how long after a claim its VM is presumed lost if it has not
 	// reported the end of the request.
 	lostAfter = 15 * time.Minute
@@ -57,15 +57,15 @@
 
 // New starts a term. now is the time by the store's clock.
 func New(now time.Time) *Shard {
-	return &Shard{start: now.Add(2 * Margin), claims: map[string]*claim{}}
+	return &Shard{start: now.Add(2 * MaxClockSkew), claims: map[string]*claim{}}
 }
 
 // Claim decides whether the request r may run for a key with the given creation
 // time, and returns the stored response if the decision is Replay. now is the time by
 // this VM's clock.
-func (s *Shard) Claim(key string, created time.Time, fingerprint [32]byte, r ident.Request, now time.Time) (Verdict, *proto.Answer) {
+func (s *Shard) Claim(key string, created time.Time, fingerprint [32]byte, r ident.Request, now time.Time) (Decision, *proto.Answer) {
 	s.evictExpired(now)
-	if created.After(now.Add(Margin)) {
+	if created.After(now.Add(MaxClockSkew)) {
 		return FutureKey, nil
 	}
 	if c := s.claims[key]; c != nil {
@@ -75,17 +75,17 @@
 		return MayHaveRun, nil
 	}
 	s.add(key, &claim{fingerprint: fingerprint, request: r, claimedAt: now})
-	return Run, nil
+	return Granted, nil
 }
 
-func (c *claim) decideAgain(fingerprint [32]byte, r ident.Request, now time.Time) (Verdict, *proto.Answer) {
+func (c *claim) decideAgain(fingerprint [32]byte, r ident.Request, now time.Time) (Decision, *proto.Answer) {
 	switch {
 	case c.fingerprint != fingerprint:
 		return Mismatch, nil
 	case c.request == r && !c.done:
-		return Run, nil // the same request claims the key again, having got no response
+		return Granted, nil // the same request claims the key again, having got no response
 	case !c.done && now.Sub(c.claimedAt) < lostAfter:
-		return Running, nil
+		return InProgress, nil
 	case c.response != nil:
 		return Replay, c.response
 	default:
@@ -119,7 +119,7 @@
 func (s *Shard) evictExpired(now time.Time) {
 	for len(s.byArrival) > 0 {
 		c := s.claims[s.byArrival[0]]
-		if c != nil && now.Sub(c.claimedAt) < Retention+2*Margin {
+		if c != nil && now.Sub(c.claimedAt) < Retention+2*MaxClockSkew {
 			return
 		}
 		delete(s.claims, s.byArrival[0])
@@ -128,7 +128,7 @@
 }
 
 // Started reports whether a key created at now falls into the term.
-func (s *Shard) Begun(now time.Time) bool { return now.After(s.start) }
+func (s *Shard) Started(now time.Time) bool { return now.After(s.start) }
 
 // Len returns the number of claims.
 func (s *Shard) Len() int { return len(s.claims) }
--- a/internal/state/term/shard_test.go
+++ b/internal/state/term/shard_test.go
@@ -50,11 +50,11 @@
 // and hand over a shard, and some of them are frozen until after their lease has
 // expired.
 func TestAtMostOnce(t *testing.T) {
-	check.Checks(t, 5000)
+	check.RapidChecks(t, 5000)
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{now: time.UnixMilli(1_000_000_000), grants: map[string]int{}, created: map[string]time.Time{}}
 		for range 3 {
-			half := int(Margin / 2 / time.Millisecond)
+			half := int(MaxClockSkew / 2 / time.Millisecond)
 			m.vms = append(m.vms, &vm{skew: time.Duration(rapid.IntRange(-half, half).Draw(t, "skew")) * time.Millisecond})
 		}
 		const ttl = 250 * time.Millisecond
@@ -101,7 +101,7 @@
 				}
 				shard, clock, created := h.shard, m.clock(h), m.created[key]
 				decide := func() {
-					if d, _ := shard.Claim(key, created, [32]byte{}, request, clock); d == Run {
+					if d, _ := shard.Claim(key, created, [32]byte{}, request, clock); d == Granted {
 						m.grants[key]++
 					}
 				}
@@ -130,19 +130,19 @@
 
 func TestVerdicts(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000)
-	created := now.Add(2*Margin + time.Millisecond)
+	created := now.Add(2*MaxClockSkew + time.Millisecond)
 	clock := created
 	fresh := func() *Shard { return New(now) }
 	a, b := [32]byte{1}, [32]byte{2}
-	decide := func(s *Shard, sum [32]byte, r string) Verdict {
+	decide := func(s *Shard, sum [32]byte, r string) Decision {
 		d, _ := s.Claim("k", created, sum, ident.Request(r), clock)
 		return d
 	}
 	t.Run("a second request waits for the first", func(t *testing.T) {
 		s := fresh()
-		assert.Equal(t, decide(s, a, "r1"), Run)
-		assert.Equal(t, decide(s, a, "r1"), Run, "the same request asks again")
-		assert.Equal(t, decide(s, a, "r2"), Running)
+		assert.Equal(t, decide(s, a, "r1"), Granted)
+		assert.Equal(t, decide(s, a, "r1"), Granted, "the same request asks again")
+		assert.Equal(t, decide(s, a, "r2"), InProgress)
 	})
 	t.Run("a second request gets the response of the first", func(t *testing.T) {
 		s := fresh()
@@ -162,7 +162,7 @@
 		s := fresh()
 		decide(s, a, "r1")
 		s.Finish("k", "r1", false, nil)
-		assert.Equal(t, decide(s, a, "r2"), Run)
+		assert.Equal(t, decide(s, a, "r2"), Granted)
 	})
 	t.Run("a key with another body is a mismatch", func(t *testing.T) {
 		s := fresh()
@@ -174,7 +174,7 @@
 		assert.Equal(t, d, MayHaveRun)
 	})
 	t.Run("a key from the future is refused", func(t *testing.T) {
-		d, _ := fresh().Claim("k", clock.Add(2*Margin), a, "r1", clock)
+		d, _ := fresh().Claim("k", clock.Add(2*MaxClockSkew), a, "r1", clock)
 		assert.Equal(t, d, FutureKey)
 	})
 	t.Run("a lost VM's claim does not stay running", func(t *testing.T) {
@@ -198,14 +198,14 @@
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("claims=%d", n), func(b *testing.B) {
 			now := time.Now()
-			before := check.Heap()
+			before := check.HeapInUse()
 			s := New(now.Add(-time.Minute))
 			keys := make([]string, n)
 			for i := range keys {
 				keys[i] = "installers/" + uuid.Must(uuid.NewV7()).String()
 				s.Claim(keys[i], now, [32]byte{}, ident.NewRequest(), now)
 			}
-			each := float64(check.Heap()-before) / float64(n)
+			each := float64(check.HeapInUse()-before) / float64(n)
 			i := 0
 			for b.Loop() {
 				s.Claim(keys[i%n], now, [32]byte{}, "r", now)
--- a/internal/state/loop/doc.go
+++ b/internal/state/watch/doc.go
@@ -2,4 +2,4 @@
 // for changes, except while other VMs report them.
 //
 // After any failure it reads everything again, because it may have missed a change.
-package loop
+package watch
--- a/internal/state/loop/loop.go
+++ b/internal/state/watch/loop.go
@@ -1,4 +1,4 @@
-package loop
+package watch
 
 import (
 	"context"
@@ -15,14 +15,14 @@
 	// ReadTimeout bounds a read as a whole, so that none lasts forever. A read that
 	// makes no progress is ended sooner by the source's idle timeout. The duration of
 	// a read depends on the amount of data and on the VM's link.
-	ReadLimit = 15 * time.Second
+	ReadTimeout = 15 * time.Second
 	// minBackoff is the pause after the first failed read, and after a failed wait for
 	// changes.
 	minBackoff = 50 * time.Millisecond
 	// MaxBackoff is the longest pause between failed reads. It keeps the time until a
 	// recovered store is found within a third of the 2 s in which a change must be in
 	// force.
-	LastPause = 400 * time.Millisecond
+	MaxBackoff = 400 * time.Millisecond
 	// standbyBackoff is the shortest pause between failed reads of VMs for which
 	// Source.ProbesStore is false. Others find out that the store has recovered.
 	standbyBackoff = 1500 * time.Millisecond
@@ -39,38 +39,38 @@
 // Source is the part of the store that is watched. R is the type of the revisions of its
 // changes; the zero revision means that there is none.
 type Source[R comparable] struct {
-	Name string
-	Wait time.Duration // how long the store holds a watch open if there are no changes
+	Name         string
+	WatchTimeout time.Duration // how long the store holds a watch open if there are no changes
 	// Pause returns how long to wait after a change, so that the next response contains
 	// several changes.
-	Rest func() time.Duration
+	Pause func() time.Duration
 	// CopyFromPeer copies everything from another VM and reports whether it succeeded.
-	Adopt func(ctx context.Context) bool
+	CopyFromPeer func(ctx context.Context) bool
 	// Read reads everything from the store and returns its revision.
 	Read func(ctx context.Context) (R, error)
 	// Watch waits for changes after a revision, applies them, and returns the new
 	// revision.
-	Await func(ctx context.Context, after R, wait time.Duration) (R, error)
+	Watch func(ctx context.Context, after R, wait time.Duration) (R, error)
 	// OnLost is called after each failed call to the store.
-	Lost func(now time.Time)
+	OnLost func(now time.Time)
 	// OnRecovered is called after the first successful read after a failure.
-	Back func(now time.Time)
+	OnRecovered func(now time.Time)
 	// Revision returns the revision up to which everything is known, or zero if
 	// everything has to be read.
-	Known func() R
+	Revision func() R
 	// Empty reports whether too little is known for this VM to work with while it
 	// receives changes from peers.
 	Empty func() bool
 	// Informed reports whether this VM receives changes from peers and need not watch
 	// the store.
-	Told func() bool
+	Informed func() bool
 	// ProbesStore reports whether this VM has to find out soon that the store has
 	// recovered.
-	First func() bool
+	ProbesStore func() bool
 }
 
 // Watcher watches a source.
-type Loop[R comparable] struct {
+type Watcher[R comparable] struct {
 	src  Source[R]
 	log  *zap.Logger
 	down bool
@@ -79,12 +79,12 @@
 }
 
 // New returns a Watcher of a source.
-func New[R comparable](src Source[R], log *zap.Logger) *Loop[R] {
-	return &Loop[R]{src: src, log: log}
+func New[R comparable](src Source[R], log *zap.Logger) *Watcher[R] {
+	return &Watcher[R]{src: src, log: log}
 }
 
 // Run watches the source until ctx is done.
-func (w *Loop[R]) Run(ctx context.Context) {
+func (w *Watcher[R]) Run(ctx context.Context) {
 	var none R
 	for rounds := 0; ctx.Err() == nil; rounds++ {
 		if w.deferToPeers(ctx) {
@@ -92,10 +92,10 @@
 			if w.src.Empty() {
 				pause = emptyCheckInterval
 			}
-			retry.Pause(ctx, pause)
+			retry.Sleep(ctx, pause)
 			continue
 		}
-		if w.src.Known() == none && w.src.Adopt(ctx) {
+		if w.src.Revision() == none && w.src.CopyFromPeer(ctx) {
 			continue
 		}
 		_, err := w.read(ctx)
@@ -109,26 +109,26 @@
 		err = w.watch(ctx)
 		if !errors.Is(err, errIncomplete) {
 			w.recordFailure(ctx, "wait", err)
-			retry.Pause(ctx, minBackoff)
+			retry.Sleep(ctx, minBackoff)
 		}
 	}
 }
 
 // deferToPeers reports whether this VM does not call the store because it receives
 // changes from peers. If it knows nothing yet, it copies everything from a peer.
-func (w *Loop[R]) deferToPeers(ctx context.Context) bool {
+func (w *Watcher[R]) deferToPeers(ctx context.Context) bool {
 	if !w.src.Empty() {
 		w.emptySince = time.Time{}
-		return w.src.Told()
+		return w.src.Informed()
 	}
 	now := time.Now()
 	if w.emptySince.IsZero() {
 		w.emptySince = now
 	}
-	if !w.src.Told() || now.Sub(w.emptySince) > peerTimeout {
+	if !w.src.Informed() || now.Sub(w.emptySince) > peerTimeout {
 		return false
 	}
-	w.src.Adopt(ctx)
+	w.src.CopyFromPeer(ctx)
 	return true
 }
 
@@ -138,38 +138,38 @@
 
 // backOff waits after a failed read. rounds is the number of rounds of Run since the last
 // successful read. The wait ends early once this VM receives changes from peers.
-func (w *Loop[R]) backOff(ctx context.Context, rounds int) {
-	d := min(minBackoff<<min(rounds, 8), LastPause)
-	if rounds > 0 && !w.src.First() {
+func (w *Watcher[R]) backOff(ctx context.Context, rounds int) {
+	d := min(minBackoff<<min(rounds, 8), MaxBackoff)
+	if rounds > 0 && !w.src.ProbesStore() {
 		d = standbyBackoff + rand.N(standbyBackoff)
 	}
 	for end := time.Now().Add(d); ctx.Err() == nil && time.Now().Before(end); {
-		if w.src.Told() {
+		if w.src.Informed() {
 			return
 		}
-		retry.Pause(ctx, min(checkInterval, time.Until(end)))
+		retry.Sleep(ctx, min(checkInterval, time.Until(end)))
 	}
 }
 
-func (w *Loop[R]) read(ctx context.Context) (R, error) {
-	ctx, cancel := context.WithTimeout(ctx, ReadLimit)
+func (w *Watcher[R]) read(ctx context.Context) (R, error) {
+	ctx, cancel := context.WithTimeout(ctx, ReadTimeout)
 	defer cancel()
 	return w.src.Read(ctx)
 }
 
 // watch waits for changes until a call fails, or until everything has to be read or copied
 // anew, in which case it returns errIncomplete.
-func (w *Loop[R]) watch(ctx context.Context) error {
+func (w *Watcher[R]) watch(ctx context.Context) error {
 	var none R
 	for ctx.Err() == nil {
-		if w.src.Told() {
+		if w.src.Informed() {
 			if w.src.Empty() {
 				return errIncomplete
 			}
-			retry.Pause(ctx, checkInterval)
+			retry.Sleep(ctx, checkInterval)
 			continue
 		}
-		rev := w.src.Known()
+		rev := w.src.Revision()
 		if rev == none {
 			return errIncomplete
 		}
@@ -178,24 +178,24 @@
 			return err
 		}
 		if next != rev {
-			retry.Pause(ctx, w.src.Rest())
+			retry.Sleep(ctx, w.src.Pause())
 		}
 	}
 	return ctx.Err()
 }
 
-func (w *Loop[R]) await(ctx context.Context, rev R) (R, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.src.Wait+ReadLimit)
+func (w *Watcher[R]) await(ctx context.Context, rev R) (R, error) {
+	ctx, cancel := context.WithTimeout(ctx, w.src.WatchTimeout+ReadTimeout)
 	defer cancel()
-	return w.src.Await(ctx, rev, w.src.Wait)
+	return w.src.Watch(ctx, rev, w.src.WatchTimeout)
 }
 
 // recordFailure records a failed call to the store and logs the first of several in a row.
-func (w *Loop[R]) recordFailure(ctx context.Context, call string, err error) {
+func (w *Watcher[R]) recordFailure(ctx context.Context, call string, err error) {
 	if ctx.Err() != nil || err == nil {
 		return
 	}
-	w.src.Lost(time.Now())
+	w.src.OnLost(time.Now())
 	if w.down {
 		return
 	}
@@ -203,11 +203,11 @@
 	w.log.Warn("store lost", zap.String("source", w.src.Name), zap.String("call", call), zap.Error(err))
 }
 
-func (w *Loop[R]) recordRecovery() {
+func (w *Watcher[R]) recordRecovery() {
 	if !w.down {
 		return
 	}
 	w.down = false
-	w.src.Back(time.Now())
+	w.src.OnRecovered(time.Now())
 	w.log.Info("store back", zap.String("source", w.src.Name))
 }
--- a/internal/test/check/check.go
+++ b/internal/test/check/check.go
@@ -16,7 +16,7 @@
 )
 
 // Invariants fails the test if any invariant was violated.
-func Invariants(t testing.TB, b *invar.Book) {
+func Invariants(t testing.TB, b *invar.Checker) {
 	t.Helper()
 	for _, n := range invar.All() {
 		assert.Equal(t, b.Count(n), uint64(0), "violations of %s", n)
@@ -33,7 +33,7 @@
 
 // FieldError fails the test unless err is a config.FieldError for the field at
 // path whose Want contains want.
-func Field(t testing.TB, err error, path, want string) {
+func FieldError(t testing.TB, err error, path, want string) {
 	t.Helper()
 	var f *config.FieldError
 	assert.Assert(t, errors.As(err, &f), "%v names no field", err)
@@ -42,7 +42,7 @@
 }
 
 // Eventually polls ok and fails the test unless it returns true within d.
-func Within(t testing.TB, d time.Duration, desc string, ok func() bool) {
+func Eventually(t testing.TB, d time.Duration, desc string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(d); ; time.Sleep(d / 200) {
 		if ok() {
@@ -56,7 +56,7 @@
 
 // HeapInUse returns the number of bytes allocated on the heap after a garbage
 // collection.
-func Heap() uint64 {
+func HeapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/test/check/seed.go
+++ b/internal/test/check/seed.go
@@ -20,7 +20,7 @@
 
 // RapidChecks makes rapid run n cases in this test instead of its default of
 // 100. A number set on the command line takes precedence.
-func Checks(t testing.TB, n int) {
+func RapidChecks(t testing.TB, n int) {
 	t.Helper()
 	old := flag.Lookup("rapid.checks").Value.String()
 	if old != "100" {
--- a/internal/test/stand/stand.go
+++ b/internal/test/inproc/stand.go
@@ -1,7 +1,7 @@
 // Package inproc runs a small fleet in the process of a test: entry VMs, and
 // fakes of the platform, the engines and the plain servers. It listens on
 // loopback addresses that the tests of other packages do not use.
-package stand
+package inproc
 
 import (
 	"context"
@@ -23,22 +23,22 @@
 
 	"umberladder/internal/fake/engine"
 	"umberladder/internal/fake/plain"
-	"umberladder/internal/fake/record"
-	"umberladder/internal/fake/roster"
+	"umberladder/internal/fake/runlog"
 	"umberladder/internal/fake/store"
+	"umberladder/internal/fake/vmlist"
 	"umberladder/internal/load/plan"
 	"umberladder/internal/proc/conf"
 	"umberladder/internal/proc/serve"
-	"umberladder/internal/state/spread"
+	"umberladder/internal/state/syncer"
 	"umberladder/internal/test/check"
 )
 
 // Fleet is a running fleet.
-type Stand struct {
-	Fleet   *plan.Fleet
-	Store   *store.Server
-	Engines []*engine.Engine
-	Plain   []*plain.Server
+type Fleet struct {
+	Layout       *plan.Fleet
+	Store        *store.Server
+	Engines      []*engine.Engine
+	PlainServers []*plain.Server
 
 	t        testing.TB
 	group    *errgroup.Group
@@ -53,15 +53,15 @@
 // until all are ready. If adjust is not nil, it is called with the settings of
 // each VM before the VM starts. When the test ends, New's cleanup stops the
 // fleet and fails the test if a VM logged a violated invariant.
-func New(t testing.TB, network, n int, adjust func(*conf.Node)) *Stand {
+func New(t testing.TB, network, n int, adjust func(*conf.Node)) *Fleet {
 	t.Helper()
-	profile := plan.Profile{Name: "test", Domains: 2, Engines: 2, Plain: 2, Memory: 4000, Batch: 16, Step: 2 * time.Millisecond}
+	profile := plan.Profile{Name: "test", FailureDomains: 2, Engines: 2, PlainServers: 2, EngineMemory: 4000, EngineBatch: 16, EngineStep: 2 * time.Millisecond}
 	layout, err := plan.New(t.TempDir(), profile, n, network)
 	assert.NilError(t, err)
 	assert.NilError(t, layout.Write())
 	ctx, cancel := context.WithCancel(context.Background())
 	g, ctx := errgroup.WithContext(ctx)
-	f := &Stand{Fleet: layout, t: t, group: g, ctx: ctx, adjust: adjust, cancels: map[int]context.CancelFunc{}, done: map[int]chan struct{}{}}
+	f := &Fleet{Layout: layout, t: t, group: g, ctx: ctx, adjust: adjust, cancels: map[int]context.CancelFunc{}, done: map[int]chan struct{}{}}
 	core, logs := observer.New(zap.ErrorLevel)
 	f.errorLog = core
 	t.Cleanup(func() {
@@ -80,7 +80,7 @@
 		f.Start(i)
 	}
 	for i := range n {
-		f.Ready(i)
+		f.WaitReady(i)
 	}
 	return f
 }
@@ -89,57 +89,57 @@
 	Serve(ctx context.Context, ln net.Listener) error
 }
 
-func (f *Stand) startServer(addr netip.AddrPort, srv server) {
+func (f *Fleet) startServer(addr netip.AddrPort, srv server) {
 	f.t.Helper()
 	ln, err := net.Listen("tcp", addr.String())
 	assert.NilError(f.t, err)
 	f.group.Go(func() error { return srv.Serve(f.ctx, ln) })
 }
 
-func (f *Stand) startPlatform() {
+func (f *Fleet) startPlatform() {
 	table := store.NewTable()
 	for path, file := range map[string]string{
 		"/system":                        "system.json",
 		"/workspaces/" + plan.Installers: plan.Installers + ".json",
-		"/workspaces/" + plan.Faultdesk:  plan.Faultdesk + ".json",
+		"/workspaces/" + plan.FaultDesk:  plan.FaultDesk + ".json",
 	} {
-		body, err := os.ReadFile(f.Fleet.Dir + "/" + file)
+		body, err := os.ReadFile(f.Layout.Dir + "/" + file)
 		assert.NilError(f.t, err)
-		v := spread.Value{Body: body}
+		v := syncer.Value{Body: body}
 		data, err := v.Encode()
 		assert.NilError(f.t, err)
-		table.Put(spread.Prefix+path, data, 0, 0, time.Now())
+		table.Put(syncer.Prefix+path, data, 0, 0, time.Now())
 	}
-	list := roster.New()
-	for _, n := range f.Fleet.Peers {
-		list.Set(roster.VM{Name: n.Name, Address: n.Address.String(), Domain: n.Domain})
+	list := vmlist.New()
+	for _, n := range f.Layout.Peers {
+		list.Set(vmlist.VM{Name: n.Name, Address: n.Address.String(), FailureDomain: n.Domain})
 	}
 	f.Store = store.New(table, 1)
-	f.startServer(f.Fleet.Store, f.Store)
-	f.startServer(f.Fleet.VMList, list)
+	f.startServer(f.Layout.Store, f.Store)
+	f.startServer(f.Layout.VMList, list)
 }
 
-func (f *Stand) startServers() {
-	for _, n := range f.Fleet.Engines {
+func (f *Fleet) startServers() {
+	for _, n := range f.Layout.Engines {
 		cfg := engine.DefaultConfig(n.Name)
-		cfg.Memory, cfg.StepBase = f.Fleet.Profile.Memory, f.Fleet.Profile.Step
+		cfg.MemoryTokens, cfg.StepBase = f.Layout.Profile.EngineMemory, f.Layout.Profile.EngineStep
 		cfg.ReportLag = 50 * time.Millisecond
-		e := engine.New(cfg, record.New())
+		e := engine.New(cfg, runlog.New())
 		f.Engines = append(f.Engines, e)
 		f.startServer(n.Address, e)
 		f.group.Go(func() error { return e.Run(f.ctx) })
 	}
-	for _, n := range f.Fleet.Plain {
-		p := plain.New(n.Name, record.New())
-		f.Plain = append(f.Plain, p)
+	for _, n := range f.Layout.PlainServers {
+		p := plain.New(n.Name, runlog.New())
+		f.PlainServers = append(f.PlainServers, p)
 		f.startServer(n.Address, p)
 	}
 }
 
 // Start starts VM i.
-func (f *Stand) Start(i int) {
+func (f *Fleet) Start(i int) {
 	f.t.Helper()
-	cfg, err := conf.Read(fmt.Sprintf("%s/%s.json", f.Fleet.Dir, f.Fleet.VMs[i].Name))
+	cfg, err := conf.Read(fmt.Sprintf("%s/%s.json", f.Layout.Dir, f.Layout.VMs[i].Name))
 	assert.NilError(f.t, err)
 	cfg.Limits.DrainDelay = 100 * time.Millisecond
 	cfg.Limits.LoadInterval = 50 * time.Millisecond
@@ -158,46 +158,46 @@
 }
 
 // WaitReady waits until VM i is ready for callers.
-func (f *Stand) Ready(i int) {
+func (f *Fleet) WaitReady(i int) {
 	f.t.Helper()
-	check.Within(f.t, 20*time.Second, "VM ready", func() bool {
+	check.Eventually(f.t, 20*time.Second, "VM ready", func() bool {
 		code, _ := f.Get(i, "/readyz", "")
 		return code == http.StatusOK
 	})
 }
 
 // BeginShutdown starts a graceful shutdown of VM i and returns immediately.
-func (f *Stand) Leave(i int) { f.cancels[i]() }
+func (f *Fleet) BeginShutdown(i int) { f.cancels[i]() }
 
 // Done returns a channel that is closed when VM i has stopped.
-func (f *Stand) Ended(i int) <-chan struct{} { return f.done[i] }
+func (f *Fleet) Done(i int) <-chan struct{} { return f.done[i] }
 
 // Stop shuts VM i down gracefully and waits until it has stopped.
-func (f *Stand) Stop(i int) {
+func (f *Fleet) Stop(i int) {
 	f.cancels[i]()
 	<-f.done[i]
 }
 
 // URL returns the URL of a path of VM i's caller API.
-func (f *Stand) URL(i int, path string) string {
-	return "http://" + f.Fleet.VMs[i].Address.String() + path
+func (f *Fleet) URL(i int, path string) string {
+	return "http://" + f.Layout.VMs[i].Address.String() + path
 }
 
 // Get requests a path of VM i's caller API as a caller of the workspace.
-func (f *Stand) Get(i int, path, workspace string) (int, string) {
+func (f *Fleet) Get(i int, path, workspace string) (int, string) {
 	code, body, _ := f.Call(i, http.MethodGet, path, workspace, "")
 	return code, body
 }
 
 // Call sends a request to VM i's caller API as a caller of the workspace. The
 // status code is 0 if the exchange failed. headers holds names and values in turn.
-func (f *Stand) Call(i int, method, path, workspace, body string, headers ...string) (int, string, http.Header) {
+func (f *Fleet) Call(i int, method, path, workspace, body string, headers ...string) (int, string, http.Header) {
 	return f.Do(method, f.URL(i, path), plan.CallerKey(workspace), body, headers...)
 }
 
 // Do sends a request with key as the bearer token. The status code is 0 if the
 // exchange failed; the body is then the text of the error.
-func (f *Stand) Do(method, url, key, body string, headers ...string) (int, string, http.Header) {
+func (f *Fleet) Do(method, url, key, body string, headers ...string) (int, string, http.Header) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -220,6 +220,6 @@
 
 // CallOperator sends a request to VM i's operator API with the operator key of
 // the subtree.
-func (f *Stand) Operate(i int, method, path, subtree, body string, headers ...string) (int, string, http.Header) {
-	return f.Do(method, "http://"+f.Fleet.Operators[i].Address.String()+path, plan.OperatorKey(subtree), body, headers...)
+func (f *Fleet) CallOperator(i int, method, path, subtree, body string, headers ...string) (int, string, http.Header) {
+	return f.Do(method, "http://"+f.Layout.Operators[i].Address.String()+path, plan.OperatorKey(subtree), body, headers...)
 }
