--- a/internal/core/call/call.go
+++ b/internal/core/call/call.go
@@ -33,7 +33,7 @@
 	Value string
 }
 
-// Call is one call of a client. It is immutable once it is being served.
+// Call is one call of a client. It is not modified once it is being served.
 type Call struct {
 	ID            ident.Request
 	Method        string
@@ -48,7 +48,7 @@
 	Prompt        *Prompt       // nil: not a generation
 
 	Arrived       time.Time
-	ArrivedUptime uptime.Instant // Arrived by the clock that includes suspensions of the VM
+	ArrivedUptime uptime.Instant // arrival time by the clock that includes suspensions of the VM
 }
 
 // Prompt describes the model and the size of a generation.
@@ -60,14 +60,15 @@
 	Parts      []Part
 }
 
-// Part is a part of a prompt that other prompts may have in common.
+// Part is a section of a prompt that other prompts may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
 // ExpectedMemory returns the memory, in tokens, that the generation is expected to use at its
-// end. LengthHint is accurate at the median; it is capped at MaxTokens.
+// end. The number of generated tokens is taken from LengthHint, which about half of the
+// generations exceed, and is at most MaxTokens.
 func (p *Prompt) ExpectedMemory() int {
 	out := p.MaxTokens
 	if p.LengthHint > 0 {
--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -12,7 +12,7 @@
 const MaxNameLen = 63
 
 type (
-	// VM is the name of a VM of the system.
+	// VM names a VM of the system.
 	VM string
 	// FailureDomain names a failure domain, a zone.
 	FailureDomain string
@@ -22,12 +22,12 @@
 	Service string
 	// Model names a model that backend servers of the platform serve.
 	Model string
-	// Server identifies one start of a backend server, which is a model engine or a plain
-	// server. See NewServer.
+	// Server identifies one instance of a backend server, which is a model engine or a plain
+	// server. A restart creates a new instance. See NewServer.
 	Server string
 	// Class names a priority class.
 	Class string
-	// Request identifies one request of a caller.
+	// Request identifies one request of a client.
 	Request string
 	// Generation identifies one execution of a request on one engine.
 	Generation string
@@ -76,7 +76,7 @@
 	return uuid.Must(uuid.NewV7()).String()
 }
 
-// UUIDTime returns the creation time in a version 7 UUID, to the millisecond. It returns false
+// UUIDTime returns the creation time of a version 7 UUID, to the millisecond. It returns false
 // if key is not a version 7 UUID in canonical form.
 func UUIDTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
--- a/internal/core/ident/server.go
+++ b/internal/core/ident/server.go
@@ -11,10 +11,10 @@
 // startSeparator separates the name of a server from its start time.
 const startSeparator = "@"
 
-// NewServer returns the identifier of one start of the server with the given name. A
-// restarted server has lost its state, so nothing that is known of an earlier start applies
-// to it. start is zero for a server that does not report its start time; such a server has a
-// new name with each start. The name must pass CheckServer.
+// NewServer returns the identifier of one instance of the server with the given name. A
+// restarted server has lost its state, so nothing that is known of an earlier instance
+// applies to it. start is zero for a server that does not report its start time; such a
+// server has a new name after each restart. The name must pass CheckServer.
 func NewServer(name string, start time.Time) Server {
 	if start.IsZero() {
 		return Server(name)
@@ -23,7 +23,7 @@
 }
 
 // CheckServer returns an error if s is not a valid name of a server. A name with the
-// separator could be mistaken for a start of another server.
+// separator could be mistaken for an instance of another server.
 func CheckServer(s string) error {
 	if s == "" {
 		return trace.BadParameter("the name of a server is missing")
