--- a/internal/core/invar/checker.go
+++ b/internal/core/invar/checker.go
@@ -19,7 +19,7 @@
 	LeavingServer                  // a new call was sent to a retiring server
 	CutOff                         // a VM stopped while a request was open
 	UrgentFirst                    // another request was placed while an urgent one waited
-	OwnAnswer                      // a caller received the response to another caller's request
+	OwnAnswer                      // a client received the response to another client's request
 	numInvariants
 )
 
--- a/internal/core/invar/checker_test.go
+++ b/internal/core/invar/checker_test.go
@@ -8,10 +8,10 @@
 
 func TestChecker(t *testing.T) {
 	var reported []string
-	b := &Checker{OnViolation: func(n Invariant, detail string) { reported = append(reported, n.String()+": "+detail) }}
-	assert.Assert(t, b.Assert(NotRun, true, "unused"))
-	assert.Assert(t, !b.Assert(NotRun, false, "request %d", 7))
-	assert.Equal(t, b.Count(NotRun), uint64(1))
-	assert.Equal(t, b.Total(), uint64(1))
+	c := &Checker{OnViolation: func(n Invariant, detail string) { reported = append(reported, n.String()+": "+detail) }}
+	assert.Assert(t, c.Assert(NotRun, true, "unused"))
+	assert.Assert(t, !c.Assert(NotRun, false, "request %d", 7))
+	assert.Equal(t, c.Count(NotRun), uint64(1))
+	assert.Equal(t, c.Total(), uint64(1))
 	assert.DeepEqual(t, reported, []string{"not-run: request 7"})
 }
--- a/internal/core/refuse/reason.go
+++ b/internal/core/refuse/reason.go
@@ -20,9 +20,9 @@
 	ServerSilent           // the backend server did not respond in time
 	MayHaveRun             // an earlier call with this idempotency key may have run
 	InProgress             // a call with this idempotency key is running
-	ClaimsDown             // whether the call ran before can't be decided now
+	ClaimsDown             // whether the call ran before can't be determined now
 	KeyReused              // the idempotency key was used with another request
-	CallerStalled          // the caller stopped reading or sending
+	CallerStalled          // the client stopped reading or sending
 	SettingsMissing        // no settings are in force on this VM yet
 	StoreDown              // the settings service is unreachable
 	Conflict               // another operator's change was applied first
@@ -30,14 +30,14 @@
 	SettingsStale          // whether the settings are up to date can't be known now
 	TimedOut               // the timeout of the client or the route expired
 	NoRoom                 // every backend server is at capacity
-	CallerLeft             // the caller closed the connection
+	CallerLeft             // the client closed the connection
 	VMStopping             // this VM is shutting down and can't serve the request in time
 	Quarantined            // backend servers crashed each time they ran the request
 	numReasons
 )
 
 // reasonInfo holds the attributes of each reason. The status codes are those of RFC 9110 and
-// RFC 6585, except 499 for CallerLeft, which no RFC defines.
+// RFC 6585, except 499 for ClientDisconnected, which no RFC defines.
 var reasonInfo = [numReasons]struct {
 	slug   string
 	status int
@@ -94,9 +94,9 @@
 
 // The values of Ran.
 const (
-	RanNo      Ran = iota // it never started on any backend server
+	RanNo      Ran = iota // it is certain that it never started on any backend server
 	RanMaybe              // it was sent and no response was received
-	RanPartial            // it ran in part; the caller has all of its output
+	RanPartial            // it ran in part; the client has all of its output
 )
 
 func (r Ran) String() string {
--- a/internal/core/refuse/refusal.go
+++ b/internal/core/refuse/refusal.go
@@ -46,7 +46,7 @@
 	return r
 }
 
-// WithRetryAfter sets the time after which the caller should retry.
+// WithRetryAfter sets the time after which the client should retry.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	r.RetryAfter = d
 	return r
