--- a/internal/core/result/record.go
+++ b/internal/core/result/record.go
@@ -14,9 +14,9 @@
 
 // The outcomes.
 const (
-	Complete  Outcome = iota // the caller has the complete response
-	Refused                  // the caller received a refusal
-	Abandoned                // the caller disconnected before the end
+	Complete  Outcome = iota // the client has the complete response
+	Refused                  // the client received a refusal
+	Abandoned                // the client disconnected before the end
 )
 
 func (o Outcome) String() string {
@@ -37,9 +37,9 @@
 	TimeToFirst time.Duration // time to the first token or to the response
 	Total       time.Duration
 	Stall       time.Duration // time without progress beyond the expected token gap
-	Preemptions int
-	Resumes     int
-	Reruns      int
+	Preemptions int           // number of times that an engine paused the generation
+	Resumes     int           // number of times that the token stream was resumed on a new connection
+	Reruns      int           // number of times that the request was run again on another engine
 	Tokens      int
 	LateTokens  int // tokens after a longer gap than expected
 	Bytes       int
--- a/internal/core/seal/ring.go
+++ b/internal/core/seal/ring.go
@@ -18,7 +18,7 @@
 	// MaxSecrets is the maximum number of secrets of a key ring.
 	MaxSecrets = 2
 	macSize    = 16
-	// Overhead is the number of bytes that a packet is longer than its data.
+	// Overhead is the number of bytes that SealPacket adds to the data.
 	Overhead = 1 + macSize
 	keySize  = 32
 )
@@ -27,7 +27,7 @@
 // ring, or was modified.
 var ErrForged = &trace.AccessDeniedError{Message: "the seal was not made by this system or was altered"}
 
-// Secret is a secret of a key ring. Its ID is part of all that is sealed with it.
+// Secret is a secret of a key ring. Its ID is included in everything that is sealed with it.
 type Secret struct {
 	ID    uint8
 	Bytes []byte
