--- a/internal/core/token/cursor.go
+++ b/internal/core/token/cursor.go
@@ -2,19 +2,19 @@
 
 import "umberladder/internal/core/ident"
 
-// Verdict says what to do with a token.
-type Verdict uint8
+// Decision says what to do with a token.
+type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Accept          Verdict = iota // the next token: relay it
-	Duplicate                      // already accepted: drop it
-	Gap                            // tokens are missing: resume at Next
-	WrongGeneration                // from another generation: an error of the server
+	Accept          Decision = iota // the next token: relay it
+	Duplicate                       // already accepted: drop it
+	Gap                             // tokens are missing: resume at Next
+	WrongGeneration                 // from another generation, which is an error of the server
 )
 
-func (v Verdict) String() string {
-	return [...]string{"accept", "repeat", "gap", "foreign"}[v]
+func (d Decision) String() string {
+	return [...]string{"accept", "repeat", "gap", "foreign"}[d]
 }
 
 // Cursor is the position in one generation. It never moves backwards, and every token with
@@ -35,9 +35,9 @@
 // Next returns the index of the only token that would be accepted.
 func (c *Cursor) Next() uint64 { return c.next }
 
-// Offer returns the verdict on the token with the given index, and advances the cursor if the
+// Offer returns the decision on the token with the given index, and advances the cursor if the
 // token is accepted.
-func (c *Cursor) Offer(g ident.Generation, index uint64) Verdict {
+func (c *Cursor) Offer(g ident.Generation, index uint64) Decision {
 	switch {
 	case g != c.generation:
 		return WrongGeneration
--- a/internal/core/token/cursor_test.go
+++ b/internal/core/token/cursor_test.go
@@ -19,15 +19,15 @@
 		for range rapid.IntRange(0, 200).Draw(t, "offers") {
 			g := ident.Generation(rapid.SampledFrom([]string{"g", "g", "g", "other"}).Draw(t, "generation"))
 			i := rapid.Uint64Range(0, c.Next()+2).Draw(t, "index")
-			switch v := c.Offer(g, i); {
-			case v == Accept:
+			switch d := c.Offer(g, i); {
+			case d == Accept:
 				accepted = append(accepted, i)
 			case g != "g":
-				assert.Equal(t, v, WrongGeneration)
+				assert.Equal(t, d, WrongGeneration)
 			case i < uint64(len(accepted)):
-				assert.Equal(t, v, Duplicate)
+				assert.Equal(t, d, Duplicate)
 			default:
-				assert.Equal(t, v, Gap)
+				assert.Equal(t, d, Gap)
 			}
 		}
 		for i, got := range accepted {
