--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -4,8 +4,8 @@
 
 const (
 	// maxTokensAhead is how many more tokens a stream is expected to generate before
-	// another stream of its engine ends. Reserving the whole expected length would make
-	// engines count as full long before they are.
+	// another stream of its engine ends and frees memory. Reserving the whole expected
+	// length would make engines count as full long before they are.
 	maxTokensAhead = 250
 	// prefillRate is the number of prompt tokens per second that an engine processes
 	// while it also decodes the streams of a batch.
--- a/internal/policy/assign/assign.go
+++ b/internal/policy/assign/assign.go
@@ -3,8 +3,8 @@
 import "math/rand/v2"
 
 const (
-	// MaxCallFill is the fraction of an engine's memory that streams may occupy, with
-	// the tokens that they hold and those that they will need soon.
+	// MaxCallFill is the fraction of an engine's memory that streams may occupy, counting
+	// both the tokens that they hold and those that they will need soon.
 	MaxCallFill = 1.0
 	// MaxCopyFill is the fraction up to which KV cache copies, kept in case an engine is
 	// lost, may fill an engine's memory. Without the remainder, new streams wait at the
@@ -15,8 +15,8 @@
 	// each copy takes the memory of a call.
 	maxFillWithoutNotice = 0.6
 	// maxFillWithNotice is the same fill if engines give notice before they end. Their
-	// streams need no copies, and copies take the memory to which streams must be moved
-	// when engines end.
+	// streams need no copies, and copies take the memory that streams need when they are
+	// migrated from an engine that ends.
 	maxFillWithNotice = 0.3
 	// maxPrefillBacklog is the largest prefill backlog, in prompt tokens, with which an
 	// engine may get a call that needs prefill. It takes half a second to process. Without
@@ -26,14 +26,14 @@
 	// uses network bandwidth and adds a millisecond of latency. It is lower than the cost
 	// of one more stream in the call's batch.
 	CrossDomainCallCost = 0.08
-	// inFlightWeight and backlogWeight are weights in the cost of an engine: a full batch
+	// inFlightWeight and backlogWeight are weights in the cost of an engine. A full batch
 	// doubles the duration of a decode step, and prefill delays the other streams of the
 	// batch.
 	inFlightWeight = 0.5
 	backlogWeight  = 3.0
 	// CrossDomainCopyCost is the cost of sending a KV cache copy to another failure
-	// domain, which takes twice as long: all copies of an engine must arrive within its
-	// notice period.
+	// domain, which takes twice as long. Time matters because all copies of an engine must
+	// arrive within its notice period.
 	CrossDomainCopyCost = 0.6
 	// incomingCopyWeight is the cost of each KV cache in transfer to an engine. The next
 	// transfer has to wait for it.
@@ -52,13 +52,13 @@
 	ReservedTokens int     // memory reserved for the calls in flight
 	PrefillBacklog int     // prompt tokens that await prefill before the new call's
 	IncomingCopies int     // KV caches in transfer to it; zero if the choice does not depend on them
-	CrossDomain    bool    // in another failure domain than the caller
+	CrossDomain    bool    // in another failure domain than the sender of the call or the KV cache
 	Weight         float64 // fraction of its normal load that it should get, 0 to 1
 	Skip           bool    // must not be chosen
 }
 
 // MaxServiceFillForCopies returns the fill of all of a service's engines together below
-// which KV cache copies are kept. lossWithoutNotice is whether engines have been lost
+// which KV cache copies are kept. lossWithoutNotice says whether engines have been lost
 // without notice.
 func MaxServiceFillForCopies(lossWithoutNotice bool) float64 {
 	if lossWithoutNotice {
@@ -71,8 +71,8 @@
 func NewRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // ChooseEngine returns the index of the engine with the lowest cost for a generation that
-// requires the given number of tokens, or -1 if none has capacity. It fills an engine's
-// memory up to the fraction maxFill. An engine in another failure domain costs
+// requires the given number of tokens of memory, or -1 if none has capacity. It fills an
+// engine's memory up to the fraction maxFill. An engine in another failure domain costs
 // crossDomainCost more.
 func ChooseEngine(required int, maxFill, crossDomainCost float64, servers []Server, rng *rand.Rand) int {
 	best, cost := -1, 0.0
