--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// decayTime is the time after which past results count half, if there is no newer one.
+	// decayTime is the time after which past results count half if there is no newer one.
 	decayTime = 2 * time.Second
 	// priorWeight is the weight of the prior assumption that a server is healthy, in
 	// successful calls.
@@ -21,7 +21,7 @@
 type Tracker struct {
 	mu      sync.Mutex
 	servers map[ident.Server]*record
-	pauses  map[ident.Server]time.Time // when the pause that a server requested ends
+	pauses  map[ident.Server]time.Time // by server: when the pause that it requested ends
 }
 
 type record struct {
@@ -81,7 +81,7 @@
 // maxPause bounds the pause that a server may request.
 const maxPause = 10 * time.Minute
 
-// Pause records that a server requested no calls from this VM for a time.
+// Pause records that a server requested that this VM send it no calls for the duration d.
 func (t *Tracker) Pause(id ident.Server, d time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -22,9 +22,9 @@
 	})
 }
 
-// TestBucketNeverBeatsTheRate takes tokens at random times. The tokens taken in a period may not
+// TestBucketNeverExceedsRate takes tokens at random times. The tokens taken in a period may not
 // exceed the rate times the period, the initial second's tokens and one last Take.
-func TestBucketNeverBeatsTheRate(t *testing.T) {
+func TestBucketNeverExceedsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := float64(rapid.IntRange(1, 1000).Draw(t, "rate"))
 		now := time.Unix(0, 0)
