--- a/internal/policy/length/curve.go
+++ b/internal/policy/length/curve.go
@@ -80,8 +80,8 @@
 	for k := range Buckets {
 		middle := (bucketStarts[k] + bucketStarts[k+1]) / 2
 		w := float64(bucketStarts[k+1]-bucketStarts[k]) * (c.survival[k] + c.survival[k+1]) / 2
-		s := c.Forecast(middle, 0)
-		c.meanForecast.Add(&s, w)
+		f := c.Forecast(middle, 0)
+		c.meanForecast.Add(&f, w)
 		c.meanMemory += w * float64(middle)
 		sum += w
 	}
@@ -95,16 +95,16 @@
 // ForecastRunning returns the forecast of n streams at random times during their runs,
 // which together use the given memory, in tokens.
 func (c *Curve) ForecastRunning(n int, memory float64) Forecast {
-	var s Forecast
+	var f Forecast
 	if n <= 0 || memory <= 0 {
-		return s
+		return f
 	}
 	scale := memory / (float64(n) * c.meanMemory)
 	for j := range Horizons {
-		s.Mean[j] = float64(n) * scale * c.meanForecast.Mean[j]
-		s.Var[j] = float64(n) * scale * scale * c.meanForecast.Var[j]
+		f.Mean[j] = float64(n) * scale * c.meanForecast.Mean[j]
+		f.Var[j] = float64(n) * scale * scale * c.meanForecast.Var[j]
 	}
-	return s
+	return f
 }
 
 // Forecast is the predicted memory use of streams on an engine at each horizon: the mean
@@ -114,34 +114,35 @@
 	Var  [Horizons]float64
 }
 
-// Forecast returns the forecast of one stream. At horizon t, the stream uses prompt+age+t
-// tokens if it still runs and none otherwise.
+// Forecast returns the forecast of one stream with a prompt of the given length that has
+// generated age tokens. At horizon t, the stream uses prompt+age+t tokens if it still runs
+// and none otherwise.
 func (c *Curve) Forecast(age, prompt int) Forecast {
-	var s Forecast
+	var f Forecast
 	survival := &c.survivalAtHorizon[Bucket(age)]
 	for j := range Horizons {
-		held := float64(prompt + age + horizonSteps[j])
+		memory := float64(prompt + age + horizonSteps[j])
 		pRunning := survival[j]
-		s.Mean[j] = held * pRunning
-		s.Var[j] = held * held * pRunning * (1 - pRunning)
+		f.Mean[j] = memory * pRunning
+		f.Var[j] = memory * memory * pRunning * (1 - pRunning)
 	}
-	return s
+	return f
 }
 
-// Add adds n times o to s.
-func (s *Forecast) Add(o *Forecast, n float64) {
+// Add adds n times o to f.
+func (f *Forecast) Add(o *Forecast, n float64) {
 	for j := range Horizons {
-		s.Mean[j] += n * o.Mean[j]
-		s.Var[j] += n * o.Var[j]
+		f.Mean[j] += n * o.Mean[j]
+		f.Var[j] += n * o.Var[j]
 	}
 }
 
 // OverflowProbability returns the highest probability, over the horizons, that the memory
 // use exceeds size, by the normal approximation of the sum.
-func (s *Forecast) OverflowProbability(size float64) float64 {
+func (f *Forecast) OverflowProbability(size float64) float64 {
 	worst := 0.0
 	for j := range Horizons {
-		worst = math.Max(worst, normalTail(size-s.Mean[j], s.Var[j]))
+		worst = math.Max(worst, normalTail(size-f.Mean[j], f.Var[j]))
 	}
 	return worst
 }
@@ -159,10 +160,10 @@
 
 // Within reports whether the probability of exceeding size is below a bound at each
 // horizon. z is the bound's quantile, as returned by NormalQuantile.
-func (s *Forecast) Within(size, z float64) bool {
+func (f *Forecast) Within(size, z float64) bool {
 	for j := range Horizons {
-		free := size - s.Mean[j]
-		if free < 0 || free*free < z*z*s.Var[j] {
+		free := size - f.Mean[j]
+		if free < 0 || free*free < z*z*f.Var[j] {
 			return false
 		}
 	}
--- a/internal/policy/length/curve_test.go
+++ b/internal/policy/length/curve_test.go
@@ -109,20 +109,20 @@
 		}
 	}
 	size := sum.Mean[j] + 1.5*math.Sqrt(sum.Var[j])
-	over := 0
+	overflows := 0
 	const runs = 5000
 	for range runs {
-		held := 0
+		used := 0
 		for range streams {
 			if lognormal(rng) > horizonSteps[j] {
-				held += prompt + horizonSteps[j]
+				used += prompt + horizonSteps[j]
 			}
 		}
-		if float64(held) > size {
-			over++
+		if float64(used) > size {
+			overflows++
 		}
 	}
-	got, want := float64(over)/runs, normalTail(size-sum.Mean[j], sum.Var[j])
+	got, want := float64(overflows)/runs, normalTail(size-sum.Mean[j], sum.Var[j])
 	assert.Assert(t, got < 2*want && got > want/3, "simulated %g, predicted %g", got, want)
 	assert.Assert(t, sum.Within(size, 1.49) && !sum.Within(sum.Mean[j], 0.1))
 }
--- a/internal/policy/length/estimator.go
+++ b/internal/policy/length/estimator.go
@@ -43,8 +43,8 @@
 	e.observe(k, false)
 }
 
-// Ended records that a stream ended in bucket k. It is not called for a stream that was cut
-// short, because that stream might have run longer.
+// Ended records that a stream ended in bucket k. For a stream that was cut short, only the
+// buckets that it passed are recorded, because it might have run longer.
 func (e *Estimator) Ended(k int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/policy/place/place.go
+++ b/internal/policy/place/place.go
@@ -13,7 +13,7 @@
 	OwnStreams     int             // number of this VM's streams on the engine
 	Predicted      length.Forecast // memory forecast of all streams, known and inferred
 	Weight         float64         // fraction of its normal load that it should get, 0 to 1
-	Affinity       uint64          // rank for the prompt's prefix; the engine with the highest has it
+	Affinity       uint64          // rendezvous score for the prompt's prefix; the engine with the highest is expected to have it cached
 	Skip           bool            // must not be chosen
 }
 
@@ -35,11 +35,11 @@
 }
 
 const (
-	// maxAffinitySlack is how much fuller, as a fraction of its memory, the engine with
-	// the prompt's prefix may be than the engine that is chosen by load.
+	// maxAffinitySlack is how much fuller the engine with the prompt's prefix may be than
+	// the engine that is chosen by load, as a fraction of memory.
 	maxAffinitySlack = 0.1
-	// slackPerPromptToken is how much fuller it may be, in tokens, for each token of the
-	// prompt. A short prompt does not justify uneven load.
+	// slackPerPromptToken is how much fuller it may be for each token of the prompt, in
+	// tokens. A short prompt does not justify uneven load.
 	slackPerPromptToken = 2.0
 )
 
--- a/internal/policy/place/place_test.go
+++ b/internal/policy/place/place_test.go
@@ -22,14 +22,14 @@
 }
 
 func request() *Request {
-	a := &Request{OverflowZ: length.NormalQuantile(0.05), MaxFill: 1, PromptTokens: 50}
-	for j := range a.Forecast.Mean {
-		a.Forecast.Mean[j], a.Forecast.Var[j] = 50, 2500
+	req := &Request{OverflowZ: length.NormalQuantile(0.05), MaxFill: 1, PromptTokens: 50}
+	for j := range req.Forecast.Mean {
+		req.Forecast.Mean[j], req.Forecast.Var[j] = 50, 2500
 	}
-	return a
+	return req
 }
 
-func TestPredicted(t *testing.T) {
+func TestPredictedLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	p := PredictedLoad{}
 	t.Run("prefers the engine with the prefix", func(t *testing.T) {
@@ -51,9 +51,9 @@
 		assert.Equal(t, p.Choose(request(), engines(4, 990), rng), -1)
 	})
 	t.Run("leaves the reserve free", func(t *testing.T) {
-		a := request()
-		a.MaxFill = 0.5
-		assert.Equal(t, p.Choose(a, engines(4, 450), rng), -1)
+		req := request()
+		req.MaxFill = 0.5
+		assert.Equal(t, p.Choose(req, engines(4, 450), rng), -1)
 	})
 	t.Run("skips excluded engines", func(t *testing.T) {
 		e := engines(2, 0)
@@ -83,10 +83,10 @@
 	for _, n := range []int{16, 128, 2048} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			e, a := engines(n, 300), request()
+			e, req := engines(n, 300), request()
 			b.ReportAllocs()
 			for b.Loop() {
-				PredictedLoad{}.Choose(a, e, rng)
+				PredictedLoad{}.Choose(req, e, rng)
 			}
 		})
 	}
