--- a/internal/policy/queue/queue.go
+++ b/internal/policy/queue/queue.go
@@ -9,7 +9,7 @@
 // Entry is a queued value. It belongs to at most one queue.
 type Entry[T any] struct {
 	Value    T
-	Rank     int
+	Rank     int // of the class; entries of rank 0 precede all others
 	Arrival  time.Time
 	Deadline time.Time // arrival time plus the maximum wait
 	seq      uint64
@@ -20,7 +20,7 @@
 type Queue[T any] struct {
 	heap   entries[T]
 	seq    uint64
-	urgent int // entries of rank 0
+	urgent int // number of entries of rank 0
 }
 
 // New returns an empty queue.
--- a/internal/policy/queue/queue_test.go
+++ b/internal/policy/queue/queue_test.go
@@ -13,8 +13,8 @@
 
 var epoch = time.Unix(1000, 0)
 
-// TestOracle runs random pushes, removals and takes, and compares the first
-// entry and the counts with a reference list.
+// TestOracle guards against a wrong first entry and wrong counts: it runs random pushes,
+// removals and takes of the first entry, and compares the queue with a reference list.
 func TestOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int]()
@@ -24,9 +24,9 @@
 			"push": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "later")) * time.Second)
 				rank := rapid.IntRange(0, 2).Draw(t, "rank")
-				bound := time.Duration(rapid.IntRange(1, 20).Draw(t, "bound")) * time.Second
+				maxWait := time.Duration(rapid.IntRange(1, 20).Draw(t, "max wait")) * time.Second
 				before := 0
-				e := q.Push(len(all), rank, now, bound)
+				e := q.Push(len(all), rank, now, maxWait)
 				for _, o := range all {
 					if o.before(e) {
 						before++
@@ -86,6 +86,6 @@
 		q.Remove(e)
 	}
 	// Urgent entries come first, in order of arrival. The batch entry has the lowest
-	// rank, but an earlier deadline than the standard one.
+	// priority, but an earlier deadline than the standard one.
 	assert.DeepEqual(t, got, []string{"urgent-1", "urgent-2", "batch", "standard"})
 }
