--- a/internal/policy/poison/detector.go
+++ b/internal/policy/poison/detector.go
@@ -19,10 +19,10 @@
 	// expireInterval is the minimum time between two removals of expired evidence.
 	expireInterval = time.Second
 	// timestampTolerance bounds by how much a timestamp becomes later with each VM that
-	// relays it.
+	// relays it. Messages carry ages, which do not include the network latency.
 	timestampTolerance = time.Second
-	// minSharedCrashes is the number of crashes that makes a hub send the evidence against
-	// a request to all VMs, so that any VM that completes the request clears it.
+	// minSharedCrashes is the minimum number of crashes for which a hub sends the evidence
+	// against a request to all VMs, so that any VM that completes the request clears it.
 	minSharedCrashes = 2
 	// maxRequests bounds the number of requests with stored evidence, and maxAnnounced the
 	// number of requests in one message.
@@ -61,11 +61,11 @@
 	return len(f.Crashes) == 0 && f.Cleared.IsZero() && f.Quarantined.IsZero()
 }
 
-// record is a finding and the state of its distribution.
+// record is a finding and the times that decide whether it is announced and stored.
 type record struct {
 	Finding
 	changed time.Time // when the finding last changed on this VM
-	stored  time.Time // when the store last held the quarantine, or it was written to the store
+	stored  time.Time // when the quarantine was last seen in the store or written to it
 }
 
 // Config holds the settings of a Detector.
@@ -103,7 +103,7 @@
 
 // New returns a detector without evidence. The detector calls onChange, without holding
 // locks, after each recorded crash and completion on this VM and after a change of
-// quarantines. Both must be reported to other VMs.
+// quarantines. In both cases, the findings must be reported to other VMs.
 func New(cfg Config, onChange func(c Change)) *Detector {
 	d := &Detector{
 		cfg: cfg, onChange: onChange,
@@ -135,7 +135,7 @@
 }
 
 // completion is the last completed request of a slot on this VM. Its fields are not written
-// atomically together: a reader may miss a completion if two are written concurrently.
+// in one atomic operation: a reader may miss a completion if two are written concurrently.
 type completion struct {
 	request atomic.Uint64
 	at      atomic.Int64 // in Unix nanoseconds
@@ -148,7 +148,7 @@
 	return c.request.Load() == uint64(f) && now.UnixNano()-c.at.Load() < int64(completedPeriod)
 }
 
-// Completed records that a server ran the request to completion.
+// RecordCompletion records that a server ran the request to completion.
 func (d *Detector) Completed(f call.Fingerprint, now time.Time) {
 	c := &d.completed[f%completedSlots]
 	c.request.Store(uint64(f))
@@ -164,8 +164,8 @@
 	d.onChange(change)
 }
 
-// Crashed records that a server crashed shortly after it had started to run the request. It
-// returns the number of such servers whose crashes are not attributed to other requests.
+// RecordCrash records that a server crashed shortly after it had started to run the request.
+// It returns the number of such servers whose crashes are not attributed to other requests.
 // It ignores the crash if the request has recently completed on this VM, because the crash
 // is then a coincidence.
 func (d *Detector) Crashed(f call.Fingerprint, server ident.Server, now time.Time) int {
@@ -243,8 +243,9 @@
 	return changed
 }
 
-// evaluate quarantines requests, those with the most crashes first, because the same crashes
-// are then no longer evidence against other requests. It returns the change of quarantines.
+// evaluate quarantines the requests that have reached the crash limit, those with the most
+// crashes first, because the same crashes are then no longer evidence against other
+// requests. It returns the change of quarantines.
 func (d *Detector) evaluate(now time.Time) Change {
 	d.expire(now)
 	d.attributeCrashes()
@@ -335,7 +336,8 @@
 	}
 }
 
-// evictOldest removes the oldest finding that is not a quarantine if there are maxRequests.
+// evictOldest makes space for a new finding: if there are maxRequests, it removes the oldest
+// one that is not a quarantine.
 func (d *Detector) evictOldest() {
 	if len(d.requests) < maxRequests {
 		return
--- a/internal/policy/poison/detector_test.go
+++ b/internal/policy/poison/detector_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestVerdict(t *testing.T) {
+func TestQuarantine(t *testing.T) {
 	start := time.Now()
 	t.Run("three crashed servers quarantine a request", func(t *testing.T) {
 		d := newDetector()
@@ -99,9 +99,9 @@
 	})
 }
 
-// TestExplained guards against quarantining a harmless request that ran on three servers when
-// another request crashed them.
-func TestExplained(t *testing.T) {
+// TestAttributedCrashes guards against quarantining a harmless request that ran on three
+// servers when another request crashed them.
+func TestAttributedCrashes(t *testing.T) {
 	d, now := newDetector(), time.Now()
 	for n := range 2 {
 		d.Crashed(other, server(n), now)
@@ -174,7 +174,7 @@
 		digest uint64
 		want   int
 	}{{0, 1}, {d.Digest(later), 0}, {1, 1}} {
-		d.HandleResponse("hub", 1, tc.digest, now) // its start was long ago
+		d.HandleResponse("hub", 1, tc.digest, now) // the hub started long ago
 		d.HandleResponse("hub", 1, tc.digest, later)
 		assert.Equal(t, len(d.Report(later)), tc.want, "case %d", i)
 		d.HandleReport("vm", tc.digest)
@@ -195,13 +195,13 @@
 	}
 	end := now.Add(config.Duration + time.Second)
 	for ; now.Before(end); now = now.Add(20 * time.Millisecond) {
-		for _, p := range [][2]*Detector{{a, d}, {d, a}} {
-			p[0].HandleResponse("hub", 1, p[1].Digest(now), now)
-			list := p[0].Report(now)
+		for _, pair := range [][2]*Detector{{a, d}, {d, a}} {
+			pair[0].HandleResponse("hub", 1, pair[1].Digest(now), now)
+			list := pair[0].Report(now)
 			for i := range list {
 				list[i].Quarantined = list[i].Quarantined.Add(latency)
 			}
-			p[1].Merge(list, now)
+			pair[1].Merge(list, now)
 		}
 	}
 	assertQuarantined(t, a, now)
@@ -222,28 +222,28 @@
 	assertQuarantined(t, d, now.Add(time.Second), fatal)
 }
 
-func BenchmarkUntil(b *testing.B) {
-	book, now := newDetector(), time.Now()
+func BenchmarkQuarantinedUntil(b *testing.B) {
+	d, now := newDetector(), time.Now()
 	for n := range 3 {
-		book.Crashed(fatal, server(n), now)
+		d.Crashed(fatal, server(n), now)
 	}
 	for b.Loop() {
-		book.QuarantinedUntil(other, now)
+		d.QuarantinedUntil(other, now)
 	}
 }
 
 // BenchmarkMerge merges reports without new information into a hub's large set of findings.
 func BenchmarkMerge(b *testing.B) {
-	book, now := newDetector(), time.Now()
+	d, now := newDetector(), time.Now()
 	for n := range maxRequests {
-		book.Crashed(call.Fingerprint(n+100), server(n%50), now)
+		d.Crashed(call.Fingerprint(n+100), server(n%50), now)
 	}
 	for n := range 3 {
-		book.Crashed(fatal, server(100+n), now)
+		d.Crashed(fatal, server(100+n), now)
 	}
-	book.HandleResponse("hub", 1, 0, now.Add(2*announcePeriod))
-	list := book.Report(now.Add(2 * announcePeriod))
+	d.HandleResponse("hub", 1, 0, now.Add(2*announcePeriod))
+	list := d.Report(now.Add(2 * announcePeriod))
 	for b.Loop() {
-		book.Merge(list, now.Add(2*announcePeriod))
+		d.Merge(list, now.Add(2*announcePeriod))
 	}
 }
--- a/internal/policy/poison/share.go
+++ b/internal/policy/poison/share.go
@@ -9,8 +9,8 @@
 	"umberladder/internal/core/ident"
 )
 
-// responseTime is how long a hub's response is valid.
-const responseTime = 2 * time.Second
+// responseTTL is how long a hub's response is valid.
+const responseTTL = 2 * time.Second
 
 // hubResponse is a hub's last response.
 type hubResponse struct {
@@ -50,7 +50,7 @@
 	defer d.mu.Unlock()
 	differs := false
 	for _, h := range d.hubs {
-		differs = differs || h.digest != own && now.Sub(h.at) < responseTime
+		differs = differs || h.digest != own && now.Sub(h.at) < responseTTL
 	}
 	return d.announcements(now, differs, func(*record) bool { return true })
 }
@@ -79,8 +79,9 @@
 	return d.announcements(now, d.reporters[to] != own, func(r *record) bool { return !r.Cleared.IsZero() || len(r.Crashes) >= minSharedCrashes })
 }
 
-// announcements returns the recently changed findings, without those that are not
-// quarantines and that share rejects. If all is set, it returns all quarantines.
+// announcements returns the recently changed findings: quarantines, and other findings that
+// share accepts. If all is set, it also returns the quarantines that have not changed
+// recently.
 func (d *Detector) announcements(now time.Time, all bool, share func(r *record) bool) []Finding {
 	if len(d.requests) == 0 {
 		return nil
@@ -101,7 +102,7 @@
 	Until   time.Time
 }
 
-// Stored merges the quarantines that the store holds.
+// MergeStored merges the quarantines that the store holds.
 func (d *Detector) Stored(list []Quarantine, now time.Time) {
 	found := make([]Finding, 0, len(list))
 	for _, e := range list {
@@ -121,8 +122,8 @@
 	}
 }
 
-// Unstored returns the quarantines that are at least as old as age and that the store has
-// not been seen to hold within the time unseen.
+// Unstored returns the quarantines that are at least as old as age and that have not been
+// seen in the store for the duration unseen.
 func (d *Detector) Unstored(age, unseen time.Duration, now time.Time) []Quarantine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
