--- a/internal/policy/rates/limiter.go
+++ b/internal/policy/rates/limiter.go
@@ -44,7 +44,7 @@
 	VMs(now time.Time) int
 }
 
-// Limit is a VM's report of a server's rate limit.
+// Limit is a server's rate limit as one VM reports it to another.
 type Limit struct {
 	Server ident.Server
 	Rate   float64   // requests a second; zero: the limit has ended
@@ -147,7 +147,7 @@
 	return e
 }
 
-// Sent counts a request that is sent to a server.
+// RecordSent counts a request that is sent to a server.
 func (l *Limiter) Sent(id ident.Server, now time.Time) {
 	if l.entryCount.Load() == 0 {
 		return
@@ -186,8 +186,8 @@
 }
 
 // Skips reports, for each server in the list, whether a call to the service must not be
-// sent to it. A server whose limit is not used up stays available with a probability of its limit
-// divided by the fleet's demand. Skips may return nil if no server is limited.
+// sent to it. A server whose limit is not used up stays available with a probability of its
+// limit divided by the fleet's demand. Skips may return nil if no server is limited.
 func (l *Limiter) Skips(s ident.Service, list []ident.Server, now time.Time) []bool {
 	if l.entryCount.Load() == 0 {
 		return nil
@@ -334,7 +334,7 @@
 	l.merge(list, now, func() { l.peers.addResponse(hub, reporting, sentByServer(list), now) })
 }
 
-// merge calls record under the lock, then adopts the valid limits from another VM that were
+// merge calls record under the lock, then applies the valid limits of another VM that were
 // stated later than the known ones.
 func (l *Limiter) merge(list []Limit, now time.Time, record func()) {
 	changed := make(map[ident.Server]float64)
--- a/internal/policy/rates/limiter_test.go
+++ b/internal/policy/rates/limiter_test.go
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestStatements guards against limits that end too early, are restored by outdated reports,
+// TestStatedLimits guards against limits that end too early, are restored by outdated reports,
 // never expire or are granted beyond their rate.
-func TestStatements(t *testing.T) {
+func TestStatedLimits(t *testing.T) {
 	const id = ident.Server("a")
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	newLimiter := func() (*Limiter, *[]float64) {
@@ -239,44 +239,44 @@
 		return New(&vm{fleet: &fleet{vms: make([]*vm, 3)}, isolated: true, rate: 1}, func(_ ident.Server, r float64) { *changes = append(*changes, r) }), changes
 	}
 	t.Run("a limit ends with a response to a request that was sent after it", func(t *testing.T) {
-		b, changes := newLimiter()
-		b.Observe(id, 2, at(0), at(1))
-		b.Observe(id, 0, at(0.5), at(1.5))
-		assert.Equal(t, b.LimitedCount(at(2)), 1, "the response may predate the limit")
-		b.Observe(id, 0, at(1.5), at(2))
-		assert.Equal(t, b.LimitedCount(at(2)), 0)
+		l, changes := newLimiter()
+		l.Observe(id, 2, at(0), at(1))
+		l.Observe(id, 0, at(0.5), at(1.5))
+		assert.Equal(t, l.LimitedCount(at(2)), 1, "the response may predate the limit")
+		l.Observe(id, 0, at(1.5), at(2))
+		assert.Equal(t, l.LimitedCount(at(2)), 0)
 		assert.DeepEqual(t, *changes, []float64{2, 0})
 	})
 	t.Run("an outdated report does not restore a limit", func(t *testing.T) {
-		b, _ := newLimiter()
-		b.Observe(id, 2, at(0), at(1))
-		b.Observe(id, 0, at(3), at(3))
-		b.HandleReport("other", []Limit{{Server: id, Rate: 2, At: at(2)}}, at(4))
-		assert.Equal(t, b.LimitedCount(at(4)), 0)
-		b.HandleReport("other", []Limit{{Server: id, Rate: 2, At: at(3.5)}}, at(4))
-		assert.Equal(t, b.LimitedCount(at(4)), 1)
+		l, _ := newLimiter()
+		l.Observe(id, 2, at(0), at(1))
+		l.Observe(id, 0, at(3), at(3))
+		l.HandleReport("other", []Limit{{Server: id, Rate: 2, At: at(2)}}, at(4))
+		assert.Equal(t, l.LimitedCount(at(4)), 0)
+		l.HandleReport("other", []Limit{{Server: id, Rate: 2, At: at(3.5)}}, at(4))
+		assert.Equal(t, l.LimitedCount(at(4)), 1)
 	})
 	t.Run("an unconfirmed limit expires", func(t *testing.T) {
-		b, _ := newLimiter()
-		b.Observe(id, 2, at(0), at(0))
-		assert.Equal(t, b.LimitedCount(at(0).Add(expiry)), 1)
-		assert.Equal(t, b.LimitedCount(at(0).Add(expiry+1)), 0)
+		l, _ := newLimiter()
+		l.Observe(id, 2, at(0), at(0))
+		assert.Equal(t, l.LimitedCount(at(0).Add(expiry)), 1)
+		assert.Equal(t, l.LimitedCount(at(0).Add(expiry+1)), 0)
 	})
 	t.Run("invalid limits are ignored", func(t *testing.T) {
-		b, changes := newLimiter()
-		b.HandleReport("other", []Limit{{Rate: 1, At: at(0)}, {Server: id, Rate: -1, At: at(0)}, {Server: id, Rate: 1, At: at(9)}}, at(1))
+		l, changes := newLimiter()
+		l.HandleReport("other", []Limit{{Rate: 1, At: at(0)}, {Server: id, Rate: -1, At: at(0)}, {Server: id, Rate: 1, At: at(9)}}, at(1))
 		assert.Equal(t, len(*changes), 0)
-		assert.Equal(t, b.LimitedCount(at(1)), 0)
+		assert.Equal(t, l.LimitedCount(at(1)), 0)
 	})
 	t.Run("the coordinator grants no more than the limit", func(t *testing.T) {
-		b, _ := newLimiter()
-		b.HandleReport("other", nil, at(0))
-		b.Observe(id, 4, at(0), at(0))
-		b.HandleReport("other", []Limit{{Server: id, Rate: 4, At: at(0)}}, at(0))
+		l, _ := newLimiter()
+		l.HandleReport("other", nil, at(0))
+		l.Observe(id, 4, at(0), at(0))
+		l.HandleReport("other", []Limit{{Server: id, Rate: 4, At: at(0)}}, at(0))
 		granted := 0
 		for now := at(0); now.Before(at(8)); now = now.Add(step) {
-			if b.CanGrant(id, now) {
-				b.Grant(id, now)
+			if l.CanGrant(id, now) {
+				l.Grant(id, now)
 				granted++
 			}
 		}
--- a/internal/policy/rates/peers.go
+++ b/internal/policy/rates/peers.go
@@ -6,8 +6,8 @@
 	"umberladder/internal/core/ident"
 )
 
-// responseTime is how long a hub's response is valid. It tolerates the loss of two responses.
-const responseTime = 1300 * time.Millisecond
+// responseTTL is how long a hub's response is valid. It tolerates the loss of two responses.
+const responseTTL = 1300 * time.Millisecond
 
 // sentCounts holds the requests sent to each server in the last Span, by one VM or, in a
 // hub's response, by all VMs but the receiver.
@@ -17,7 +17,7 @@
 	sent      map[ident.Server]int
 }
 
-// peers holds the request counts of other VMs, both reported to this VM directly and
+// peers holds the request counts of other VMs: those reported to this VM directly, and those
 // summed by hubs.
 type peers struct {
 	reports   map[ident.VM]sentCounts
@@ -61,7 +61,7 @@
 func (p *peers) sent(id ident.Server, now time.Time) (int, bool) {
 	reporting, n := len(p.reports), p.reported(id, "", now)
 	for hub, c := range p.responses {
-		if now.Sub(c.at) > responseTime {
+		if now.Sub(c.at) > responseTTL {
 			delete(p.responses, hub)
 			continue
 		}
