--- a/internal/policy/retry/breaker.go
+++ b/internal/policy/retry/breaker.go
@@ -12,9 +12,9 @@
 
 // Breaker is the circuit breaker of one server. It opens after openThreshold consecutive
 // failures: the server gets no calls for a time that doubles with each further failure,
-// from baseOpenTime to maxOpenTime. After that time, a successful response may close the
-// breaker, and the server's weight rises to 1 within rampTime. It is not safe for
-// concurrent use.
+// from baseOpenTime to maxOpenTime. After that time, a load report of the server or a
+// successful call may close the breaker, and the server's weight rises from minRampWeight
+// to 1 within rampTime. It is not safe for concurrent use.
 type Breaker struct {
 	failures  int       // consecutive failures
 	openCount int       // failures since it opened, including the one that opened it; zero: closed
@@ -22,14 +22,14 @@
 	closedAt  time.Time // when it last closed
 }
 
-// Open reports whether the breaker is open.
+// IsOpen reports whether the breaker is open.
 func (b *Breaker) Open() bool { return b.openCount > 0 }
 
-// ProbeAllowed reports whether the minimum open time is over, so that a successful response
-// may close the breaker.
+// ProbeAllowed reports whether the minimum open time is over, so that a load report of the
+// server or a successful call may close the breaker.
 func (b *Breaker) ProbeAllowed(now time.Time) bool { return !now.Before(b.openUntil) }
 
-// Success records a successful call and closes the breaker.
+// Success records a successful call or load report and closes the breaker.
 func (b *Breaker) Success(now time.Time) {
 	b.failures = 0
 	if b.openCount > 0 {
@@ -38,8 +38,8 @@
 	b.openCount = 0
 }
 
-// Failure records a failed call. The jitter, in [0, 1), spreads the times at which
-// different VMs probe the server again.
+// Failure records a failed call or a missing load report. The jitter, in [0, 1), spreads the
+// times at which different VMs probe the server again.
 func (b *Breaker) Failure(now time.Time, jitter float64) {
 	b.failures++
 	if b.failures < openThreshold {
--- a/internal/policy/retry/fleet.go
+++ b/internal/policy/retry/fleet.go
@@ -15,22 +15,23 @@
 	// safetyFactor is the fraction of the budget that is used. The retries of VMs that
 	// fail are no longer counted, so the rest is kept as a margin.
 	safetyFactor = 0.8
-	// minVMs is the minimum number of VMs that are assumed to share the extra while the
-	// reports of some are missing. A VM that starts knows no other VMs, and without the
-	// minimum each of several starting VMs would use the whole extra.
+	// minVMs is the minimum number of VMs that are assumed to share the extra retries while
+	// the reports of some are missing. A VM that starts knows no other VMs, and without the
+	// minimum each of several starting VMs would use all of the extra retries.
 	minVMs = 12
-	// responseTime is how long a hub's response is valid. It tolerates the loss of two
+	// responseTTL is how long a hub's response is valid. It tolerates the loss of two
 	// responses.
-	responseTime = 1300 * time.Millisecond
+	responseTTL = 1300 * time.Millisecond
 )
 
 // FleetBudget is a retry budget that all VMs share. In any window, the retries to a
-// service stay below a ratio of the first attempts plus an extra.
+// service stay below a ratio of the first attempts plus a fixed number of extra retries.
 //
 // VMs report their attempts to hubs, and each hub responds with the sum of the other VMs'
-// attempts. A VM may use the remaining budget, less an equal share of the extra for each
-// VM that does not report to the hub. A VM that receives no responses uses only its share
-// of the extra and the ratio of its own first attempts. It is safe for concurrent use.
+// attempts. A VM may use the remaining budget, less an equal share of the extra retries for
+// each VM that does not report to the hub. A VM that receives no responses uses only its
+// share of the extra retries and the ratio of its own first attempts. It is safe for
+// concurrent use.
 type FleetBudget struct {
 	ratio float64
 	extra float64
@@ -50,14 +51,14 @@
 type Peers interface {
 	// ReporterCounts returns the number of other VMs that have reported to this VM in the
 	// recent past, and the number of those that still do.
-	ReporterCounts(now time.Time) (known, heard int)
+	ReporterCounts(now time.Time) (known, reporting int)
 }
 
 // FleetTotal is a hub's response: the sum of the attempts of VMs in a window.
 type FleetTotal struct {
 	At        time.Time // when the hub responded
-	Known     int       // VMs that the hub knows, without the receiver
-	Reporting int       // those of them whose attempts are included
+	Known     int       // number of VMs that the hub knows, without the receiver
+	Reporting int       // number of those whose attempts are included
 	Attempts  map[ident.Service]Attempts
 }
 
@@ -81,7 +82,7 @@
 }
 
 // NewFleetBudget returns a budget of ratio retries per first attempt plus extra retries in
-// any window of the length span.
+// any window of length span.
 func NewFleetBudget(ratio, extra float64, span time.Duration, peers Peers) *FleetBudget {
 	return &FleetBudget{
 		ratio:     ratio,
@@ -95,7 +96,7 @@
 	}
 }
 
-// SetLimits changes the ratio and the extra.
+// SetLimits changes the ratio and the number of extra retries.
 func (b *FleetBudget) SetLimits(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,7 +158,7 @@
 	b.responses[hub] = t
 	b.maxKnown = t.Known
 	for _, o := range b.responses {
-		if t.At.Sub(o.At) < responseTime {
+		if t.At.Sub(o.At) < responseTTL {
 			b.maxKnown = max(b.maxKnown, o.Known)
 		}
 	}
@@ -188,7 +189,7 @@
 	best := FleetTotal{Reporting: reporting}
 	ownReports := true
 	for hub, t := range b.responses {
-		if now.Sub(t.At) > responseTime {
+		if now.Sub(t.At) > responseTTL {
 			delete(b.responses, hub)
 			continue
 		}
@@ -204,19 +205,19 @@
 	return best
 }
 
-func (n Attempts) sub(o Attempts) Attempts {
-	return Attempts{First: n.First - o.First, Retries: n.Retries - o.Retries}
+func (a Attempts) sub(o Attempts) Attempts {
+	return Attempts{First: a.First - o.First, Retries: a.Retries - o.Retries}
 }
 
-func (n Attempts) add(o Attempts) Attempts {
-	return Attempts{First: n.First + o.First, Retries: n.Retries + o.Retries}
+func (a Attempts) add(o Attempts) Attempts {
+	return Attempts{First: a.First + o.First, Retries: a.Retries + o.Retries}
 }
 
-func (p *slidingCounts) sum() Attempts {
+func (c *slidingCounts) sum() Attempts {
 	var sum Attempts
-	for i := range p.first {
-		sum.First += p.first[i]
-		sum.Retries += p.retries[i]
+	for i := range c.first {
+		sum.First += c.first[i]
+		sum.Retries += c.retries[i]
 	}
 	return sum
 }
@@ -225,43 +226,43 @@
 func (b *FleetBudget) RecordFirstAttempt(s ident.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.advance(s, now)
-	p.first[p.newest%(slots+1)]++
+	c := b.advance(s, now)
+	c.first[c.newest%(slots+1)]++
 }
 
 // AllowRetry takes one retry from the budget. It returns false if the budget is used up.
 func (b *FleetBudget) AllowRetry(s ident.Service, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.advance(s, now)
-	own := p.sum()
+	c := b.advance(s, now)
+	own := c.sum()
 	t := b.others(now)
 	others := t.Attempts[s]
 	extra := b.extra
 	if t.Reporting < t.Known || t.Known == 0 {
-		// Leave the shares of the VMs that do not report to them.
+		// Leave a share of the extra retries to each VM whose attempts are not known.
 		extra *= float64(t.Reporting+1) / float64(max(t.Known+1, minVMs))
 	}
 	remaining := safetyFactor*(b.ratio*float64(own.First+others.First)+extra) - float64(others.Retries)
 	if float64(own.Retries+1) > remaining {
 		return false
 	}
-	p.retries[p.newest%(slots+1)]++
+	c.retries[c.newest%(slots+1)]++
 	return true
 }
 
 // advance clears the slots that have left the window and returns the service's counts.
 func (b *FleetBudget) advance(s ident.Service, now time.Time) *slidingCounts {
 	current := now.UnixNano() / (int64(b.span) / slots)
-	p := b.counts[s]
-	if p == nil {
-		p = &slidingCounts{newest: current}
-		b.counts[s] = p
+	c := b.counts[s]
+	if c == nil {
+		c = &slidingCounts{newest: current}
+		b.counts[s] = c
 	}
-	for steps := 0; p.newest < current && steps <= slots; steps++ {
-		p.newest++
-		p.first[p.newest%(slots+1)], p.retries[p.newest%(slots+1)] = 0, 0
+	for steps := 0; c.newest < current && steps <= slots; steps++ {
+		c.newest++
+		c.first[c.newest%(slots+1)], c.retries[c.newest%(slots+1)] = 0, 0
 	}
-	p.newest = max(p.newest, current)
-	return p
+	c.newest = max(c.newest, current)
+	return c
 }
--- a/internal/policy/retry/fleet_test.go
+++ b/internal/policy/retry/fleet_test.go
@@ -15,9 +15,9 @@
 
 func (f fixedPeers) ReporterCounts(time.Time) (int, int) { return f.known, f.reporting }
 
-// TestWindow guards against a hub and two VMs that report to it together
-// exceeding the budget in any window, with random first attempts and retries.
-func TestWindow(t *testing.T) {
+// TestFleetBudget guards against a hub and two VMs that report to it together exceeding the
+// budget in any window, with random first attempts and retries.
+func TestFleetBudget(t *testing.T) {
 	const ratio, extra, span = 0.2, 20.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -69,9 +69,9 @@
 	})
 }
 
-// TestWindowAlone guards against VMs exceeding the budget when they have no reports of
-// some other VMs.
-func TestWindowAlone(t *testing.T) {
+// TestFleetBudgetPartialReports guards against VMs exceeding the budget when they have no
+// reports of some other VMs.
+func TestFleetBudgetPartialReports(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	countRetries := func(p Peers) int {
 		b := NewFleetBudget(0.2, 54, 10*time.Second, p)
@@ -108,7 +108,7 @@
 	t.Run("an isolated VM remembers the number of VMs", func(t *testing.T) {
 		b := NewFleetBudget(0.2, 630, 10*time.Second, fixedPeers{})
 		b.HandleResponse("hub", FleetTotal{At: now, Known: 294, Reporting: 294})
-		later, n := now.Add(2*responseTime), 0
+		later, n := now.Add(2*responseTTL), 0
 		for b.AllowRetry("s", later) {
 			n++
 		}
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -21,7 +21,7 @@
 	assert.Assert(t, spent >= 105 && spent <= 110, "%d retries", spent)
 }
 
-func TestDelay(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range 70 {
 		d := Backoff(rng, n, 100*time.Millisecond, 2*time.Second)
