--- a/internal/core/call/call.go
+++ b/internal/core/call/call.go
@@ -27,7 +27,7 @@
 	return [...]string{"idempotent", "once", "stream"}[k]
 }
 
-// Field is one header field.
+// HeaderField is one header field.
 type Field struct {
 	Name  string
 	Value string
--- a/internal/core/invar/checker.go
+++ b/internal/core/invar/checker.go
@@ -16,7 +16,7 @@
 	NotRun                         // a refusal said "not run" of a request that had started
 	AtMostOnce                     // a non-idempotent call was sent twice
 	NoReversion                    // an older version of a setting was applied
-	LeavingServer                  // a new call was sent to a retiring server
+	LeavingServer                  // a new call was sent to a retired server
 	CutOff                         // a VM stopped while a request was open
 	UrgentFirst                    // another request was placed while an urgent one waited
 	OwnAnswer                      // a client received the response to another client's request
--- a/internal/core/result/record.go
+++ b/internal/core/result/record.go
@@ -47,8 +47,8 @@
 
 // Recorder receives records of finished requests.
 type Recorder interface {
-	// Done records a finished request. It is called once for each request.
+	// RecordRequest records a finished request. It is called once for each request.
 	Done(r *Record)
-	// Gap records the time between two tokens of one stream.
+	// RecordGap records the time between two tokens of one stream.
 	Gap(d time.Duration)
 }
--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// Paused returns the remaining time of a server's pause, or zero.
+// PauseRemaining returns the remaining time of a server's pause, or zero.
 func (t *Tracker) Paused(id ident.Server, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/policy/length/estimator.go
+++ b/internal/policy/length/estimator.go
@@ -36,14 +36,14 @@
 // Curve returns the current estimate.
 func (e *Estimator) Curve() *Curve { return e.curve.Load() }
 
-// Passed records that a stream has passed bucket k and still runs.
+// RecordPassed records that a stream has passed bucket k and still runs.
 func (e *Estimator) Passed(k int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.observe(k, false)
 }
 
-// Ended records that a stream ended in bucket k. For a stream that was cut short, only the
+// RecordEnded records that a stream ended in bucket k. For a stream that was cut short, only the
 // buckets that it passed are recorded, because it might have run longer.
 func (e *Estimator) Ended(k int) {
 	e.mu.Lock()
