--- a/internal/policy/rates/limiter.go
+++ b/internal/policy/rates/limiter.go
@@ -23,9 +23,9 @@
 	extraRequests = 2
 	// expiry is how long a limit stays in force without being confirmed by a response.
 	expiry = 30 * time.Second
-	// endedTime is how long an ended limit is remembered and reported, so that outdated
+	// endedRetention is how long an ended limit is remembered and reported, so that outdated
 	// reports do not restore it.
-	endedTime = 10 * time.Second
+	endedRetention = 10 * time.Second
 	// minRate is the lowest limit that is enforced, in requests a second. Some requests
 	// must be sent for their responses to show that the limit has ended.
 	minRate = 0.25
@@ -128,10 +128,10 @@
 	return changed
 }
 
-// expire removes limits that were not confirmed in time, and ended limits after endedTime.
+// expire removes limits that were not confirmed in time, and ended limits after endedRetention.
 func (l *Limiter) expire(now time.Time) {
 	for id, e := range l.servers {
-		if age := now.Sub(e.at); age > expiry || e.rate == 0 && age > endedTime {
+		if age := now.Sub(e.at); age > expiry || e.rate == 0 && age > endedRetention {
 			delete(l.servers, id)
 		}
 	}
