--- a/internal/route/alloc/tracker.go
+++ b/internal/route/alloc/tracker.go
@@ -19,11 +19,11 @@
 
 // Load is the work in flight at one server.
 type Load struct {
-	Calls     int // calls
+	Calls     int // calls in flight
 	Tokens    int // expected memory of the calls at their end
 	Backlog   int // prompt tokens not known to be prefilled yet
 	CopiesIn  int // KV caches in transit to the server
-	CopiesOut int // KV caches in transit from the server, except copies that grow with their runs
+	CopiesOut int // KV caches in transit from the server, except backup copies sent as their runs grow
 }
 
 // Plus returns the sum of the loads.
@@ -142,7 +142,8 @@
 // last receive.
 func (t *Tracker) Dirty() <-chan struct{} { return t.dirty }
 
-// Changed returns a channel that is closed once capacity may have become free.
+// Changed returns a channel that is closed once capacity may have become
+// available.
 func (t *Tracker) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +157,9 @@
 	return maps.Clone(t.local)
 }
 
-// UpdatePeer replaces another VM's loads, unless later ones were received before.
-// The loads of further parts of the same message are added.
+// UpdatePeer replaces another VM's loads, unless the same or a later report was
+// received before. A report may arrive in several parts with the same sequence
+// number: the loads of the parts after the first are added.
 func (t *Tracker) UpdatePeer(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/route/coord/coord.go
+++ b/internal/route/coord/coord.go
@@ -32,15 +32,15 @@
 	// rate is used for estimates.
 	minBusyTime = 100 * time.Millisecond
 	// maxLate is the maximum number of queued calls that cannot start in time. They
-	// get the capacity that other calls leave; calls beyond this number are
-	// rejected at once.
+	// get the capacity that other calls do not use; calls beyond this number are
+	// refused at once.
 	maxLate = 16
-	// refusedTTL is how long a rejected call is remembered. If the client repeats
+	// refusedTTL is how long a refused call is remembered. If the client repeats
 	// it within this time, it does not take capacity from calls that can still
 	// start in time.
 	refusedTTL = 15 * time.Second
-	// MinRetryAfter and maxRetryAfter bound the retry delay given to a rejected
-	// run. A rejection means that all priority levels were full, which does not
+	// MinRetryAfter and maxRetryAfter bound the retry delay given to a refused
+	// run. A run is refused only if all priority levels are full, which does not
 	// change quickly.
 	MinRetryAfter = 4 * time.Second
 	maxRetryAfter = 12 * time.Second
@@ -60,8 +60,8 @@
 const (
 	Waiting State = iota // queued until an engine has capacity
 	Granted
-	NoCapacity // rejected: no engine will have capacity in time
-	NoServer   // rejected: no server accepts work
+	NoCapacity // refused: no engine will have capacity in time
+	NoServer   // refused: no server accepts work
 )
 
 // Response is the coordinator's response to a Request.
@@ -71,7 +71,7 @@
 	Server     ident.Server  // set if granted
 	Backup     ident.Server  // keeps a copy of the KV cache; empty: none
 	Ahead      int           // runs queued before this one
-	RetryAfter time.Duration // delay after which capacity is likely, if rejected for lack of it
+	RetryAfter time.Duration // delay after which capacity is likely, if refused for lack of it
 }
 
 // Coordinator places the runs of all VMs that send it requests. It is safe for
@@ -83,7 +83,7 @@
 	requests map[requestKey]*request
 	queues   map[ident.Service]*serviceQueue
 	grants   []grant
-	refused  map[uint64]time.Time // time of the last rejection, by retry key
+	refused  map[uint64]time.Time // time of the last refusal, by retry key
 }
 
 type requestKey struct {
@@ -91,11 +91,11 @@
 	id uint64
 }
 
-// request is a queued or answered Request.
+// request is a queued or decided Request.
 type request struct {
 	Request
 	respond  func(Response)
-	lastSeen time.Time
+	lastSeen time.Time // when the VM last sent the request
 	startBy  time.Time // latest start that is in time
 	deadline time.Time // end of the wait
 	response Response
@@ -105,7 +105,7 @@
 
 // Priority levels of queued requests, in the order in which they are served.
 const (
-	migrationLevel = iota // runs that have to leave their engines
+	migrationLevel = iota // runs that migrate to another engine
 	onTimeLevel           // calls that can still start in time
 	lateLevel             // calls that cannot start in time
 	numLevels
@@ -207,7 +207,7 @@
 	return sq
 }
 
-// serve grants capacity to queued requests, in order, until there is none left.
+// serve grants capacity to queued requests, in order, until there is none.
 func (c *Coordinator) serve(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,7 +256,7 @@
 }
 
 // serveLevel removes expired requests of a level and grants capacity to the
-// others. It reports whether there may be capacity left.
+// others. It reports whether more capacity may be free.
 func (c *Coordinator) serveLevel(sq *serviceQueue, level int, hasCapacity bool, now time.Time) bool {
 	for {
 		e := sq.queues[level].Peek()
@@ -286,9 +286,9 @@
 	}
 }
 
-// tryPlace grants the request capacity, or answers it with NoServer. It reports
-// whether the request was answered, and if not, whether the reason is a lack of
-// capacity rather than a busy link.
+// tryPlace grants the request capacity, or responds with NoServer. It reports
+// whether it responded, and if not, whether the reason is a lack of capacity
+// rather than a busy link.
 func (c *Coordinator) tryPlace(sq *serviceQueue, r *request, now time.Time) (done, noCapacity bool) {
 	placement, err := c.chooser.Choose(&r.Run, c.pendingGrants(now), now)
 	switch {
@@ -313,7 +313,7 @@
 	return true, false
 }
 
-// refuse answers the request with NoCapacity.
+// refuse responds to the request with NoCapacity.
 func (c *Coordinator) refuse(sq *serviceQueue, r *request) {
 	if r.Run.RetryKey != 0 {
 		c.refused[r.Run.RetryKey] = r.lastSeen
@@ -405,8 +405,10 @@
 	if busy < minBusyTime {
 		return 0
 	}
-	known := 1 - math.Exp(-busy.Seconds()/rateWindow.Seconds())
-	seconds := float64(tokens) * known / rate
+	// The grant rates are moving averages that start at zero, so after this time
+	// they are too low by the factor warmup.
+	warmup := 1 - math.Exp(-busy.Seconds()/rateWindow.Seconds())
+	seconds := float64(tokens) * warmup / rate
 	if seconds > maxEstimate.Seconds() {
 		return maxEstimate
 	}
--- a/internal/route/coord/coord_bench_test.go
+++ b/internal/route/coord/coord_bench_test.go
@@ -13,11 +13,11 @@
 	"umberladder/internal/state/srvtab"
 )
 
-// BenchmarkTake places runs on different numbers of engines that 62 VMs use.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkSubmit places runs on different numbers of engines that 62 VMs use.
+func BenchmarkSubmit(b *testing.B) {
 	for _, engines := range []int{12, 44, 357} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			table, book := srvtab.NewTable(func() {}), alloc.New()
+			table, tracker := srvtab.NewTable(func() {}), alloc.New()
 			list := make([]srvtab.Entry, engines)
 			for i := range list {
 				list[i] = srvtab.Entry{ID: ident.Server(fmt.Sprint("e", i)), Service: "s", Domain: "a", Slots: 24}
@@ -28,14 +28,14 @@
 				for i := range 4 {
 					load[list[(vm*4+i)%engines].ID] = alloc.Load{Calls: 1, Tokens: 3000}
 				}
-				book.UpdatePeer(ident.VM(fmt.Sprint(vm)), 1, 1, 0, load, time.Now().Add(time.Hour))
+				tracker.UpdatePeer(ident.VM(fmt.Sprint(vm)), 1, 1, 0, load, time.Now().Add(time.Hour))
 			}
-			c := New(pick.NewChooser(table, book, health.New(), rates.New(nil, nil)))
-			w := pick.Request{Service: "s", Need: 3300, Prefill: 3000, EngineMemory: 1 << 20, From: "a", TargetWait: time.Second, MaxWait: time.Second}
+			c := New(pick.NewChooser(table, tracker, health.New(), rates.New(nil, nil)))
+			run := pick.Request{Service: "s", Need: 3300, Prefill: 3000, EngineMemory: 1 << 20, From: "a", TargetWait: time.Second, MaxWait: time.Second}
 			for n := range uint64(b.N) {
-				c.Submit(Request{VM: "vm", ID: n, Run: w}, func(Response) {}, time.Now())
+				c.Submit(Request{VM: "vm", ID: n, Run: run}, func(Response) {}, time.Now())
 				if n%100 == 0 {
-					c.serve(time.Now().Add(2 * time.Second)) // drops the answered requests
+					c.serve(time.Now().Add(2 * time.Second)) // drops the decided requests
 					c.grants = nil
 				}
 			}
--- a/internal/route/coord/doc.go
+++ b/internal/route/coord/doc.go
@@ -6,12 +6,12 @@
 // and report the load of their runs, so that only one VM allocates the
 // engines' capacity: VMs that decide independently all choose the same engine
 // with free capacity. A run for which no engine has capacity is queued at the
-// coordinator by priority, and rejected at once if the estimated wait is too
+// coordinator by priority, and refused at once if the estimated wait is too
 // long.
 //
 // The coordinator holds no state that must survive it. The next VM in the order
-// receives the same load reports and takes over as soon as requests to the
-// first are not answered; a VM that gets no response from either places its
-// runs itself. Two VMs that place runs concurrently can only overcommit
+// receives the same load reports and takes over as soon as the first does not
+// respond to requests; a VM that gets no response from either places its runs
+// itself. Two VMs that place runs concurrently can only overcommit
 // engines, and an overcommitted engine rejects the run.
 package coord
