--- a/internal/route/entry/claims.go
+++ b/internal/route/entry/claims.go
@@ -13,12 +13,14 @@
 // callers that repeat an idempotency key.
 const maxStoredResponse = 64 << 10
 
-// Claims decides which calls with an idempotency key may run.
+// Claims decides which requests with an idempotency key may run.
 type Claims interface {
 	// Claim grants the key to the request, or returns the response of an earlier
-	// call with the same key, or a refusal.
+	// request with the same key, or a refusal.
 	Claim(ctx context.Context, w ident.Workspace, key string, sum [32]byte, r ident.Request) (*proto.Answer, *refuse.Refusal)
-	// Finish reports the end of a request to which Claim granted the key.
+	// Finish reports the end of a request to which Claim granted the key. ran is
+	// set if the request may have run, and response is stored for repetitions of
+	// the request; nil: none is stored.
 	Finish(ctx context.Context, w ident.Workspace, key string, r ident.Request, ran bool, response *proto.Answer)
 }
 
@@ -29,7 +31,7 @@
 	workspace ident.Workspace
 	key       string
 	request   ident.Request
-	stored    *proto.Answer
+	stored    *proto.Answer // response of an earlier request with the key; nil: none
 }
 
 // fingerprint returns a hash that detects different requests with the same
--- a/internal/route/entry/generate.go
+++ b/internal/route/entry/generate.go
@@ -37,19 +37,19 @@
 	if refusal != nil {
 		return openai.Completion{}, refusal
 	}
-	w := openai.Completion{Request: s.info.request, PromptTokens: promptTokens(g.Prompt)}
+	completion := openai.Completion{Request: s.info.request, PromptTokens: promptTokens(g.Prompt)}
 	if stored := s.claim.stored; stored != nil {
-		w.Text, w.FinishReason = string(stored.GetBody()), stored.GetContentType()
-		s.complete(len(w.Text))
-		return w, nil
+		completion.Text, completion.FinishReason = string(stored.GetBody()), stored.GetContentType()
+		s.complete(len(completion.Text))
+		return completion, nil
 	}
-	if w.Text, w.FinishReason, refusal = s.stream.ReadAll(); refusal != nil {
+	if completion.Text, completion.FinishReason, refusal = s.stream.ReadAll(); refusal != nil {
 		return openai.Completion{}, s.refuse(refusal)
 	}
-	s.response = generationResponse(w.Text, w.FinishReason)
-	w.CompletionTokens = s.stream.Record.Tokens
-	s.complete(len(w.Text))
-	return w, nil
+	s.response = generationResponse(completion.Text, completion.FinishReason)
+	completion.CompletionTokens = s.stream.Record.Tokens
+	s.complete(len(completion.Text))
+	return completion, nil
 }
 
 // promptTokens estimates the number of tokens in a prompt.
@@ -78,13 +78,13 @@
 		return nil, s.refuse(refuse.New(refuse.NoServer, "the settings name no engine for model %s", info.service.Model).WithRetryAfter(time.Second))
 	}
 	s.stream, refusal = h.runner.Open(ctx, placer, infer.Call{
-		Request:    info.request,
-		Service:    info.service,
-		Class:      info.class,
-		Prompt:     g.Prompt,
-		MaxTokens:  g.MaxTokens,
-		AtMostOnce: info.service.AtMostOnce,
-		Placement:  info.placementRequest(g.Prompt),
+		Request:          info.request,
+		Service:          info.service,
+		Class:            info.class,
+		Prompt:           g.Prompt,
+		MaxTokens:        g.MaxTokens,
+		AtMostOnce:       info.service.AtMostOnce,
+		PlacementRequest: info.placementRequest(g.Prompt),
 	})
 	if refusal != nil {
 		return nil, s.refuse(refusal)
@@ -142,7 +142,7 @@
 	chat     bool
 	ended    bool // Next returned the end of the response
 	closed   bool
-	text     []byte        // with an idempotency key: the text so far, as far as it is stored
+	text     []byte        // with an idempotency key: the text sent so far; incomplete if longer than maxStoredResponse
 	response *proto.Answer // stored for callers that repeat the idempotency key
 }
 
--- a/internal/route/entry/handler.go
+++ b/internal/route/entry/handler.go
@@ -24,8 +24,9 @@
 	// prefixBytes is the length, in bytes, of the prompt prefix that is hashed to
 	// find the engine whose KV cache is likely to contain the prompt.
 	prefixBytes = 256
-	// bytesPerToken is the usual ratio for English text. It is used to estimate
-	// the prompt's size for placement; engines count the tokens themselves.
+	// bytesPerToken is the usual ratio for English text. The estimate of the
+	// prompt's size is used only for placement; engines count the tokens
+	// themselves.
 	bytesPerToken = 4
 	// closeTimeout is how long streams whose callers have disconnected may take
 	// to end.
@@ -70,18 +71,18 @@
 }
 
 // New returns a Handler with the given dependencies.
-func New(p Deps) *Handler {
+func New(d Deps) *Handler {
 	return &Handler{
-		vm:         p.VM,
-		settings:   p.Settings,
-		limiter:    p.Limiter,
-		claims:     p.Claims,
-		placers:    p.Placers,
-		runner:     p.Runner,
-		plain:      p.Plain,
-		ring:       p.Ring,
-		invariants: p.Invariants,
-		recorder:   p.Recorder,
+		vm:         d.VM,
+		settings:   d.Settings,
+		limiter:    d.Limiter,
+		claims:     d.Claims,
+		placers:    d.Placers,
+		runner:     d.Runner,
+		plain:      d.Plain,
+		ring:       d.Ring,
+		invariants: d.Invariants,
+		recorder:   d.Recorder,
 	}
 }
 
--- a/internal/route/entry/plain.go
+++ b/internal/route/entry/plain.go
@@ -81,7 +81,7 @@
 	return c
 }
 
-// callerResponse returns a stored response as an answer to the caller.
+// callerResponse returns a stored response in the form for the caller.
 func callerResponse(r ident.Request, a *proto.Answer) caller.PlainResponse {
 	return caller.PlainResponse{
 		Request:     r,
--- a/internal/route/infer/runner.go
+++ b/internal/route/infer/runner.go
@@ -66,13 +66,13 @@
 
 // Call describes a generation requested by a caller.
 type Call struct {
-	Request    ident.Request
-	Service    *config.Service
-	Class      *config.Class
-	Prompt     string
-	MaxTokens  int
-	AtMostOnce bool // the generation must not be started more than once
-	Placement  pool.Request
+	Request          ident.Request
+	Service          *config.Service
+	Class            *config.Class
+	Prompt           string
+	MaxTokens        int
+	AtMostOnce       bool // the generation must not be started more than once
+	PlacementRequest pool.Request
 }
 
 // Token is one token for the caller, or the end of the response.
@@ -104,8 +104,8 @@
 }
 
 // New returns a Runner.
-func New(cfg Config, engines EngineClient, budget *retry.Budget, book *invar.Checker, rec result.Recorder, group Group, rng *rand.Rand) *Runner {
-	return &Runner{cfg: cfg, engines: engines, budget: budget, invariants: book, recorder: rec, group: group, rng: rng}
+func New(cfg Config, engines EngineClient, budget *retry.Budget, invariants *invar.Checker, rec result.Recorder, group Group, rng *rand.Rand) *Runner {
+	return &Runner{cfg: cfg, engines: engines, budget: budget, invariants: invariants, recorder: rec, group: group, rng: rng}
 }
 
 // Open starts a generation and returns its stream once the first token has been received.
--- a/internal/route/infer/start.go
+++ b/internal/route/infer/start.go
@@ -19,7 +19,7 @@
 
 // start reserves capacity on an engine and starts the generation there.
 func (s *Stream) start() *refuse.Refusal {
-	req := s.call.Placement
+	req := s.call.PlacementRequest
 	req.Exclude = s.exclude
 	waitStart := time.Now()
 	reservation, refusal := s.placer.Acquire(s.ctx, &req)
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// startFailed handles a start that returned no stream.
+// startFailed handles a start that returned no stream. It returns nil if the
+// generation may be started on another engine.
 func (s *Stream) startFailed(g ident.Generation, err error) *refuse.Refusal {
 	s.exclude[s.Record.Server] = struct{}{}
 	var e *engine.Error
@@ -83,8 +84,7 @@
 		WithRetryAfter(max(e.RetryAfter, time.Second)))
 }
 
-// correctRan marks the refusal of a request that an engine received earlier as possibly
-// run.
+// correctRan corrects a refusal: a request that an engine received earlier may have run.
 func (s *Stream) correctRan(r *refuse.Refusal) *refuse.Refusal {
 	if s.started {
 		r.Ran = refuse.RanMaybe
--- a/internal/route/infer/stream.go
+++ b/internal/route/infer/stream.go
@@ -39,7 +39,7 @@
 	started         bool             // an engine has received the generation and may have run it
 	delivered       bool             // a token has reached the caller
 	failedResumes   int              // consecutive times that the engine did not respond, or responded incorrectly
-	disconnects     int              // consecutive connections that broke before delivering a token
+	disconnects     int              // consecutive connections that broke before they delivered a token
 	rejections      int              // number of engines that did not start the generation
 	firstToken      *Token           // fetched by awaitFirst and not returned yet
 	lastTokenAt     time.Time        // time of the last token, or of the start of the stream
@@ -240,7 +240,8 @@
 	s.conn = nil
 }
 
-// connFailed handles the failure of a connection or of an attempt to reconnect.
+// connFailed handles the failure of a connection or of an attempt to reconnect. It
+// returns nil if the stream should be resumed or run again.
 func (s *Stream) connFailed(err error) *refuse.Refusal {
 	wasConnected := s.conn != nil
 	s.disconnect()
--- a/internal/route/infer/stream_test.go
+++ b/internal/route/infer/stream_test.go
@@ -144,7 +144,7 @@
 	h.reportLoads()
 	class := &config.Class{Name: "standard", Rank: 1, MaxWait: 10 * time.Second}
 	service := &config.Service{Name: "s", OverflowChance: 0.05}
-	h.call = Call{Request: "r", Service: service, Class: class, Placement: pool.Request{Service: service, Class: class, Prompt: 4}}
+	h.call = Call{Request: "r", Service: service, Class: class, PlacementRequest: pool.Request{Service: service, Class: class, Prompt: 4}}
 	return h
 }
 
@@ -208,17 +208,17 @@
 
 func TestLinkFaults(t *testing.T) {
 	for name, list := range map[string][]behaviour{
-		"none":                  {{to: numTokens, end: "done"}},
-		"cut and resumed":       {{to: 2, end: "cut"}, {from: 2, to: numTokens, end: "done"}},
-		"repeated indices":      {{to: 4, end: "cut"}, {from: 1, to: numTokens, end: "done"}},
-		"missing indices":       {{to: 2, end: "cut"}, {from: 4, to: numTokens, end: "done"}, {from: 2, to: numTokens, end: "done"}},
-		"another generation":    {{to: 2, end: "foreign"}, {from: 2, to: numTokens, end: "done"}},
-		"an end that is short":  {{to: 3, end: "short"}, {from: 3, to: numTokens, end: "done"}},
-		"silence":               {{to: 3, end: "silent"}, {from: 3, to: 3, end: "silent"}, {from: 3, to: numTokens, end: "done"}},
-		"a link that is slow":   {{to: 3, end: "cut"}, {err: errUnreachable}, {err: errUnreachable}, {from: 3, to: numTokens, end: "done"}},
-		"an end on its own":     {{to: numTokens, end: "cut"}, {from: numTokens, to: numTokens, end: "done"}},
-		"cut before any token":  append(repeat(behaviour{from: 2, to: 2, end: "cut"}, 12, behaviour{to: 2, end: "cut"}), behaviour{from: 2, to: numTokens, end: "done"}),
-		"cut after every token": {{to: 1, end: "cut"}, {from: 1, to: 2, end: "cut"}, {from: 2, to: 3, end: "cut"}, {from: 3, to: numTokens, end: "done"}},
+		"none":                     {{to: numTokens, end: "done"}},
+		"cut and resumed":          {{to: 2, end: "cut"}, {from: 2, to: numTokens, end: "done"}},
+		"repeated indices":         {{to: 4, end: "cut"}, {from: 1, to: numTokens, end: "done"}},
+		"missing indices":          {{to: 2, end: "cut"}, {from: 4, to: numTokens, end: "done"}, {from: 2, to: numTokens, end: "done"}},
+		"another generation":       {{to: 2, end: "foreign"}, {from: 2, to: numTokens, end: "done"}},
+		"end before all tokens":    {{to: 3, end: "short"}, {from: 3, to: numTokens, end: "done"}},
+		"no data":                  {{to: 3, end: "silent"}, {from: 3, to: 3, end: "silent"}, {from: 3, to: numTokens, end: "done"}},
+		"engine unreachable twice": {{to: 3, end: "cut"}, {err: errUnreachable}, {err: errUnreachable}, {from: 3, to: numTokens, end: "done"}},
+		"cut before the end event": {{to: numTokens, end: "cut"}, {from: numTokens, to: numTokens, end: "done"}},
+		"cut before any token":     append(repeat(behaviour{from: 2, to: 2, end: "cut"}, 12, behaviour{to: 2, end: "cut"}), behaviour{from: 2, to: numTokens, end: "done"}),
+		"cut after every token":    {{to: 1, end: "cut"}, {from: 1, to: 2, end: "cut"}, {from: 2, to: 3, end: "cut"}, {from: 3, to: numTokens, end: "done"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -260,7 +260,7 @@
 }
 
 func TestEngineDies(t *testing.T) {
-	t.Run("before the first token: it runs elsewhere", func(t *testing.T) {
+	t.Run("before the first token: the generation runs on another engine", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(firstEngineFails(0))
 			got, refusal := h.stream()
@@ -270,7 +270,7 @@
 			assert.NilError(t, h.group.Wait())
 		})
 	})
-	t.Run("after it: a partial refusal, at once", func(t *testing.T) {
+	t.Run("after the first token: a partial refusal, at once", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
 			h := newHarness(firstEngineFails(3))
@@ -282,7 +282,7 @@
 			assert.Equal(t, len(h.engines.started), 1)
 		})
 	})
-	t.Run("a whole answer is run again", func(t *testing.T) {
+	t.Run("a complete response is run again", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(firstEngineFails(3))
 			text, refusal := h.readAll()
@@ -296,7 +296,7 @@
 			assert.NilError(t, h.group.Wait())
 		})
 	})
-	t.Run("a call at most once is not", func(t *testing.T) {
+	t.Run("an at-most-once call is not run again", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(firstEngineFails(0))
 			h.call.AtMostOnce = true
@@ -317,19 +317,19 @@
 		ran        refuse.Ran
 		starts     int
 	}{
-		"every engine refuses":              {refused, false, refuse.ServerRefused, refuse.RanNo, 3},
-		"none can be reached":               {errUnreachable, false, refuse.ServerRefused, refuse.RanNo, 3},
-		"refusals are safe at most once":    {refused, true, refuse.ServerRefused, refuse.RanNo, 3},
-		"no word, and at most once":         {maybe, true, refuse.ServerSilent, refuse.RanMaybe, 1},
-		"no word from any, and it may have": {maybe, false, refuse.NoServer, refuse.RanMaybe, 3},
+		"every engine refuses":                      {refused, false, refuse.ServerRefused, refuse.RanNo, 3},
+		"no engine is reachable":                    {errUnreachable, false, refuse.ServerRefused, refuse.RanNo, 3},
+		"refusals of an at-most-once call":          {refused, true, refuse.ServerRefused, refuse.RanNo, 3},
+		"no response to an at-most-once call":       {maybe, true, refuse.ServerSilent, refuse.RanMaybe, 1},
+		"no response from any engine, may have run": {maybe, false, refuse.NoServer, refuse.RanMaybe, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(sequence(behaviour{err: c.err}))
 				h.call.AtMostOnce = c.atMostOnce
-				begun := time.Now()
+				start := time.Now()
 				_, refusal := h.stream()
-				assert.Assert(t, time.Since(begun) < time.Second, "the refusal must be immediate")
+				assert.Assert(t, time.Since(start) < time.Second, "the refusal must be immediate")
 				check.Refusal(t, refusal, c.reason, c.ran)
 				assert.Equal(t, len(h.engines.calls), c.starts)
 				assert.Assert(t, refusal.RetryAfter > 0, "the refusal must have a retry delay")
@@ -339,7 +339,7 @@
 	}
 }
 
-func TestPausedTooLong(t *testing.T) {
+func TestTokenTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(func(_ string, _ netip.AddrPort, next uint64) behaviour {
 			return behaviour{from: next, to: max(next, 2), end: "silent"}
