--- a/internal/route/limits/limiter.go
+++ b/internal/route/limits/limiter.go
@@ -55,20 +55,20 @@
 	i, n := l.rank(w)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.countersOf(w, now)
+	c := l.countersOf(w, now)
 	share := openShare(w, i, n)
-	if u.open >= share {
+	if c.open >= share {
 		return nil, refuse.New(refuse.Concurrency, "this VM is one of %d and holds a share of %d open requests", n, share).
-			WithRule(limitRule(w, "concurrency", w.Limits.Concurrency, u.open)).WithRetryAfter(concurrencyRetryAfter)
+			WithRule(limitRule(w, "concurrency", w.Limits.Concurrency, c.open)).WithRetryAfter(concurrencyRetryAfter)
 	}
 	rate := limit.Share(w.Limits.TokensPerSecond, i, n)
-	u.tokens.SetRate(float64(rate), now)
-	if wait := u.tokens.Wait(now); wait > 0 {
+	c.tokens.SetRate(float64(rate), now)
+	if wait := c.tokens.Wait(now); wait > 0 {
 		return nil, refuse.New(refuse.TokenRate, "this VM is one of %d and holds a share of %d tokens a second", n, rate).
-			WithRule(limitRule(w, "tokens-per-second", w.Limits.TokensPerSecond, rate-int(u.tokens.Level(now)))).WithRetryAfter(wait)
+			WithRule(limitRule(w, "tokens-per-second", w.Limits.TokensPerSecond, rate-int(c.tokens.Level(now)))).WithRetryAfter(wait)
 	}
-	u.open++
-	return &Permit{limiter: l, counters: u}, nil
+	c.open++
+	return &Permit{limiter: l, counters: c}, nil
 }
 
 func limitRule(w *config.Workspace, name string, bound, observed int) refuse.Rule {
@@ -81,12 +81,12 @@
 }
 
 func (l *Limiter) countersOf(w *config.Workspace, now time.Time) *counters {
-	u := l.workspaces[w.Name]
-	if u == nil {
-		u = &counters{tokens: limit.NewBucket(float64(w.Limits.TokensPerSecond), now)}
-		l.workspaces[w.Name] = u
+	c := l.workspaces[w.Name]
+	if c == nil {
+		c = &counters{tokens: limit.NewBucket(float64(w.Limits.TokensPerSecond), now)}
+		l.workspaces[w.Name] = c
 	}
-	return u
+	return c
 }
 
 // Release ends the request and charges the generated tokens to the workspace.
--- a/internal/route/limits/limiter_test.go
+++ b/internal/route/limits/limiter_test.go
@@ -27,12 +27,12 @@
 }
 
 // Rank implements Fleet.
-func (s member) Rank() (i, n int) {
-	for vm := range s.cluster.limiters {
-		if s.cluster.knownDead[vm] || s.cluster.partition[vm] != s.cluster.partition[s.vm] {
+func (m member) Rank() (i, n int) {
+	for vm := range m.cluster.limiters {
+		if m.cluster.knownDead[vm] || m.cluster.partition[vm] != m.cluster.partition[m.vm] {
 			continue
 		}
-		if vm < s.vm {
+		if vm < m.vm {
 			i++
 		}
 		n++
@@ -68,10 +68,9 @@
 // other: the limit, or one per VM if that is more.
 func maxOpen(bound, n int) int { return max(bound, n) }
 
-// TestAcrossVMs opens and ends requests while VMs crash and the
-// network splits once into two sides. The total must never exceed the limit per
-// side, and once the VMs agree on the membership again, the full limit must be
-// available.
+// TestAcrossVMs opens and ends requests while VMs crash and the network splits
+// once into two sides. The total must never exceed the limit per side, and once
+// the VMs agree on the membership again, the full limit must be available.
 func TestAcrossVMs(t *testing.T) {
 	check.RapidChecks(t, 500)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/route/limits/usage.go
+++ b/internal/route/limits/usage.go
@@ -9,8 +9,8 @@
 
 // Usage reports how much of a VM's share of its limits a workspace uses.
 type Usage struct {
-	Open       int // open requests
-	OpenShare  int
+	Open       int     // open requests
+	OpenShare  int     // open requests that the VM allows; at least 1
 	TokensLeft float64 // level of the token bucket; negative: a debt, and new requests are refused until it is paid
 	RateShare  int     // tokens per second; 0: no limit
 	Version    uint64  // version of the workspace's settings applied on that VM
@@ -26,9 +26,9 @@
 		RateShare: limit.Share(w.Limits.TokensPerSecond, i, n),
 		Version:   w.Version,
 	}
-	if u := l.workspaces[w.Name]; u != nil {
-		out.Open = u.open
-		out.TokensLeft = u.tokens.Level(now)
+	if c := l.workspaces[w.Name]; c != nil {
+		out.Open = c.open
+		out.TokensLeft = c.tokens.Level(now)
 	}
 	return out
 }
--- a/internal/route/loads/loads.go
+++ b/internal/route/loads/loads.go
@@ -49,7 +49,8 @@
 }
 
 // New returns a Poller. interval returns how often the load reports of a model's
-// engines are read, and vms how many VMs place generations of a model.
+// engines are read, chooser returns the placement policy of a new pool, and vms
+// returns how many VMs place generations of a model.
 func New(reader Reader, interval func(ident.Model) time.Duration, chooser func() place.Chooser, vms func(ident.Model) int, invariants *invar.Checker, seed uint64) *Poller {
 	return &Poller{
 		reader:     reader,
@@ -66,45 +67,45 @@
 }
 
 // Pool returns a model's pool, or nil.
-func (l *Poller) Pool(m ident.Model) *pool.Pool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.pools[m]
+func (p *Poller) Pool(m ident.Model) *pool.Pool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.pools[m]
 }
 
 // Pools returns every pool.
-func (l *Poller) Pools() []*pool.Pool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := make([]*pool.Pool, 0, len(l.pools))
-	for _, p := range l.pools {
-		out = append(out, p)
+func (p *Poller) Pools() []*pool.Pool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := make([]*pool.Pool, 0, len(p.pools))
+	for _, modelPool := range p.pools {
+		out = append(out, modelPool)
 	}
 	return out
 }
 
 // Update sets the models and engines that the settings list.
-func (l *Poller) Update(s *config.Snapshot) {
+func (p *Poller) Update(s *config.Snapshot) {
 	if s.System == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.targets = map[netip.AddrPort]target{}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.targets = map[netip.AddrPort]target{}
 	for _, m := range s.System.Models {
-		p := l.pools[m.Name]
-		if p == nil {
-			l.seed++
-			p = pool.New(m.Name, l.chooser(), func() int { return l.vms(m.Name) }, l.invariants, rand.New(rand.NewPCG(l.seed, 0)))
-			l.pools[m.Name] = p
+		modelPool := p.pools[m.Name]
+		if modelPool == nil {
+			p.seed++
+			modelPool = pool.New(m.Name, p.chooser(), func() int { return p.vms(m.Name) }, p.invariants, rand.New(rand.NewPCG(p.seed, 0)))
+			p.pools[m.Name] = modelPool
 		}
-		p.Update(m.Servers)
+		modelPool.Update(m.Servers)
 		for _, server := range m.Servers {
-			l.targets[server.Address] = target{pool: p, name: server.Name}
+			p.targets[server.Address] = target{pool: modelPool, name: server.Name}
 		}
 	}
 	select {
-	case l.changed <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
@@ -115,57 +116,57 @@
 }
 
 // Run polls the engines until ctx ends.
-func (l *Poller) Run(ctx context.Context, g Group) error {
+func (p *Poller) Run(ctx context.Context, g Group) error {
 	for {
-		l.reconcile(ctx, g)
+		p.reconcile(ctx, g)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.changed:
+		case <-p.changed:
 		}
 	}
 }
 
 // reconcile starts a poller for each target engine and stops the others.
-func (l *Poller) reconcile(ctx context.Context, g Group) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for addr, cancel := range l.pollers {
-		if _, ok := l.targets[addr]; !ok {
+func (p *Poller) reconcile(ctx context.Context, g Group) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for addr, cancel := range p.pollers {
+		if _, ok := p.targets[addr]; !ok {
 			cancel()
-			delete(l.pollers, addr)
+			delete(p.pollers, addr)
 		}
 	}
-	for addr, t := range l.targets {
-		if l.pollers[addr] != nil {
+	for addr, t := range p.targets {
+		if p.pollers[addr] != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(ctx)
-		l.pollers[addr] = cancel
-		l.seed++
-		rng := rand.New(rand.NewPCG(l.seed, 1))
+		p.pollers[addr] = cancel
+		p.seed++
+		rng := rand.New(rand.NewPCG(p.seed, 1))
 		g.Go(func() error {
-			l.poll(ctx, addr, t, rng)
+			p.poll(ctx, addr, t, rng)
 			return nil
 		})
 	}
 }
 
 // poll reads one engine's load reports, at random intervals so that VMs do not
-// poll in step.
-func (l *Poller) poll(ctx context.Context, addr netip.AddrPort, t target, rng *rand.Rand) {
+// all poll at the same time.
+func (p *Poller) poll(ctx context.Context, addr netip.AddrPort, t target, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		l.read(ctx, addr, t)
-		interval := l.interval(t.pool.Model())
+		p.read(ctx, addr, t)
+		interval := p.interval(t.pool.Model())
 		wait := interval/2 + time.Duration(rng.Int64N(int64(interval)))
 		retry.Sleep(ctx, wait)
 	}
 }
 
-func (l *Poller) read(ctx context.Context, addr netip.AddrPort, t target) {
+func (p *Poller) read(ctx context.Context, addr netip.AddrPort, t target) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	report, err := l.reader.Load(ctx, addr)
+	report, err := p.reader.Load(ctx, addr)
 	if err != nil {
 		t.pool.ReportFailure(t.name, time.Now())
 		return
--- a/internal/route/migr/migrator.go
+++ b/internal/route/migr/migrator.go
@@ -20,7 +20,8 @@
 	// if the link has no queue.
 	quickCopyTime = 50 * time.Millisecond
 	// copyPhaseTime is how long a migration repeats copies until the links are free.
-	// It leaves time to finish within the shortest notice of an engine's end.
+	// It leaves time to finish the migration within the shortest notice that an
+	// engine gives before it ends.
 	copyPhaseTime = 1100 * time.Millisecond
 	// freeTimeout bounds the order to free a copy.
 	freeTimeout = 500 * time.Millisecond
@@ -37,7 +38,7 @@
 )
 
 // ErrBudgetExhausted reports that the run was not migrated because the retry
-// budget is used up.
+// budget is used up. The run stays on its engine.
 var ErrBudgetExhausted = errors.New("mover: the retry budget is used up")
 
 // Group starts goroutines.
@@ -102,8 +103,8 @@
 }
 
 // Stop makes sure that an engine no longer works on the run. Most engines drop it
-// with the connection; the others are ordered to stop it, with a copy to an
-// engine that already has the KV cache.
+// when the connection closes; the others are ordered to stop it and copy its KV
+// cache to an engine that already has it.
 func (m *Migrator) Stop(ctx context.Context, from, to *srvtab.Server) {
 	done := make(chan struct{})
 	m.group.Go(func() error {
--- a/internal/route/pick/doc.go
+++ b/internal/route/pick/doc.go
@@ -1,4 +1,4 @@
-// Package pick chooses the engine of one run by what this VM knows of all
+// Package pick chooses the engine of one run from what this VM knows of all
 // engines: their entries in the server table, the work in flight at each, and
 // which failed recently.
 //
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -13,7 +13,7 @@
 	"umberladder/internal/state/srvtab"
 )
 
-// Chooser chooses engines by what this VM knows of all of them. It is safe for
+// Chooser chooses engines from what this VM knows of all of them. It is safe for
 // concurrent use.
 type Chooser struct {
 	servers *srvtab.Table
@@ -62,14 +62,14 @@
 // IsPaused reports whether a server asked this VM to send no calls now.
 func (c *Chooser) IsPaused(id ident.Server, now time.Time) bool { return c.health.Paused(id, now) > 0 }
 
-// unhealthyWeight is the health weight below which a VM requests another server:
-// two failures in a row without a success.
+// unhealthyWeight is the health weight below which a VM requests another server.
+// A weight falls below it with two failures in a row without a success.
 const unhealthyWeight = 0.45
 
 // avoidTime is how long a server that refused a connection gets no runs. When
-// all engines are full, a terminated one always appears to have capacity. The
-// time is short because a server that is up and down by turns loses it after
-// each failure.
+// all other engines are full, a terminated one still appears to have capacity.
+// The time is short because a server that fails and recovers repeatedly is
+// unused for this long after each failure.
 const avoidTime = 400 * time.Millisecond
 
 // MarkUnreachable records servers that a VM could not connect to.
@@ -87,8 +87,9 @@
 	}
 }
 
-// lossWindow is how long after a server was lost without notice more KV cache
-// copies are kept for the next loss.
+// lossWindow is how long after a server was lost without notice copies of KV
+// caches are kept even when the engines are fuller, because more servers may be
+// lost.
 const lossWindow = 20 * time.Second
 
 // hadRecentLoss reports whether a server was recently lost without notice.
