--- a/internal/route/placer/placer.go
+++ b/internal/route/placer/placer.go
@@ -29,8 +29,8 @@
 	renewInterval = 150 * time.Millisecond
 	// avoidTime is how long a coordinator that did not respond gets no requests.
 	avoidTime = time.Second
-	// maxUnusable is how many granted servers that this VM knows to accept no
-	// calls are declined before the VM places the run itself.
+	// maxUnusable is how many granted servers a VM declines, because it knows that
+	// they accept no calls, before it places the run itself.
 	maxUnusable = 3
 	// maxCoordinators is how many VMs of the order are asked before a VM places the
 	// run itself.
@@ -132,8 +132,8 @@
 	return placement, outcomeLocal, err
 }
 
-// placeLocally places the run by what this VM knows. Runs that wait here are not
-// ordered by priority, so none waits after it can no longer start in time.
+// placeLocally places the run from what this VM knows. Runs that wait here are
+// not ordered by priority, so a run waits only while it can still start in time.
 func (p *Placer) placeLocally(ctx context.Context, r pick.Request, start time.Time) (pick.Placement, error) {
 	timer := time.NewTimer(max(0, min(r.TargetWait, r.MaxWait)-time.Since(start)))
 	defer timer.Stop()
@@ -204,7 +204,9 @@
 	p.log.Info("home does not answer", zap.String("home", string(vm)))
 }
 
-func (p *Placer) newRequest() (uint64, chan coord.Response) {
+// addRequest registers a request and returns its ID and the channel for its
+// responses.
+func (p *Placer) addRequest() (uint64, chan coord.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastID++
@@ -213,7 +215,7 @@
 	return p.lastID, ch
 }
 
-func (p *Placer) forget(id uint64) {
+func (p *Placer) removeRequest(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, id)
@@ -233,10 +235,10 @@
 
 // requestFrom sends a request to one VM, and repeats it until the VM decides.
 func (p *Placer) requestFrom(ctx context.Context, cand hubs.CoordinatorCandidate, r pick.Request) (coord.Response, error) {
-	id, ch := p.newRequest()
-	defer p.forget(id)
+	id, ch := p.addRequest()
+	defer p.removeRequest(id)
 	start := time.Now()
-	lastHeard, interval := start, firstTimeout/maxTries
+	lastResponse, interval := start, firstTimeout/maxTries
 	for {
 		r := r
 		r.MaxWait = max(0, r.MaxWait-time.Since(start))
@@ -249,7 +251,7 @@
 			if resp.State != coord.Waiting {
 				return resp, nil
 			}
-			lastHeard, interval = time.Now(), renewInterval
+			lastResponse, interval = time.Now(), renewInterval
 			if resp, ok := p.awaitDecision(ctx, ch, renewInterval); ok {
 				return resp, nil
 			}
@@ -260,7 +262,7 @@
 		if err := ctx.Err(); err != nil {
 			return coord.Response{}, err
 		}
-		if time.Since(lastHeard) >= maxTries*interval {
+		if time.Since(lastResponse) >= maxTries*interval {
 			return coord.Response{}, errNoResponse
 		}
 	}
--- a/internal/route/placer/placer_test.go
+++ b/internal/route/placer/placer_test.go
@@ -62,14 +62,14 @@
 		time.Sleep(netDelay)
 		for _, v := range t.fleet.vms {
 			if v.addr == to && !v.unresponsive.Load() {
-				v.coordinator.Submit(r, t.answer, time.Now())
+				v.coordinator.Submit(r, t.respond, time.Now())
 			}
 		}
 		return nil
 	})
 }
 
-func (t transport) answer(resp coord.Response) {
+func (t transport) respond(resp coord.Response) {
 	t.fleet.group.Go(func() error {
 		time.Sleep(netDelay)
 		t.from.placer.HandleResponse(resp)
@@ -83,11 +83,11 @@
 		return func(ident.Service, time.Time) []hubs.CoordinatorCandidate {
 			var out []hubs.CoordinatorCandidate
 			for _, v := range f.vms[:2] {
-				rank := hubs.CoordinatorCandidate{VM: v.name, Addr: v.addr}
+				candidate := hubs.CoordinatorCandidate{VM: v.name, Addr: v.addr}
 				if v == self {
-					rank.Addr = netip.AddrPort{}
+					candidate.Addr = netip.AddrPort{}
 				}
-				out = append(out, rank)
+				out = append(out, candidate)
 			}
 			return out
 		}
@@ -189,9 +189,9 @@
 	return noCapacity
 }
 
-// TestHerd guards against VMs that all place calls at once and overcommit an
-// engine.
-func TestHerd(t *testing.T) {
+// TestConcurrentPlacements guards against VMs that all place calls at once and
+// overcommit an engine.
+func TestConcurrentPlacements(t *testing.T) {
 	testFleet(t, 20, 10, func(t *testing.T, f *fleet) {
 		var mu sync.Mutex
 		runs := map[ident.Server]int{}
@@ -423,7 +423,7 @@
 	})
 }
 
-func TestHomeLost(t *testing.T) {
+func TestCoordinatorLost(t *testing.T) {
 	t.Run("the next VM decides, and is asked first the next time", func(t *testing.T) {
 		testFleet(t, 4, 1, func(t *testing.T, f *fleet) {
 			f.vms[0].unresponsive.Store(true)
@@ -478,12 +478,12 @@
 // completes in time.
 func TestLeavingEngine(t *testing.T) {
 	const (
-		copying = 250 * time.Millisecond
-		notice  = 1800 * time.Millisecond
+		copyTime = 250 * time.Millisecond
+		notice   = 1800 * time.Millisecond
 	)
-	move := newCall()
-	move.Purpose, move.Prefill, move.TargetWait, move.MaxWait = pick.Migration, 0, 0, 2*time.Second
-	move.Source, move.Exclude = engine(0), []ident.Server{engine(0)}
+	migration := newCall()
+	migration.Purpose, migration.Prefill, migration.TargetWait, migration.MaxWait = pick.Migration, 0, 0, 2*time.Second
+	migration.Source, migration.Exclude = engine(0), []ident.Server{engine(0)}
 	t.Run("its runs migrate one after the other", func(t *testing.T) {
 		testFleet(t, 6, 4, func(t *testing.T, f *fleet) {
 			var g errgroup.Group
@@ -491,13 +491,13 @@
 			start := time.Now()
 			for _, v := range f.vms {
 				g.Go(func() error {
-					if _, err := f.placeAndHold(v, move, -1); err != nil {
+					if _, err := f.placeAndHold(v, migration, -1); err != nil {
 						return err
 					}
 					maxCopies.Store(max(maxCopies.Load(), copies.Add(1)))
 					link := v.tracker.Reserve(engine(0), alloc.Load{CopiesOut: 1})
 					f.reportLoads(v)
-					time.Sleep(copying)
+					time.Sleep(copyTime)
 					copies.Add(-1)
 					link.Release()
 					f.reportLoads(v)
@@ -519,11 +519,11 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			var g errgroup.Group
 			g.Go(func() error {
-				_, err := f.vms[1].placer.Place(ctx, move)
+				_, err := f.vms[1].placer.Place(ctx, migration)
 				return err
 			})
 			time.Sleep(50 * time.Millisecond)
-			other := move
+			other := migration
 			other.Source, other.Exclude = engine(1), []ident.Server{engine(1)}
 			start := time.Now()
 			_, err := f.placeAndHold(f.vms[2], other, -1)
--- a/internal/route/placer/size_test.go
+++ b/internal/route/placer/size_test.go
@@ -36,9 +36,9 @@
 // must be at least half of that of all short calls.
 func TestLargestPrompts(t *testing.T) {
 	const (
-		target   = 1500 * time.Millisecond
-		patience = 6 * time.Second
-		engines  = 8
+		target        = 1500 * time.Millisecond
+		clientTimeout = 6 * time.Second
+		engines       = 8
 	)
 	testFleet(t, 4, engines, func(t *testing.T, f *fleet) {
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -63,7 +63,7 @@
 						r.Need, r.Prefill = 5700, 5600
 					}
 					r.TargetWait = admit.OnTimeWait(target, 0, r.Prefill)
-					r.MaxWait = admit.MaxWait(r.TargetWait, patience, 0)
+					r.MaxWait = admit.MaxWait(r.TargetWait, clientTimeout, 0)
 					_, err := f.placeAndHold(v, r, time.Duration(r.Prefill)*time.Second/14_000)
 					short.record(err == nil)
 					if large {
--- a/internal/route/plain/router.go
+++ b/internal/route/plain/router.go
@@ -44,8 +44,8 @@
 }
 
 // New returns a Router that sends calls with client.
-func New(client Client, budget *retry.Budget, book *invar.Checker, rng *rand.Rand) *Router {
-	return &Router{client: client, budget: budget, invariants: book, rng: rng, servers: map[netip.AddrPort]*serverState{}}
+func New(client Client, budget *retry.Budget, invariants *invar.Checker, rng *rand.Rand) *Router {
+	return &Router{client: client, budget: budget, invariants: invariants, rng: rng, servers: map[netip.AddrPort]*serverState{}}
 }
 
 // Do sends the call of a request to a server of the service. It returns the response and
@@ -127,7 +127,7 @@
 }
 
 // isAvailable reports whether a server may be sent a call: its breaker is closed, or is
-// due for a probe, for which the call is used.
+// due for a probe, in which case the call is the probe.
 func (r *Router) isAvailable(addr netip.AddrPort, now time.Time) bool {
 	s := r.state(addr)
 	return !s.breaker.Open() || s.breaker.ProbeAllowed(now) && s.inFlight == 0
--- a/internal/route/pool/engine.go
+++ b/internal/route/pool/engine.go
@@ -20,17 +20,17 @@
 	DrainGrace = 3 * time.Second
 )
 
-// node is the state of one engine as this VM knows it. The pool's lock guards it.
-type node struct {
+// engineState is the state of one engine as this VM knows it. The pool's lock guards it.
+type engineState struct {
 	server        config.Server
 	hash          uint64
 	report        engine.Load
 	reported      bool
-	drainingSince time.Time // when it was first reported as draining; zero: it is not
-	localStreams  int       // this VM's streams
-	localMemory   int       // memory of this VM's streams, in tokens
-	localShare    length.Forecast
-	changes       []change // of this VM's streams since the report
+	drainingSince time.Time       // when it was first reported as draining; zero: it is not
+	localStreams  int             // this VM's streams
+	localMemory   int             // memory of this VM's streams, in tokens
+	localForecast length.Forecast // predicted memory of this VM's streams
+	changes       []change        // of this VM's streams since the report
 	breaker       retry.Breaker
 	inferred      length.Forecast // predicted memory of other VMs' streams
 }
@@ -42,66 +42,66 @@
 	memory  int // added memory, in tokens; negative for an end
 }
 
-func newNode(s config.Server) *node {
-	return &node{server: s, hash: xxhash.Sum64String(string(s.Name))}
+func newEngineState(s config.Server) *engineState {
+	return &engineState{server: s, hash: xxhash.Sum64String(string(s.Name))}
 }
 
 // usable reports whether the engine may get new work.
-func (n *node) usable(now time.Time) bool {
-	return n.reported && !n.report.Draining && now.Sub(n.report.AsOf) < staleAfter && !n.breaker.Open()
+func (e *engineState) usable(now time.Time) bool {
+	return e.reported && !e.report.Draining && now.Sub(e.report.AsOf) < staleAfter && !e.breaker.Open()
 }
 
 // update stores a load report and infers the streams of other VMs: those in the
 // report less this VM's own at that time, assumed to be observed at random
 // moments of their runs.
-func (n *node) update(l engine.Load, curve *length.Curve, now time.Time) {
-	if n.reported && l.AsOf.Before(n.report.AsOf) {
+func (e *engineState) update(l engine.Load, curve *length.Curve, now time.Time) {
+	if e.reported && l.AsOf.Before(e.report.AsOf) {
 		return
 	}
-	if l.Draining && n.drainingSince.IsZero() {
-		n.drainingSince = now
+	if l.Draining && e.drainingSince.IsZero() {
+		e.drainingSince = now
 	}
 	if !l.Draining {
-		n.drainingSince = time.Time{}
+		e.drainingSince = time.Time{}
 	}
-	n.report = l
-	n.reported = true
-	n.dropReported(l.AsOf)
-	streams, memory := l.Running+l.Waiting-n.localStreams, l.MemoryUsed-n.localMemory
-	for _, c := range n.changes {
+	e.report = l
+	e.reported = true
+	e.dropReported(l.AsOf)
+	streams, memory := l.Running+l.Waiting-e.localStreams, l.MemoryUsed-e.localMemory
+	for _, c := range e.changes {
 		streams += c.streams
 		memory += c.memory
 	}
-	n.inferred = curve.ForecastRunning(streams, float64(memory))
+	e.inferred = curve.ForecastRunning(streams, float64(memory))
 }
 
 // dropReported drops the changes that a report made at t includes.
-func (n *node) dropReported(t time.Time) {
-	kept := n.changes[:0]
-	for _, c := range n.changes {
+func (e *engineState) dropReported(t time.Time) {
+	kept := e.changes[:0]
+	for _, c := range e.changes {
 		if c.at.After(t) {
 			kept = append(kept, c)
 		}
 	}
-	n.changes = kept
+	e.changes = kept
 }
 
 // policyView returns the engine as the placement policy sees it. It adds streams
 // of other VMs that are not in the report yet: about unreportedRate per second,
 // since the load balancer spreads callers evenly.
-func (n *node) policyView(now time.Time, unreportedRate float64, newShare *length.Forecast, prefix uint64) place.Engine {
-	e := place.Engine{
-		Memory:         float64(n.report.MemorySize),
-		ReportedMemory: float64(n.report.MemoryUsed),
-		OwnStreams:     n.localStreams,
-		Predicted:      n.localShare,
-		Weight:         n.breaker.Weight(now),
-		Affinity:       rendezvousScore(n.hash, prefix),
-		Skip:           !n.usable(now),
+func (e *engineState) policyView(now time.Time, unreportedRate float64, newForecast *length.Forecast, prefix uint64) place.Engine {
+	view := place.Engine{
+		Memory:         float64(e.report.MemorySize),
+		ReportedMemory: float64(e.report.MemoryUsed),
+		OwnStreams:     e.localStreams,
+		Predicted:      e.localForecast,
+		Weight:         e.breaker.Weight(now),
+		Affinity:       rendezvousScore(e.hash, prefix),
+		Skip:           !e.usable(now),
 	}
-	e.Predicted.Add(&n.inferred, 1)
-	e.Predicted.Add(newShare, unreportedRate*now.Sub(n.report.AsOf).Seconds())
-	return e
+	view.Predicted.Add(&e.inferred, 1)
+	view.Predicted.Add(newForecast, unreportedRate*now.Sub(e.report.AsOf).Seconds())
+	return view
 }
 
 // rendezvousScore ranks an engine for a prefix (rendezvous hashing: Thaler and
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -70,7 +70,7 @@
 	mu            sync.Mutex
 	chooser       place.Chooser
 	rng           *rand.Rand
-	nodes         []*node
+	engines       []*engineState
 	queue         *queue.Queue[*waiter]
 	throughput    throughput
 	placementRate rateMeter
@@ -110,34 +110,34 @@
 func (p *Pool) Update(servers []config.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var nodes []*node
+	var engines []*engineState
 	for _, s := range servers {
-		n := p.find(s.Name)
-		if n == nil || n.server.Address != s.Address {
-			n = newNode(s)
+		e := p.find(s.Name)
+		if e == nil || e.server.Address != s.Address {
+			e = newEngineState(s)
 		}
-		n.server = s
-		nodes = append(nodes, n)
+		e.server = s
+		engines = append(engines, e)
 	}
-	slices.SortFunc(nodes, func(a, b *node) int { return cmp.Compare(a.server.Name, b.server.Name) })
-	p.nodes = nodes
+	slices.SortFunc(engines, func(a, b *engineState) int { return cmp.Compare(a.server.Name, b.server.Name) })
+	p.engines = engines
 }
 
 // Servers returns the engines that the settings list.
 func (p *Pool) Servers() []config.Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]config.Server, 0, len(p.nodes))
-	for _, n := range p.nodes {
-		out = append(out, n.server)
+	out := make([]config.Server, 0, len(p.engines))
+	for _, e := range p.engines {
+		out = append(out, e.server)
 	}
 	return out
 }
 
-func (p *Pool) find(name ident.Server) *node {
-	for _, n := range p.nodes {
-		if n.server.Name == name {
-			return n
+func (p *Pool) find(name ident.Server) *engineState {
+	for _, e := range p.engines {
+		if e.server.Name == name {
+			return e
 		}
 	}
 	return nil
@@ -148,13 +148,13 @@
 func (p *Pool) HandleReport(name ident.Server, l engine.Load, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := p.find(name)
-	if n == nil {
+	e := p.find(name)
+	if e == nil {
 		return
 	}
-	n.update(l, p.typicalCurve(), now)
-	if n.breaker.Open() && n.breaker.ProbeAllowed(now) {
-		n.breaker.Success(now)
+	e.update(l, p.typicalCurve(), now)
+	if e.breaker.Open() && e.breaker.ProbeAllowed(now) {
+		e.breaker.Success(now)
 	}
 	p.dispatch(now)
 }
@@ -163,8 +163,8 @@
 func (p *Pool) ReportFailure(name ident.Server, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := p.find(name); n != nil {
-		n.breaker.Failure(now, p.rng.Float64())
+	if e := p.find(name); e != nil {
+		e.breaker.Failure(now, p.rng.Float64())
 	}
 }
 
@@ -209,7 +209,7 @@
 	if !p.anyUsable(now, req.Exclude) {
 		return nil, nil, nil, refuse.New(refuse.NoServer,
 			"of the %d engines of model %s, %d failed this request and no other takes new work now",
-			len(p.nodes), p.model, len(req.Exclude)).WithRetryAfter(time.Second)
+			len(p.engines), p.model, len(req.Exclude)).WithRetryAfter(time.Second)
 	}
 	ahead := p.queue.Ahead(req.Class.Rank, now, req.Class.MaxWait)
 	if ahead == 0 {
@@ -252,9 +252,9 @@
 // anyUsable reports whether some engine accepts new work and has not failed this
 // request. If none does, waiting is pointless.
 func (p *Pool) anyUsable(now time.Time, failed map[ident.Server]struct{}) bool {
-	return slices.ContainsFunc(p.nodes, func(n *node) bool {
-		_, bad := failed[n.server.Name]
-		return !bad && n.usable(now)
+	return slices.ContainsFunc(p.engines, func(e *engineState) bool {
+		_, bad := failed[e.server.Name]
+		return !bad && e.usable(now)
 	})
 }
 
@@ -262,42 +262,42 @@
 // nil.
 func (p *Pool) tryPlace(req *Request, now time.Time) *Reservation {
 	est := p.estimator(estimatorKey{req.Workspace, req.Service.Name, req.Class.Name})
-	share := est.Curve().Forecast(0, req.Prompt)
+	forecast := est.Curve().Forecast(0, req.Prompt)
 	p.views = p.views[:0]
-	unreportedRate := p.placementRate.rate(now) * float64(p.liveVMs()-1) / float64(len(p.nodes))
-	newShare := p.typicalCurve().Forecast(0, req.Prompt)
-	for _, n := range p.nodes {
-		v := n.policyView(now, unreportedRate, &newShare, req.Prefix)
-		if _, failed := req.Exclude[n.server.Name]; failed {
+	unreportedRate := p.placementRate.rate(now) * float64(p.liveVMs()-1) / float64(len(p.engines))
+	newForecast := p.typicalCurve().Forecast(0, req.Prompt)
+	for _, e := range p.engines {
+		v := e.policyView(now, unreportedRate, &newForecast, req.Prefix)
+		if _, failed := req.Exclude[e.server.Name]; failed {
 			v.Skip = true
 		}
 		p.views = append(p.views, v)
 	}
-	placeReq := place.Request{Forecast: share, OverflowZ: length.NormalQuantile(req.Service.OverflowChance), MaxFill: 1 - req.Reserve, PromptTokens: req.Prompt}
+	placeReq := place.Request{Forecast: forecast, OverflowZ: length.NormalQuantile(req.Service.OverflowChance), MaxFill: 1 - req.Reserve, PromptTokens: req.Prompt}
 	i := p.chooser.Choose(&placeReq, p.views, p.rng)
 	if i < 0 {
 		return nil
 	}
-	return p.reserve(p.nodes[i], req, est, share, now)
+	return p.reserve(p.engines[i], req, est, forecast, now)
 }
 
-func (p *Pool) reserve(n *node, req *Request, est *length.Estimator, share length.Forecast, now time.Time) *Reservation {
-	p.invariants.Assert(invar.LeavingServer, n.drainingSince.IsZero() || now.Sub(n.drainingSince) < DrainGrace,
-		"%s has been draining since %s", n.server.Name, n.drainingSince)
-	n.localStreams++
-	n.localMemory += req.Prompt
-	n.localShare.Add(&share, 1)
-	n.changes = append(n.changes, change{at: now, streams: 1, memory: req.Prompt})
+func (p *Pool) reserve(e *engineState, req *Request, est *length.Estimator, forecast length.Forecast, now time.Time) *Reservation {
+	p.invariants.Assert(invar.LeavingServer, e.drainingSince.IsZero() || now.Sub(e.drainingSince) < DrainGrace,
+		"%s has been draining since %s", e.server.Name, e.drainingSince)
+	e.localStreams++
+	e.localMemory += req.Prompt
+	e.localForecast.Add(&forecast, 1)
+	e.changes = append(e.changes, change{at: now, streams: 1, memory: req.Prompt})
 	p.placementRate.record(now)
 	return &Reservation{
-		Server:          n.server,
+		Server:          e.server,
 		pool:            p,
-		node:            n,
+		engine:          e,
 		estimator:       est,
 		commonEstimator: p.estimator(estimatorKey{}),
 		prompt:          req.Prompt,
 		countedMemory:   req.Prompt,
-		share:           share,
+		forecast:        forecast,
 		nextBound:       length.BucketStart(1),
 	}
 }
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -43,8 +43,8 @@
 }
 
 // TestLeaving starts and drains engines at random while load reports are delayed
-// or missing. Three seconds after an engine began to drain, nothing new is placed
-// on it, whether or not this VM received a report that says so.
+// or missing. Three seconds after an engine began to drain, nothing new may be
+// placed on it, whether or not this VM received a report that says so.
 func TestLeaving(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -62,8 +62,8 @@
 				case 1, 2:
 					lag := time.Duration(rapid.IntRange(0, 300).Draw(rt, "lag")) * time.Millisecond
 					reportedAt := time.Now().Add(-lag)
-					leaving := !drainingSince[i].IsZero() && !reportedAt.Before(drainingSince[i])
-					p.HandleReport(engineName(i), engine.Load{MemorySize: 1 << 20, Draining: leaving, AsOf: reportedAt}, time.Now())
+					draining := !drainingSince[i].IsZero() && !reportedAt.Before(drainingSince[i])
+					p.HandleReport(engineName(i), engine.Load{MemorySize: 1 << 20, Draining: draining, AsOf: reportedAt}, time.Now())
 				default:
 					res, refusal := p.Acquire(context.Background(), newRequest("standard", 1, 100*time.Millisecond))
 					if refusal != nil {
--- a/internal/route/pool/reservation.go
+++ b/internal/route/pool/reservation.go
@@ -7,21 +7,21 @@
 	"umberladder/internal/state/config"
 )
 
-// Reservation is a generation's place on an engine. It is used by one goroutine
-// and released once.
+// Reservation is the capacity reserved for a generation on an engine. It is used
+// by one goroutine and released once.
 type Reservation struct {
 	Server config.Server
 
 	pool            *Pool
-	node            *node
+	engine          *engineState
 	estimator       *length.Estimator
 	commonEstimator *length.Estimator
 	prompt          int
 	produced        int
-	countedMemory   int // memory counted in the node, in tokens
+	countedMemory   int // memory counted in the engine's state, in tokens
 	nextBound       int // lower bound of the next length bucket
 	bucket          int
-	share           length.Forecast
+	forecast        length.Forecast // predicted memory counted in the engine's state
 	released        bool
 }
 
@@ -41,20 +41,20 @@
 		r.bucket++
 	}
 	r.nextBound = length.BucketStart(r.bucket + 1)
-	r.refreshShare()
+	r.refreshForecast()
 }
 
 // refreshShare updates the predicted memory of the stream.
-func (r *Reservation) refreshShare() {
-	share := r.estimator.Curve().Forecast(r.produced, r.prompt)
+func (r *Reservation) refreshForecast() {
+	forecast := r.estimator.Curve().Forecast(r.produced, r.prompt)
 	memory := r.prompt + r.produced
 	r.pool.mu.Lock()
 	defer r.pool.mu.Unlock()
-	r.node.localShare.Add(&r.share, -1)
-	r.node.localShare.Add(&share, 1)
-	r.node.localMemory += memory - r.countedMemory
+	r.engine.localForecast.Add(&r.forecast, -1)
+	r.engine.localForecast.Add(&forecast, 1)
+	r.engine.localMemory += memory - r.countedMemory
 	r.countedMemory = memory
-	r.share = share
+	r.forecast = forecast
 }
 
 // Outcome is how a generation ended on its engine.
@@ -69,31 +69,31 @@
 )
 
 // Release returns the reserved capacity and records the outcome.
-func (r *Reservation) Release(end Outcome, now time.Time) {
+func (r *Reservation) Release(outcome Outcome, now time.Time) {
 	if r.released {
 		return
 	}
 	r.released = true
-	if end == Completed {
+	if outcome == Completed {
 		r.estimator.Ended(r.bucket)
 		r.commonEstimator.Ended(r.bucket)
 	}
 	p := r.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.node.localStreams--
-	r.node.changes = append(r.node.changes, change{at: now, streams: -1, memory: -r.countedMemory})
-	r.node.localMemory -= r.countedMemory
-	r.node.localShare.Add(&r.share, -1)
-	if r.node.localStreams == 0 {
-		r.node.localShare = length.Forecast{}
-		r.node.localMemory = 0
+	r.engine.localStreams--
+	r.engine.changes = append(r.engine.changes, change{at: now, streams: -1, memory: -r.countedMemory})
+	r.engine.localMemory -= r.countedMemory
+	r.engine.localForecast.Add(&r.forecast, -1)
+	if r.engine.localStreams == 0 {
+		r.engine.localForecast = length.Forecast{}
+		r.engine.localMemory = 0
 	}
-	switch end {
+	switch outcome {
 	case EngineLost:
-		r.node.breaker.Failure(now, p.rng.Float64())
+		r.engine.breaker.Failure(now, p.rng.Float64())
 	case Completed:
-		r.node.breaker.Success(now)
+		r.engine.breaker.Success(now)
 	}
 	p.dispatch(now)
 }
--- a/internal/route/port/port.go
+++ b/internal/route/port/port.go
@@ -25,7 +25,7 @@
 // CacheRef identifies the KV cache of a run that continues on another engine.
 type CacheRef struct {
 	Addr netip.AddrPort // engine that has the cache; not valid: none
-	ID   string
+	ID   string         // identifies the cache at that engine
 }
 
 // Response is a server's response.
@@ -56,8 +56,8 @@
 
 // MoveResult is the result of an order to copy a run's KV cache.
 type MoveResult struct {
-	Handle string
-	Events int // produced so far
+	Handle string // identifies the cache at the engine of the run
+	Events int    // produced so far
 }
 
 // EngineReport is the state that an engine reports of itself, with some delay.
@@ -110,7 +110,7 @@
 	Abort()
 }
 
-// Refresher reads the settings again.
+// Refresher reads the newest settings.
 type Refresher interface {
 	Refresh(ctx context.Context, limit time.Duration) error
 }
--- a/internal/route/probe/probe.go
+++ b/internal/route/probe/probe.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// Interval is the time between two questions to an engine. It is short because an
+	// Interval is the time between two probes of an engine. It is short because an
 	// engine's notice is short and its report is half a second old.
 	Interval = 200 * time.Millisecond
-	// reportTimeout bounds one question. An engine that takes longer is asked again
+	// reportTimeout bounds one probe. An engine that takes longer is probed again
 	// rather than waited for.
 	reportTimeout = 500 * time.Millisecond
-	// maxPerRound is the maximum number of questions per round. With thousands of
-	// engines, those asked longest ago are asked first, so that the VM keeps its link
-	// and file descriptors for calls.
+	// maxPerRound is the maximum number of probes per round, so that the VM keeps its
+	// link and file descriptors for calls. With thousands of engines, those probed
+	// longest ago are probed first.
 	maxPerRound = 100
 )
 
@@ -37,7 +37,7 @@
 	Go(f func() error)
 }
 
-// Prober asks the engines of services whether they are draining.
+// Prober probes the engines of services.
 type Prober struct {
 	table       *srvtab.Table
 	engines     Reporter
@@ -46,24 +46,24 @@
 	group       Group
 	log         *zap.Logger
 
-	mu        sync.Mutex
-	inFlight  map[ident.Server]struct{}  // engines with an unanswered question
-	lastAsked map[ident.Server]time.Time // when engines were last asked
+	mu         sync.Mutex
+	inFlight   map[ident.Server]struct{}  // engines with a probe in flight
+	lastProbed map[ident.Server]time.Time // when engines were last probed
 }
 
 // New returns a Prober. services returns the services whose engines are to be
-// asked at a given time; unreachable is called with engines that refuse
+// probed at a given time; unreachable is called with engines that refuse
 // connections.
 func New(table *srvtab.Table, engines Reporter, services func(now time.Time) []ident.Service,
 	unreachable func(ids []ident.Server, now time.Time), group Group, log *zap.Logger,
 ) *Prober {
 	return &Prober{
 		table: table, engines: engines, services: services, unreachable: unreachable, group: group, log: log,
-		inFlight: make(map[ident.Server]struct{}), lastAsked: make(map[ident.Server]time.Time),
+		inFlight: make(map[ident.Server]struct{}), lastProbed: make(map[ident.Server]time.Time),
 	}
 }
 
-// Run asks the engines until ctx ends.
+// Run probes the engines until ctx ends.
 func (p *Prober) Run(ctx context.Context) {
 	t := time.NewTicker(Interval)
 	defer t.Stop()
@@ -77,7 +77,7 @@
 	}
 }
 
-// round asks the engines that are due.
+// round probes the engines that are due.
 func (p *Prober) round(ctx context.Context, now time.Time) {
 	for _, s := range p.due(now) {
 		p.group.Go(func() error {
@@ -88,7 +88,7 @@
 	}
 }
 
-// due returns the engines to ask now, and records that they are asked.
+// due returns the engines to probe now, and records that they are probed.
 func (p *Prober) due(now time.Time) []*srvtab.Server {
 	var list []*srvtab.Server
 	view := p.table.View()
@@ -101,14 +101,14 @@
 		_, pending := p.inFlight[s.ID]
 		return pending
 	})
-	slices.SortStableFunc(list, func(a, b *srvtab.Server) int { return p.lastAsked[a.ID].Compare(p.lastAsked[b.ID]) })
+	slices.SortStableFunc(list, func(a, b *srvtab.Server) int { return p.lastProbed[a.ID].Compare(p.lastProbed[b.ID]) })
 	list = list[:min(len(list), maxPerRound)]
 	for _, s := range list {
-		p.inFlight[s.ID], p.lastAsked[s.ID] = struct{}{}, now
+		p.inFlight[s.ID], p.lastProbed[s.ID] = struct{}{}, now
 	}
-	for id := range p.lastAsked {
+	for id := range p.lastProbed {
 		if view.Server(id) == nil {
-			delete(p.lastAsked, id)
+			delete(p.lastProbed, id)
 		}
 	}
 	return list
@@ -120,8 +120,8 @@
 	delete(p.inFlight, id)
 }
 
-// probe asks one engine. A missing response proves nothing: possibly only the
-// network path to this VM is broken.
+// probe reads the report of one engine. A missing response proves nothing:
+// possibly only the network path to this VM is broken.
 func (p *Prober) probe(ctx context.Context, s *srvtab.Server) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -145,6 +145,6 @@
 
 // restarted reports whether the engine has been restarted under its name.
 func restarted(s *srvtab.Server, r port.EngineReport) bool {
-	born := s.ID.StartTime()
-	return !born.IsZero() && !r.StartedAt.IsZero() && !r.StartedAt.Equal(born)
+	startTime := s.ID.StartTime()
+	return !startTime.IsZero() && !r.StartedAt.IsZero() && !r.StartedAt.Equal(startTime)
 }
--- a/internal/route/probe/probe_test.go
+++ b/internal/route/probe/probe_test.go
@@ -21,16 +21,16 @@
 
 var firstStart = ident.NewServer("a", time.UnixMilli(1000))
 
-// engines responds to all questions in the same way.
+// engines responds to all probes in the same way.
 type engines struct {
 	report port.EngineReport
 	err    error
 	after  time.Duration
-	asked  int
+	probes int
 }
 
 func (e *engines) Report(ctx context.Context, _ *srvtab.Server) (port.EngineReport, error) {
-	e.asked++
+	e.probes++
 	select {
 	case <-time.After(e.after):
 		return e.report, e.err
@@ -82,7 +82,7 @@
 			used, unreachable := probeForSecond(t, &tc.engines, !tc.storeUp)
 			assert.Equal(t, used, tc.used)
 			assert.Equal(t, len(unreachable) > 0, tc.unreachable)
-			assert.Equal(t, tc.engines.asked, tc.asked)
+			assert.Equal(t, tc.engines.probes, tc.asked)
 		})
 	}
 }
@@ -103,7 +103,7 @@
 	for range engines / maxPerRound {
 		now = now.Add(Interval)
 		round := p.due(now)
-		assert.Assert(t, len(round) <= maxPerRound, "%d questions in a round", len(round))
+		assert.Assert(t, len(round) <= maxPerRound, "%d probes in a round", len(round))
 		for _, s := range round {
 			seen[s.ID] = true
 			p.done(s.ID)
