--- a/internal/route/events/conn.go
+++ b/internal/route/events/conn.go
@@ -19,18 +19,18 @@
 
 // Conn reads the part of a stream that arrives over one connection to an engine.
 type Conn struct {
-	body   io.ReadCloser
-	framed bool        // the end of the body is marked, so that a truncated body is detected
-	events chan []byte // complete events, one or more in each slice
-	err    error       // set before events is closed; io.EOF: the body ended regularly
-	quit   chan struct{}
-	done   chan struct{} // closed once the connection has ended
-	once   sync.Once
+	body      io.ReadCloser
+	delimited bool        // the end of the body is marked, so that a truncated body is detected
+	events    chan []byte // complete events, one or more in each slice
+	err       error       // set before events is closed; io.EOF: the body ended regularly
+	quit      chan struct{}
+	done      chan struct{} // closed once the connection has ended
+	once      sync.Once
 }
 
 // New starts to read events from body in a goroutine of g.
-func New(g *errgroup.Group, body io.ReadCloser, framed bool) *Conn {
-	c := &Conn{body: body, framed: framed, events: make(chan []byte, bufferedReads), quit: make(chan struct{}), done: make(chan struct{})}
+func New(g *errgroup.Group, body io.ReadCloser, delimited bool) *Conn {
+	c := &Conn{body: body, delimited: delimited, events: make(chan []byte, bufferedReads), quit: make(chan struct{}), done: make(chan struct{})}
 	g.Go(func() error {
 		c.read()
 		return nil
@@ -38,7 +38,7 @@
 	return c
 }
 
-// Close closes the connection, on which the engine stops the run.
+// Close closes the connection, which makes the engine stop the run.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.quit)
@@ -129,6 +129,6 @@
 // io.EOF means a regular end.
 func (c *Conn) Err() error { return c.err }
 
-// Framed reports whether the end of the stream is marked, so that a truncated stream is
+// Delimited reports whether the end of the body is marked, so that truncation is
 // detected.
-func (c *Conn) Framed() bool { return c.framed }
+func (c *Conn) Delimited() bool { return c.delimited }
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -43,13 +43,13 @@
 		ended bool // the server's process ends
 		want  bool // the request is quarantined
 	}{
-		"once":                            {path: "/once/x", ended: true, want: true},
-		"idempotent":                      {path: "/get/x", ended: true, want: true},
-		"stream":                          {path: "/long/x", ended: true, want: true},
-		"resumable stream":                {path: "/short/x", ended: true, want: true},
-		"connections break off":           {path: "/get/x"},
-		"connections of streams do":       {path: "/long/x"},
-		"connections of calls to once do": {path: "/once/x"},
+		"once":                     {path: "/once/x", ended: true, want: true},
+		"idempotent":               {path: "/get/x", ended: true, want: true},
+		"stream":                   {path: "/long/x", ended: true, want: true},
+		"resumable stream":         {path: "/short/x", ended: true, want: true},
+		"connections break":        {path: "/get/x"},
+		"stream connections break": {path: "/long/x"},
+		"connections of at-most-once calls break": {path: "/once/x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/route/relay/fake_test.go
+++ b/internal/route/relay/fake_test.go
@@ -310,7 +310,7 @@
 	reservations, health := alloc.New(), health.New()
 	h.quarantine = poison.New(poison.Config{CrashLimit: 3, Duration: time.Minute}, func(poison.Change) {})
 	chooser := pick.NewChooser(h.table, reservations, health, rates.New(nil, nil))
-	alone := func(ident.Service, time.Time) []hubs.CoordinatorCandidate { return nil }
+	noCoordinators := func(ident.Service, time.Time) []hubs.CoordinatorCandidate { return nil }
 	h.relay = New(task.Deps{
 		Config: task.Config{
 			Domain:      "a",
@@ -320,7 +320,7 @@
 		Settings: h.settings, Refresh: h, Servers: h.table,
 		Alloc: reservations, Budget: h.budget, Health: health, Rates: rates.New(nil, nil), Poison: h.quarantine, Backend: h.engines, Clock: h.clock,
 		Log: zap.NewNop(), Group: h.group, Count: h,
-		Placer: placer.New("vm", 0, chooser, coord.New(chooser), alone, nil, func(string) {}, zap.NewNop()),
+		Placer: placer.New("vm", 0, chooser, coord.New(chooser), noCoordinators, nil, func(string) {}, zap.NewNop()),
 	})
 	return h
 }
--- a/internal/route/relay/plain_test.go
+++ b/internal/route/relay/plain_test.go
@@ -31,8 +31,8 @@
 	return &port.Response{Status: 503, NotExecuted: true, Body: &textBody{}}, nil
 }
 
-// respondGone is the response of another server that took over the address.
-func respondGone() (*port.Response, error) {
+// respondReplaced is the response of another server that took over the address.
+func respondReplaced() (*port.Response, error) {
 	return &port.Response{Status: 421, NotExecuted: true, Replaced: true, Body: &textBody{}}, nil
 }
 
@@ -59,20 +59,20 @@
 		attempts  int
 		gone      int // servers removed from use
 	}{
-		"served":                                  {path: "/get/x", responses: []respondFunc{respondOK}, budget: 9, status: 200, attempts: 1},
-		"a failed call is sent once more":         {path: "/get/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 200, attempts: 2},
-		"a cut answer is not passed on":           {path: "/get/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, status: 200, attempts: 2},
-		"the last failure is the server's own":    {path: "/get/x", responses: []respondFunc{respondError, respondError}, budget: 9, status: 500, attempts: 2},
-		"no retry beyond the budget":              {path: "/get/x", responses: []respondFunc{respondError, respondOK}, status: 500, attempts: 1},
-		"unsent is tried elsewhere":               {path: "/once/x", responses: []respondFunc{failUnsent, respondOK}, budget: 9, status: 200, attempts: 2},
-		"once: not after a cut answer":            {path: "/once/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, reason: refuse.ServerDied, ran: refuse.RanMaybe, attempts: 1},
-		"once: not after silence":                 {path: "/once/x", responses: []respondFunc{failSilent, respondOK}, budget: 9, reason: refuse.ServerDied, ran: refuse.RanMaybe, attempts: 1},
-		"once: a failure is the server's own":     {path: "/once/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 500, attempts: 1},
-		"once: shed is not run":                   {path: "/once/x", responses: []respondFunc{respondOverloaded, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1},
-		"may have run, then shed":                 {path: "/get/x", responses: []respondFunc{failSilent, respondOverloaded}, budget: 9, reason: refuse.ServerDied, ran: refuse.RanMaybe, attempts: 2},
-		"nobody can be reached":                   {path: "/get/x", responses: []respondFunc{failUnsent, failUnsent, failUnsent, failUnsent}, budget: 9, reason: refuse.NoServer, attempts: 4},
-		"a server that is gone is passed over":    {path: "/get/x", responses: []respondFunc{respondGone, respondOK}, budget: 9, status: 200, attempts: 2, gone: 1},
-		"once: a server that is gone ran nothing": {path: "/once/x", responses: []respondFunc{respondGone, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1, gone: 1},
+		"served":                                     {path: "/get/x", responses: []respondFunc{respondOK}, budget: 9, status: 200, attempts: 1},
+		"a failed call is retried":                   {path: "/get/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 200, attempts: 2},
+		"a truncated response is not forwarded":      {path: "/get/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, status: 200, attempts: 2},
+		"the last failure response is forwarded":     {path: "/get/x", responses: []respondFunc{respondError, respondError}, budget: 9, status: 500, attempts: 2},
+		"no retry beyond the budget":                 {path: "/get/x", responses: []respondFunc{respondError, respondOK}, status: 500, attempts: 1},
+		"an unsent call is sent to another server":   {path: "/once/x", responses: []respondFunc{failUnsent, respondOK}, budget: 9, status: 200, attempts: 2},
+		"once: no retry after a truncated response":  {path: "/once/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, reason: refuse.ServerDied, ran: refuse.RanMaybe, attempts: 1},
+		"once: no retry without a response":          {path: "/once/x", responses: []respondFunc{failSilent, respondOK}, budget: 9, reason: refuse.ServerDied, ran: refuse.RanMaybe, attempts: 1},
+		"once: a failure is the server's own":        {path: "/once/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 500, attempts: 1},
+		"once: an overloaded server did not run it":  {path: "/once/x", responses: []respondFunc{respondOverloaded, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1},
+		"may have run, then rejected":                {path: "/get/x", responses: []respondFunc{failSilent, respondOverloaded}, budget: 9, reason: refuse.ServerDied, ran: refuse.RanMaybe, attempts: 2},
+		"no server is reachable":                     {path: "/get/x", responses: []respondFunc{failUnsent, failUnsent, failUnsent, failUnsent}, budget: 9, reason: refuse.NoServer, attempts: 4},
+		"a server that is gone is passed over":       {path: "/get/x", responses: []respondFunc{respondReplaced, respondOK}, budget: 9, status: 200, attempts: 2, gone: 1},
+		"once: a server that is gone did not run it": {path: "/once/x", responses: []respondFunc{respondReplaced, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1, gone: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -115,16 +115,16 @@
 			h.settings = routes.NewCurrent(h.clock)
 			h.relay.Settings = h.settings
 		}},
-		"unknown path by old settings is not denied":   {path: "/new/x", reason: refuse.SettingsStale, before: func(*harness) { time.Sleep(maxDenialAge) }},
-		"unknown path by settings that are new enough": {path: "/new/x", reason: refuse.NotFound, before: func(*harness) {}},
-		"unknown path by settings read anew": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
-			time.Sleep(maxDenialAge)
+		"unknown path by outdated settings": {path: "/new/x", reason: refuse.SettingsStale, before: func(*harness) { time.Sleep(maxRefusalAge) }},
+		"unknown path by recent settings":   {path: "/new/x", reason: refuse.NotFound, before: func(*harness) {}},
+		"unknown path by refreshed settings": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
+			time.Sleep(maxRefusalAge)
 			h.refresh = func() error {
 				h.settings.ConfirmNewest(h.clock())
 				return nil
 			}
 		}},
-		"a key that was taken away": {path: "/get/x", reason: refuse.WrongKey, before: func(h *harness) {
+		"a revoked key": {path: "/get/x", reason: refuse.WrongKey, before: func(h *harness) {
 			h.refresh = func() error {
 				h.settings.ConfirmNewest(h.clock())
 				return nil
@@ -133,16 +133,16 @@
 		}},
 		// VMs that knew of newer settings but could not fetch them served calls by the
 		// old ones 3.2 s after the change had been confirmed.
-		"newer settings that can't be had": {path: "/get/x", reason: refuse.SettingsStale, before: func(h *harness) {
+		"newer settings that cannot be fetched": {path: "/get/x", reason: refuse.SettingsStale, before: func(h *harness) {
 			h.settings.RecordVersion(2, h.clock())
 			time.Sleep(2400 * time.Millisecond)
 		}},
-		"newer settings of which there is no word any more": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
+		"newest after all": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
 			h.settings.RecordVersion(2, h.clock())
 			time.Sleep(2400 * time.Millisecond)
 			h.settings.ConfirmNewest(h.clock())
 		}},
-		"keys of unknown age": {path: "/get/x", reason: refuse.SettingsStale, before: func(*harness) { time.Sleep(4800 * time.Millisecond) }},
+		"settings too old to check keys": {path: "/get/x", reason: refuse.SettingsStale, before: func(*harness) { time.Sleep(4800 * time.Millisecond) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -21,10 +21,10 @@
 	// refreshTimeout bounds the refresh of the settings for a call that the
 	// settings in force refuse.
 	refreshTimeout = 400 * time.Millisecond
-	// maxDenialAge is the age of the settings up to which a refusal based on them
+	// maxRefusalAge is the age of the settings up to which a refusal based on them
 	// is final. It limits refreshes: a change has 2 s to come into force, so not
 	// every refused call needs one.
-	maxDenialAge = 1300 * time.Millisecond
+	maxRefusalAge = 1300 * time.Millisecond
 	// revokeMargin is subtracted from the time for which a revoked key may still be
 	// served. It covers clock drift and the time to respond.
 	revokeMargin = 300 * time.Millisecond
@@ -46,11 +46,11 @@
 // Relay serves the calls of clients. It is safe for concurrent use.
 type Relay struct {
 	task.Deps
-	shutdownAt atomic.Int64 // end of the VM in Unix nanoseconds; zero: not shutting down
+	shutdownAt atomic.Int64 // when the VM shuts down, in Unix nanoseconds; zero: not shutting down
 }
 
 // New returns a Relay with the given dependencies.
-func New(p task.Deps) *Relay { return &Relay{Deps: p} }
+func New(d task.Deps) *Relay { return &Relay{Deps: d} }
 
 // Drain makes the relay refuse calls that are not expected to complete by end,
 // the time at which the VM shuts down.
@@ -83,7 +83,7 @@
 // Serve serves the call c and writes the response to w. It returns the refusal to
 // write to the client, or nil if a response was written, even in part.
 func (r *Relay) Serve(ctx context.Context, c *call.Call, w port.ResponseWriter) *refuse.Refusal {
-	a := &admission{relay: r, Task: &task.Task{Deps: r.Deps, Call: c, Reply: w, Result: task.Result{Call: c}}}
+	a := &admission{relay: r, Task: &task.Task{Deps: r.Deps, Call: c, Writer: w, Result: task.Result{Call: c}}}
 	refusal := a.admit(ctx)
 	if refusal == nil {
 		refusal = a.serve(ctx)
@@ -106,11 +106,11 @@
 	return unary.Serve(ctx, a.Task)
 }
 
-// recordEnd completes the call's record and reports it to the counter. For a
-// refused call it also writes the log lines that were withheld.
+// recordEnd completes the call's result and passes it to the recorder. For a
+// refused call it also writes the log lines that were deferred.
 func (a *admission) recordEnd(r *refuse.Refusal) {
 	a.Result.Refusal = r
-	if r != nil && !a.Reply.Started() {
+	if r != nil && !a.Writer.Started() {
 		r.Request = a.Call.ID
 		a.Result.Status = r.Reason.Status()
 	}
@@ -149,9 +149,9 @@
 }
 
 // settingsOutdated reports whether the settings were last known to be the newest
-// more than maxDenialAge before the call arrived.
+// more than maxRefusalAge before the call arrived.
 func (a *admission) settingsOutdated() bool {
-	return a.Settings.FreshAt().Add(maxDenialAge) < a.Call.ArrivedUptime
+	return a.Settings.FreshAt().Add(maxRefusalAge) < a.Call.ArrivedUptime
 }
 
 // resolve looks up the call's route, workspace and service in one snapshot of the
--- a/internal/route/relay/stream_test.go
+++ b/internal/route/relay/stream_test.go
@@ -46,16 +46,16 @@
 		migrations int
 		maxGap     time.Duration
 	}{
-		"calm": {servers: 3, path: "/long/x", fault: func(*harness) {}, maxGap: 40 * time.Millisecond},
-		"the engine leaves": {
+		"no fault": {servers: 3, path: "/long/x", fault: func(*harness) {}, maxGap: 40 * time.Millisecond},
+		"the engine retires": {
 			servers: 4, path: "/long/x", migrations: 1, maxGap: 100 * time.Millisecond,
 			fault: func(h *harness) { after(2*time.Second, h.retireRunningServer) },
 		},
-		"the engine leaves before the backup is there": {
+		"the engine retires before the backup has the copy": {
 			servers: 4, path: "/long/x", migrations: 1, maxGap: 100 * time.Millisecond,
 			fault: func(h *harness) { after(100*time.Millisecond, h.retireRunningServer) },
 		},
-		"two engines leave one after the other": {
+		"two engines retire one after the other": {
 			servers: 5, path: "/long/x", migrations: 2, maxGap: 100 * time.Millisecond,
 			fault: func(h *harness) {
 				after(1200*time.Millisecond, h.retireRunningServer)
@@ -66,7 +66,7 @@
 			servers: 4, path: "/long/x", migrations: 1, maxGap: 200 * time.Millisecond,
 			fault: func(h *harness) { after(2*time.Second, func() { h.engines.crash(h.runningServer()) }) },
 		},
-		"a resumable stream breaks off": {
+		"the engine of a resumable stream crashes": {
 			servers: 3, path: "/short/x", maxGap: 100 * time.Millisecond,
 			fault: func(h *harness) { after(time.Second, func() { h.engines.crash(h.runningServer()) }) },
 		},
@@ -94,11 +94,11 @@
 		retireAfter time.Duration
 		migrations  int
 	}{
-		"moved":                                  {retireAfter: 2 * time.Second, migrations: 1},
-		"the run ends while it is copied":        {retireAfter: 2900 * time.Millisecond},
-		"the run ends as it would be stopped":    {retireAfter: 2795 * time.Millisecond},
-		"no event yet when the engine leaves":    {retireAfter: 10 * time.Millisecond, migrations: 1},
-		"the engine leaves with the first event": {retireAfter: 30 * time.Millisecond, migrations: 1},
+		"migrated":                                {retireAfter: 2 * time.Second, migrations: 1},
+		"the run ends during the copy":            {retireAfter: 2900 * time.Millisecond},
+		"the run ends as it would be stopped":     {retireAfter: 2795 * time.Millisecond},
+		"no event yet when the engine retires":    {retireAfter: 10 * time.Millisecond, migrations: 1},
+		"the engine retires with the first event": {retireAfter: 30 * time.Millisecond, migrations: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -167,18 +167,18 @@
 
 func TestStopping(t *testing.T) {
 	for name, tc := range map[string]struct {
-		path   string
-		left   time.Duration
-		served bool
+		path      string
+		remaining time.Duration
+		served    bool
 	}{
-		"a long stream would be cut":   {path: "/long/x", left: 8 * time.Second},
-		"a long stream fits":           {path: "/long/x", left: 30 * time.Second, served: true},
-		"a short one fits all the way": {path: "/long/x", left: 11 * time.Second, served: true},
+		"a long stream would be interrupted": {path: "/long/x", remaining: 8 * time.Second},
+		"a long stream fits":                 {path: "/long/x", remaining: 30 * time.Second, served: true},
+		"the time just suffices":             {path: "/long/x", remaining: 11 * time.Second, served: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t, 3)
-				h.relay.Drain(time.Now().Add(tc.left))
+				h.relay.Drain(time.Now().Add(tc.remaining))
 				c, r := h.serve(t.Context(), tc.path)
 				if tc.served {
 					assertComplete(t, c, r, h.engines.events)
@@ -203,8 +203,8 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 1)
-		seat := h.relay.Alloc.Reserve("s0", h.fullLoad())
-		after(300*time.Millisecond, seat.Release)
+		reservation := h.relay.Alloc.Reserve("s0", h.fullLoad())
+		after(300*time.Millisecond, reservation.Release)
 		c, r := h.serve(t.Context(), "/long/x")
 		assertComplete(t, c, r, h.engines.events)
 	})
--- a/internal/route/sched/coord.go
+++ b/internal/route/sched/coord.go
@@ -26,6 +26,7 @@
 )
 
 const (
+	// hashPrefix must be the same on all VMs.
 	hashPrefix = "cell/"
 	// holdTime is how long the coordinator holds a request before it responds with
 	// Pending.
@@ -79,7 +80,7 @@
 	lastSeen    time.Time // when the VM last sent a request or an update
 	reservation *pool.Reservation
 	refusal     *refuse.Refusal
-	released    bool // no longer wanted: a reservation that is still made is released
+	released    bool // the VM no longer needs it: a reservation made from now on is released
 }
 
 // NewCoordinator returns a Coordinator. newRequest returns the request for a
@@ -90,13 +91,13 @@
 	return &Coordinator{vm: vm, fleet: f, settings: s, pools: pools, newRequest: newRequest, group: g, tickets: map[string]*ticket{}}
 }
 
-// Seat responds to a request after at most holdTime.
-func (c *Coordinator) Seat(ctx context.Context, a *proto.SeatAsk) *proto.SeatReply {
-	coordinator, ok := CoordinatorOf(ident.Model(a.GetModel()), c.fleet.View().Live)
+// Reserve responds to a request after at most holdTime.
+func (c *Coordinator) Seat(ctx context.Context, msg *proto.SeatAsk) *proto.SeatReply {
+	coordinator, ok := CoordinatorOf(ident.Model(msg.GetModel()), c.fleet.View().Live)
 	if !ok || coordinator.Name != c.vm {
 		return &proto.SeatReply{State: uint32(NotCoordinator)}
 	}
-	t := c.ticketFor(a)
+	t := c.ticketFor(msg)
 	if t == nil {
 		return &proto.SeatReply{State: uint32(NotCoordinator)}
 	}
@@ -112,21 +113,21 @@
 }
 
 // ticketFor returns the ticket of a request, or creates it.
-func (c *Coordinator) ticketFor(a *proto.SeatAsk) *ticket {
+func (c *Coordinator) ticketFor(msg *proto.SeatAsk) *ticket {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tickets[a.GetTicket()]; t != nil {
+	if t := c.tickets[msg.GetTicket()]; t != nil {
 		t.touch()
 		return t
 	}
-	p := c.pools(ident.Model(a.GetModel()))
-	req, ok := c.requestOf(a)
+	p := c.pools(ident.Model(msg.GetModel()))
+	req, ok := c.requestOf(msg)
 	if p == nil || !ok {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &ticket{cancel: cancel, done: make(chan struct{}), lastSeen: time.Now()}
-	c.tickets[a.GetTicket()] = t
+	c.tickets[msg.GetTicket()] = t
 	c.group.Go(func() error {
 		res, refusal := p.Acquire(ctx, &req)
 		t.resolve(res, refusal)
@@ -136,20 +137,20 @@
 }
 
 // requestOf rebuilds the other VM's request from this VM's settings.
-func (c *Coordinator) requestOf(a *proto.SeatAsk) (pool.Request, bool) {
+func (c *Coordinator) requestOf(msg *proto.SeatAsk) (pool.Request, bool) {
 	snap := c.settings.Load()
-	workspace := snap.Workspace(ident.Workspace(a.GetWorkspace()))
+	workspace := snap.Workspace(ident.Workspace(msg.GetWorkspace()))
 	if workspace == nil || snap.System == nil {
 		return pool.Request{}, false
 	}
-	service, class := workspace.Service(ident.Service(a.GetService())), snap.System.Class(ident.Class(a.GetClass()))
+	service, class := workspace.Service(ident.Service(msg.GetService())), snap.System.Class(ident.Class(msg.GetClass()))
 	if service == nil || class == nil {
 		return pool.Request{}, false
 	}
 	req := c.newRequest(workspace, service, class, snap.System)
-	req.Prompt, req.Prefix = int(a.GetPrompt()), a.GetPrefix()
+	req.Prompt, req.Prefix = int(msg.GetPrompt()), msg.GetPrefix()
 	req.Exclude = map[ident.Server]struct{}{}
-	for _, name := range a.GetExclude() {
+	for _, name := range msg.GetExclude() {
 		req.Exclude[ident.Server(name)] = struct{}{}
 	}
 	return req, true
@@ -180,7 +181,7 @@
 	return &proto.SeatReply{State: uint32(Placed), Server: string(t.reservation.Engine().Name)}
 }
 
-// News handles updates on placed generations.
+// HandleUpdates handles updates on placed generations.
 func (c *Coordinator) News(n *proto.SeatNews) {
 	for _, s := range n.GetSeats() {
 		c.mu.Lock()
--- a/internal/route/sched/doc.go
+++ b/internal/route/sched/doc.go
@@ -5,9 +5,9 @@
 // every stream, so it can fill the engines' memory without overcommitting it.
 // The other VMs send it requests, each with a ticket, and report the progress
 // of their streams. If the coordinator does not respond, a VM places its own
-// generations by what it knows; the engines' load reports then show each side
-// the other's streams. A coordinator holds no state that must survive it: a new
-// one sees the running streams in the load reports.
+// generations from what it knows; the engines' load reports then show the VM and
+// the coordinator each other's streams. A coordinator holds no state that must
+// survive it: a new one sees the running streams in the load reports.
 //
 // Metrics call the coordinator the model's home.
 package sched
--- a/internal/route/sched/placer.go
+++ b/internal/route/sched/placer.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	askTimeout     = holdTime + 800*time.Millisecond
+	requestTimeout = holdTime + 800*time.Millisecond
 	avoidTime      = 2 * time.Second // how long a coordinator that did not respond gets no requests
 	updateInterval = 50 * time.Millisecond
 	// progressEvery is the number of update rounds per report of the progress of
@@ -29,8 +29,8 @@
 
 // Peers sends requests and updates to other VMs.
 type Peers interface {
-	Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error)
-	News(ctx context.Context, to member.Member, news *proto.SeatNews) error
+	Seat(ctx context.Context, to member.Member, req *proto.SeatAsk) (*proto.SeatReply, error)
+	News(ctx context.Context, to member.Member, update *proto.SeatNews) error
 }
 
 // Client requests reservations for this VM's generations from the coordinators. It
@@ -86,7 +86,7 @@
 		if !ok || coordinator.Name == p.client.vm || !p.client.isAvailable(coordinator.Name) {
 			break
 		}
-		if res, refusal, answered := p.acquireRemote(ctx, coordinator, req); answered {
+		if res, refusal, responded := p.acquireRemote(ctx, coordinator, req); responded {
 			return res, refusal
 		}
 	}
@@ -101,16 +101,16 @@
 	return res, nil
 }
 
-// acquireRemote repeats the request until the coordinator decides; answered is
-// false if it does not respond.
+// acquireRemote repeats the request until the coordinator decides. It returns false
+// if the coordinator does not respond.
 func (p *modelPlacer) acquireRemote(ctx context.Context, coordinator member.Member, req *pool.Request) (infer.Reservation, *refuse.Refusal, bool) {
-	ask := p.newAsk(req)
+	msg := p.newSeatAsk(req)
 	for ctx.Err() == nil {
-		askCtx, cancel := context.WithTimeout(ctx, askTimeout)
-		reply, err := p.client.peers.Seat(askCtx, coordinator, ask)
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		reply, err := p.client.peers.Seat(requestCtx, coordinator, msg)
 		cancel()
 		if err != nil {
-			p.client.markUnresponsive(coordinator.Name, ask.GetTicket())
+			p.client.markUnresponsive(coordinator.Name, msg.GetTicket())
 			return nil, nil, false //nolint:nilerr // a home that does not answer is done without
 		}
 		switch State(reply.GetState()) {
@@ -119,7 +119,7 @@
 		case Refused:
 			return nil, refuse.FromProto(reply.GetRefusal()), true
 		case Placed:
-			res := p.client.track(coordinator.Name, ask.GetTicket(), p.serverNamed(reply.GetServer()))
+			res := p.client.track(coordinator.Name, msg.GetTicket(), p.serverNamed(reply.GetServer()))
 			if res == nil {
 				return nil, nil, false
 			}
@@ -128,12 +128,12 @@
 			return nil, nil, false
 		}
 	}
-	p.client.markUnresponsive(coordinator.Name, ask.GetTicket())
+	p.client.markUnresponsive(coordinator.Name, msg.GetTicket())
 	return nil, refuse.New(refuse.CallerStalled, "the request was cut off"), true
 }
 
-func (p *modelPlacer) newAsk(req *pool.Request) *proto.SeatAsk {
-	w := &proto.SeatAsk{
+func (p *modelPlacer) newSeatAsk(req *pool.Request) *proto.SeatAsk {
+	msg := &proto.SeatAsk{
 		Ticket:    string(ident.NewRequest()),
 		Vm:        string(p.client.vm),
 		Model:     string(p.model),
@@ -144,9 +144,9 @@
 		Prefix:    req.Prefix,
 	}
 	for name := range req.Exclude {
-		w.Exclude = append(w.Exclude, string(name))
+		msg.Exclude = append(msg.Exclude, string(name))
 	}
-	return w
+	return msg
 }
 
 // serverNamed returns the engine with the name given by the coordinator, from
@@ -177,8 +177,8 @@
 	c.avoidUntil[coordinator] = time.Now().Add(avoidTime)
 }
 
-// track starts reporting a reservation to the coordinator; it returns nil if
-// there is no such engine.
+// track starts reporting a reservation to the coordinator. It returns nil if
+// server is nil: the settings have no such engine.
 func (c *Client) track(coordinator ident.VM, ticket string, server *config.Server) *reservation {
 	if server == nil {
 		return nil
@@ -233,8 +233,8 @@
 	return out
 }
 
-// sendUpdates sends the updates. If an end is lost, the ticket expires at the
-// coordinator.
+// sendUpdates sends the updates. If the report of an end is lost, the ticket
+// expires at the coordinator.
 func (c *Client) sendUpdates(ctx context.Context, coordinator ident.VM, n *proto.SeatNews) {
 	for _, m := range c.fleet.View().Live {
 		if m.Name != coordinator {
@@ -253,7 +253,7 @@
 	mu       sync.Mutex
 	produced int
 	ended    bool
-	ending   pool.Outcome
+	outcome  pool.Outcome
 }
 
 // Engine implements infer.Reservation.
@@ -271,12 +271,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ended {
-		r.ended, r.ending = true, end
+		r.ended, r.outcome = true, end
 	}
 }
 
 func (r *reservation) state(id string) *proto.SeatState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return &proto.SeatState{Ticket: id, Produced: uint32(r.produced), Ended: r.ended, Ending: uint32(r.ending)}
+	return &proto.SeatState{Ticket: id, Produced: uint32(r.produced), Ended: r.ended, Ending: uint32(r.outcome)}
 }
--- a/internal/route/sched/sched_test.go
+++ b/internal/route/sched/sched_test.go
@@ -49,12 +49,12 @@
 
 var errNoResponse = errors.New("no response")
 
-func (c *cluster) Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error) {
+func (c *cluster) Seat(ctx context.Context, to member.Member, req *proto.SeatAsk) (*proto.SeatReply, error) {
 	if c.unresponsive[to.Name] {
 		<-ctx.Done()
 		return nil, errNoResponse
 	}
-	return c.coordinators[to.Name].Seat(ctx, ask), nil
+	return c.coordinators[to.Name].Seat(ctx, req), nil
 }
 
 func (c *cluster) News(_ context.Context, to member.Member, n *proto.SeatNews) error {
@@ -156,7 +156,7 @@
 	return memory
 }
 
-func TestCell(t *testing.T) {
+func TestCoordinator(t *testing.T) {
 	t.Run("the coordinator keeps another VM's reservation until its end is reported", func(t *testing.T) {
 		testCluster(t, ampleMemory, func(t *testing.T, c *cluster, coordinator, other ident.VM) {
 			res, refusal := c.acquire(other)
--- a/internal/route/stream/backup.go
+++ b/internal/route/stream/backup.go
@@ -31,8 +31,8 @@
 	readyAt     time.Time // when the copy is assumed to be complete
 }
 
-// portCopy returns the reference to the copy of request id.
-func (b *backupCopy) portCopy(id ident.Request) port.CacheRef {
+// cacheRef returns the reference to the copy of request id.
+func (b *backupCopy) cacheRef(id ident.Request) port.CacheRef {
 	return port.CacheRef{Addr: b.engine.Addr, ID: string(id)}
 }
 
@@ -83,7 +83,7 @@
 	return b != nil && !b.engine.IsRetired() && f.Health.Paused(b.engine.ID, time.Now()) == 0
 }
 
-// markArrived no longer counts the copy as in transit to the backup engine once it is
+// markArrived stops counting the copy as in transit to the backup engine once it is
 // assumed to be complete.
 func (b *backupCopy) markArrived(now time.Time) {
 	if now.Before(b.readyAt) {
--- a/internal/route/stream/forward.go
+++ b/internal/route/stream/forward.go
@@ -67,12 +67,12 @@
 	default:
 		return false
 	}
-	return errors.Is(f.conn.Err(), io.EOF) && (f.conn.Framed() || !f.stopRequested)
+	return errors.Is(f.conn.Err(), io.EOF) && (f.conn.Delimited() || !f.stopRequested)
 }
 
 // finish ends the response to the client.
 func (f *forwarder) finish() *refuse.Refusal {
-	if err := f.Reply.Finish(); err != nil {
+	if err := f.Writer.Finish(); err != nil {
 		return refuse.New(refuse.CallerLeft, "the end could not be written: %v", err).WithRan(refuse.RanPartial)
 	}
 	f.Health.Success(f.server.ID, time.Now())
@@ -105,7 +105,7 @@
 	f.lastEventAt = now
 	f.Result.Events += n
 	f.updateReservations()
-	if err := f.Reply.WriteChunk(p); err != nil {
+	if err := f.Writer.WriteChunk(p); err != nil {
 		return refuse.New(refuse.CallerLeft, "an event could not be written: %v", err).WithRan(refuse.RanPartial)
 	}
 	return nil
@@ -142,7 +142,7 @@
 	}
 	if w.migrated != nil {
 		if !f.migrator.Stopped() {
-			// The engine was not told to stop the run, so it has failed and the
+			// The engine was not ordered to stop the run, so it has failed and the
 			// migration cannot succeed.
 			f.cancelMigration()
 		}
--- a/internal/route/stream/migrate.go
+++ b/internal/route/stream/migrate.go
@@ -104,7 +104,7 @@
 
 // spendRetry takes one retry from the budget for continuing the stream at another
 // engine. It is called before the run is stopped, so that a stream for which the
-// budget has no retry stays where it is.
+// budget has no retry stays on its engine.
 func (f *forwarder) spendRetry() bool { return f.Budget.AllowRetry(f.Service.Name, time.Now()) }
 
 // switchToBackup continues the stream at the backup engine, which already has the KV
@@ -121,7 +121,7 @@
 	f.migrator.Stop(ctx, f.server, b.engine)
 	b.reservation.Resize(f.load(false))
 	f.backup = nil
-	return f.continueAt(ctx, migration{to: b.engine, reservation: b.reservation, copy: b.portCopy(f.Call.ID)})
+	return f.continueAt(ctx, migration{to: b.engine, reservation: b.reservation, copy: b.cacheRef(f.Call.ID)})
 }
 
 // recoverRun stops a run whose connection broke and copies its KV cache to another
--- a/internal/route/stream/stream.go
+++ b/internal/route/stream/stream.go
@@ -36,15 +36,15 @@
 	migrator        *migr.Migrator
 	conn            *events.Conn
 	lastID          string
-	connectFailures int // number of engines to which the connection failed
-	ran             refuse.Ran
-	headSent        bool         // the response header was written to the client
+	connectFailures int          // number of engines to which the connection failed
+	ran             refuse.Ran   // whether the call may have run
+	headerSent      bool         // the response header was written to the client
 	generated       atomic.Int64 // tokens, estimated from the events; migrations read it concurrently
 	reportedTokens  int          // generated tokens at the last update of the reservations
 	gotEvent        bool         // the current connection has delivered an event
 	firstEventAt    time.Time    // time of the first event on the current connection
 	wasEstablished  bool         // an engine has run the call for establishedAfter
-	stopRequested   bool         // the run is being stopped, so an unmarked end may not be the stream's end
+	stopRequested   bool         // the run is being stopped, so the end of a body that is not delimited may not be the stream's end
 	lastEventAt     time.Time
 	cancelMigration context.CancelFunc // cancels the migration in progress; nil: none was started
 }
@@ -65,8 +65,8 @@
 		return nil
 	}
 	refusal = f.forwardEvents(ctx)
-	if refusal != nil && f.headSent {
-		t.Reply.Abort()
+	if refusal != nil && f.headerSent {
+		t.Writer.Abort()
 	}
 	return refusal
 }
@@ -192,13 +192,13 @@
 func (f *forwarder) send(ctx context.Context, s *srvtab.Server, from port.CacheRef) (*port.Response, error) {
 	f.server = s
 	f.Result.Server = s.ID
-	send := port.Attempt{Call: f.Call, Server: s, Workspace: f.Workspace, Timeout: f.Remaining(), Copy: from, LastEventID: f.lastID}
+	attempt := port.Attempt{Call: f.Call, Server: s, Workspace: f.Workspace, Timeout: f.Remaining(), Copy: from, LastEventID: f.lastID}
 	if f.backup != nil {
-		send.Backup = f.backup.engine.Addr
+		attempt.Backup = f.backup.engine.Addr
 	}
 	sent := time.Now()
 	f.Rates.Sent(s.ID, sent)
-	resp, err := f.Backend.Send(ctx, send)
+	resp, err := f.Backend.Send(ctx, attempt)
 	if err != nil {
 		f.Health.Failure(s.ID, time.Now())
 		return nil, err
@@ -209,9 +209,9 @@
 
 // startResponse writes the response header to the client.
 func (f *forwarder) startResponse(resp *port.Response) *refuse.Refusal {
-	f.headSent = true
+	f.headerSent = true
 	f.Result.Status = resp.Status
-	if err := f.Reply.WriteHeader(resp.Status, resp.Fields); err != nil {
+	if err := f.Writer.WriteHeader(resp.Status, resp.Fields); err != nil {
 		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).WithRan(refuse.RanPartial)
 	}
 	return nil
@@ -225,11 +225,11 @@
 	}
 	req := f.placementRequest(pick.NewRun, f.Config.Domain, slices.Collect(maps.Keys(f.tried)))
 	start := time.Now()
-	since := start.Sub(f.Call.Arrived)
+	elapsed := start.Sub(f.Call.Arrived)
 	req.Prefill, req.Backup, req.RetryKey = f.prefillTokens(), f.canBackUp(), uint64(f.Result.Fingerprint)
 	req.Unreachable, f.unreachable = f.unreachable, nil
-	req.TargetWait = admit.OnTimeWait(f.Route.LatencyTarget, since, req.Prefill)
-	req.MaxWait = admit.MaxWait(req.TargetWait, f.Deadline.Sub(f.Call.Arrived), since)
+	req.TargetWait = admit.OnTimeWait(f.Route.LatencyTarget, elapsed, req.Prefill)
+	req.MaxWait = admit.MaxWait(req.TargetWait, f.Deadline.Sub(f.Call.Arrived), elapsed)
 	placement, err := f.Placer.Place(ctx, req)
 	f.Result.Queued += time.Since(start)
 	if q := f.QuarantineRefusal(); q != nil {
@@ -273,8 +273,8 @@
 }
 
 // placementRequest describes the capacity that the stream needs.
-func (f *forwarder) placementRequest(u pick.Purpose, from ident.FailureDomain, skip []ident.Server) pick.Request {
-	return pick.Request{Service: f.Service.Name, Purpose: u, Rank: f.priority(), Need: f.tokensNeeded(), EngineMemory: f.engineCapacity(), From: from, Exclude: skip}
+func (f *forwarder) placementRequest(purpose pick.Purpose, from ident.FailureDomain, exclude []ident.Server) pick.Request {
+	return pick.Request{Service: f.Service.Name, Purpose: purpose, Rank: f.priority(), Need: f.tokensNeeded(), EngineMemory: f.engineCapacity(), From: from, Exclude: exclude}
 }
 
 // priority returns the stream's priority; 0 is the most urgent.
--- a/internal/route/stream/watcher.go
+++ b/internal/route/stream/watcher.go
@@ -11,8 +11,8 @@
 )
 
 // backupReadyWait is how long a stream on a retired engine may wait for the backup copy
-// to be complete. Of the shortest notice that an engine gives before it ends, it leaves
-// enough time for the switch.
+// to be complete. It leaves enough time for the switch within the shortest notice that an
+// engine gives before it ends.
 const backupReadyWait = 1100 * time.Millisecond
 
 // migrationRetryDelay is the pause after a failed migration. Capacity becomes available
@@ -93,7 +93,7 @@
 	return w.f.newWatcher(), nil
 }
 
-// migrationFailed records a failed migration; the stream stays where it is.
+// migrationFailed records a failed migration; the stream stays on its engine.
 func (w *watcher) migrationFailed(err error) {
 	w.migrated = nil
 	w.f.stopRequested = false
--- a/internal/route/task/crash.go
+++ b/internal/route/task/crash.go
@@ -14,12 +14,12 @@
 // connection takes one round trip.
 const crashCheckTimeout = 50 * time.Millisecond
 
-// CheckCrash checks whether a server has terminated after its response broke off
-// soon after the call started there. A termination is evidence that the request
-// crashes servers.
+// CheckCrash handles a response that broke off soon after the call started at the
+// server. It checks whether the server has terminated, which is evidence that the
+// request crashes servers.
 func (t *Task) CheckCrash(ctx context.Context, s *srvtab.Server) {
 	if s.IsRetired() {
-		return // it announced its end, so this is not a crash
+		return // its end was announced, so it is not a crash
 	}
 	ctx, cancel := context.WithTimeout(ctx, crashCheckTimeout)
 	defer cancel()
--- a/internal/route/task/deps.go
+++ b/internal/route/task/deps.go
@@ -61,7 +61,7 @@
 	Place(ctx context.Context, r pick.Request) (pick.Placement, error)
 }
 
-// Counter counts the results of calls.
+// Recorder records the results of calls.
 type Counter interface {
 	Ended(r *Result)
 }
--- a/internal/route/task/task.go
+++ b/internal/route/task/task.go
@@ -28,7 +28,7 @@
 type Task struct {
 	Deps
 	Call      *call.Call
-	Reply     port.ResponseWriter
+	Writer    port.ResponseWriter
 	Route     *routes.Route
 	Service   *routes.Service
 	Workspace ident.Workspace
@@ -79,7 +79,7 @@
 }
 
 // MarkGone records that a server has terminated, because another one responds at
-// its address. Its entry outlives it.
+// its address. Its entry in the server table may outlive it.
 func (t *Task) MarkGone(s *srvtab.Server) {
 	if t.Servers.MarkReplaced(s.ID) {
 		t.LogInfo("server gone", zap.String("server", string(s.ID)), zap.Stringer("address", s.Addr), zap.String("reason", "another server answers at its address"))
@@ -130,7 +130,7 @@
 func (t *Task) WriteResponse(resp *FullResponse) *refuse.Refusal {
 	t.Result.Status = resp.Status
 	t.Result.First = time.Since(t.Call.Arrived)
-	if err := t.Reply.WriteResponse(resp.Status, resp.Fields, resp.Body); err != nil {
+	if err := t.Writer.WriteResponse(resp.Status, resp.Fields, resp.Body); err != nil {
 		return refuse.New(refuse.CallerLeft, "the answer could not be written: %v", err).WithRan(refuse.RanMaybe)
 	}
 	return nil
@@ -163,7 +163,7 @@
 // maxDeferred is the maximum number of deferred log lines per call.
 const maxDeferred = 32
 
-// deferredLine is a log line that the logger declined when it was made.
+// deferredLine is a log line that the logger declined under load.
 type deferredLine struct {
 	msg    string
 	at     time.Time
--- a/internal/route/task/task_test.go
+++ b/internal/route/task/task_test.go
@@ -11,9 +11,9 @@
 	"umberladder/internal/state/routes"
 )
 
-// TestPassOver simulates an outage of the store in which the termination of many
+// TestRetryUnsent simulates an outage of the store in which the termination of many
 // engines goes unnoticed: connections to them are refused at once, or time out.
-func TestPassOver(t *testing.T) {
+func TestRetryUnsent(t *testing.T) {
 	for name, tc := range map[string]struct {
 		failAfter time.Duration // how long a connection takes to fail
 		want      int           // unreachable servers that are tried
