--- a/internal/state/claim/claims.go
+++ b/internal/state/claim/claims.go
@@ -28,19 +28,19 @@
 	Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error
 }
 
-// Claims claims each key that contains its creation time at the lease holder of its
-// shard, and any other key in the store.
+// Claimer claims idempotency keys. A key that contains its creation time is claimed at the
+// VM that holds the lease on the key's shard. Any other key is claimed in the store.
 type Claims struct {
-	vm     ident.VM
-	fleet  shards.Fleet
-	keeper *shards.Manager
-	direct *direct.Claimer
-	client HolderClient
+	vm      ident.VM
+	fleet   shards.Fleet
+	manager *shards.Manager
+	direct  *direct.Claimer
+	client  HolderClient
 }
 
-// New returns the Claims of a VM.
-func New(vm ident.VM, f shards.Fleet, k *shards.Manager, d *direct.Claimer, client HolderClient) *Claims {
-	return &Claims{vm: vm, fleet: f, keeper: k, direct: d, client: client}
+// New returns the Claimer of a VM.
+func New(vm ident.VM, f shards.Fleet, m *shards.Manager, d *direct.Claimer, client HolderClient) *Claims {
+	return &Claims{vm: vm, fleet: f, manager: m, direct: d, client: client}
 }
 
 // scopedKey returns the key prefixed with its workspace, so that equal keys of two
@@ -75,13 +75,13 @@
 	return nil, direct.Unavailable(reason)
 }
 
-// claimOnce claims the key once at the VM that owns its shard. It is safe to repeat: a
-// lease holder grants a key again to the request that has it.
+// claimOnce sends one claim to the assigned owner of the key's shard. It is safe to repeat,
+// because a lease holder grants a key again to the request that already has it.
 func (c *Claims) claimOnce(ctx context.Context, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer, error) {
 	shard := shardOf(key)
 	owner, ok := shards.AssignedOwner(shard, c.fleet.View().Live)
 	if !ok || owner.Name == c.vm {
-		d, response := c.keeper.Claim(shard, key, created, fingerprint, r)
+		d, response := c.manager.Claim(shard, key, created, fingerprint, r)
 		return d, response, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -120,12 +120,12 @@
 	shard := shardOf(scoped)
 	owner, ok := shards.AssignedOwner(shard, c.fleet.View().Live)
 	if !ok || owner.Name == c.vm {
-		c.keeper.Finish(shard, scoped, r, ran, response)
+		c.manager.Finish(shard, scoped, r, ran, response)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// If this report is lost, later requests with the key are told that the call may
-	// have run, which remains correct.
+	// If this report is lost, later requests with the key are refused because the call
+	// may have run, which remains correct.
 	_ = c.client.Finish(ctx, owner, shard, scoped, r, ran, response)
 }
--- a/internal/state/config/config_test.go
+++ b/internal/state/config/config_test.go
@@ -119,7 +119,7 @@
 	})
 }
 
-func TestCaller(t *testing.T) {
+func TestWorkspaceByKey(t *testing.T) {
 	key := "the key"
 	h := config.HashKey(key)
 	body := strings.ReplaceAll(workspace, "KEY", hex(h))
--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -3,6 +3,6 @@
 // contains their JSON form, their validation, and the immutable snapshot that
 // each request uses throughout.
 //
-// Documents use kebab-case members. An unknown member, a wrong type or an
+// Member names are in kebab-case. An unknown member, a wrong type or an
 // invalid value is rejected with the member's path (RFC 6901).
 package config
--- a/internal/state/config/types.go
+++ b/internal/state/config/types.go
@@ -33,7 +33,7 @@
 	Name    ident.Server
 	Address netip.AddrPort
 	Domain  ident.FailureDomain
-	Fencing bool // the server refuses orders with an outdated fencing number
+	Fencing bool // the server refuses commands with an outdated fencing number
 	// TokensPerSecond is the generation rate at full load; zero: unknown.
 	TokensPerSecond int
 }
--- a/internal/state/edit/editor.go
+++ b/internal/state/edit/editor.go
@@ -84,7 +84,7 @@
 }
 
 // Apply validates a change and writes it. It returns a *config.FieldError, a
-// *ConflictError, an *UnknownError, or an error that the store is unavailable.
+// *ConflictError, an *UnknownError, or an error if the store is unavailable.
 func (e *Editor) Apply(ctx context.Context, c Change) (Result, error) {
 	if err := c.validate(); err != nil {
 		return Result{}, trace.Wrap(err)
@@ -173,8 +173,8 @@
 	return 0, trace.ConnectionProblem(nil, "the store takes no writes now; nothing was changed")
 }
 
-// checkOutcome reads whether the change took effect, and reports whether that is
-// known. It is not known while the document is unchanged, because a write in
+// checkOutcome reads the document to find out whether the change took effect, and
+// reports whether that is known. It is not known while the document is unchanged, because a write in
 // flight may still arrive; a retry of the write decides the outcome.
 func (e *Editor) checkOutcome(ctx context.Context, c Change) (uint64, bool, error) {
 	v, version, readErr := e.Read(ctx, c.Path)
@@ -229,14 +229,14 @@
 // ChangeStatus returns the outcome of a change. A change that is not in the
 // document's history has not been applied if the document's version is later than
 // the one that the change is based on. Otherwise a write in flight may still arrive.
-func (e *Editor) ChangeStatus(ctx context.Context, path, id string, want uint64) Status {
+func (e *Editor) ChangeStatus(ctx context.Context, path, id string, baseVersion uint64) Status {
 	v, version, err := e.Read(ctx, path)
 	switch {
 	case err != nil:
 		return Unknown
 	case v.Has(id):
 		return Applied
-	case version > want:
+	case version > baseVersion:
 		return NotApplied
 	default:
 		return Unknown
--- a/internal/state/edit/editor_test.go
+++ b/internal/state/edit/editor_test.go
@@ -17,7 +17,7 @@
 	"umberladder/internal/test/check"
 )
 
-// fakeStore is a store with one value whose calls fail as outcome says.
+// fakeStore is a store with one value whose calls have the faults that outcome returns.
 type fakeStore struct {
 	value   []byte
 	rev     uint64
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -59,51 +59,51 @@
 // VM has in force. onReceive is called with the sender of each packet and the version that
 // the sender has in force, and must not block.
 func New(table *member.Table, t Transport, l Lister, settingsVersion func() member.SettingsVersion, onReceive func(member.Member, member.SettingsVersion)) *Membership {
-	f := &Membership{transport: t, lister: l, settingsVersion: settingsVersion, onReceive: onReceive, table: table}
-	f.publish()
-	return f
+	m := &Membership{transport: t, lister: l, settingsVersion: settingsVersion, onReceive: onReceive, table: table}
+	m.publish()
+	return m
 }
 
 // View returns the current view.
-func (f *Membership) View() *View { return f.view.Load() }
+func (m *Membership) View() *View { return m.view.Load() }
 
 // Rank returns the index of this VM among the live ones, and their number.
-func (f *Membership) Rank() (int, int) {
-	v := f.View()
+func (m *Membership) Rank() (int, int) {
+	v := m.View()
 	return v.Rank, max(len(v.Live), 1)
 }
 
 // LastSeen returns when the last packet from another VM arrived.
-func (f *Membership) LastSeen() time.Time { return time.Unix(0, f.lastSeen.Load()) }
+func (m *Membership) LastSeen() time.Time { return time.Unix(0, m.lastSeen.Load()) }
 
 // Removals returns how many times this VM has declared another dead.
-func (f *Membership) Removals() uint64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.table.Removals()
+func (m *Membership) Removals() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.Removals()
 }
 
 // All returns every known VM, including dead ones.
-func (f *Membership) All() []member.Member {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.table.All()
+func (m *Membership) All() []member.Member {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.All()
 }
 
 // publish makes the table's state the current view. Except in New, the caller must hold
 // mu.
-func (f *Membership) publish() {
-	v := &View{Self: f.table.Self(), Live: f.table.Live()}
-	for i, m := range v.Live {
-		if m.Name == v.Self.Name {
+func (m *Membership) publish() {
+	v := &View{Self: m.table.Self(), Live: m.table.Live()}
+	for i, live := range v.Live {
+		if live.Name == v.Self.Name {
 			v.Rank = i
 		}
 	}
-	f.view.Store(v)
+	m.view.Store(v)
 }
 
 // Run pings other VMs and updates the membership until ctx is done.
-func (f *Membership) Run(ctx context.Context) error {
+func (m *Membership) Run(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -111,29 +111,29 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-t.C:
-			f.send(f.update(func() []member.Outbound { return f.table.Tick(now) }))
+			m.send(m.update(func() []member.Outbound { return m.table.Tick(now) }))
 		}
 	}
 }
 
 // Receive handles packets from other VMs until ctx is done.
-func (f *Membership) Receive(ctx context.Context) error {
-	return f.transport.Run(ctx, func(p member.Packet) {
-		f.lastSeen.Store(time.Now().UnixNano())
-		f.send(f.update(func() []member.Outbound { return f.table.Receive(p, time.Now()) }))
-		f.onReceive(p.From, p.SettingsVersion)
+func (m *Membership) Receive(ctx context.Context) error {
+	return m.transport.Run(ctx, func(p member.Packet) {
+		m.lastSeen.Store(time.Now().UnixNano())
+		m.send(m.update(func() []member.Outbound { return m.table.Receive(p, time.Now()) }))
+		m.onReceive(p.From, p.SettingsVersion)
 	})
 }
 
 // PollList reads the platform's VM list at intervals until ctx is done.
-func (f *Membership) PollList(ctx context.Context) error {
+func (m *Membership) PollList(ctx context.Context) error {
 	wait := firstListInterval
 	for ctx.Err() == nil {
-		list, err := f.lister.Members(ctx)
+		list, err := m.lister.Members(ctx)
 		if err == nil {
 			wait = listInterval
-			f.update(func() []member.Outbound {
-				f.table.MergeList(list, time.Now())
+			m.update(func() []member.Outbound {
+				m.table.MergeList(list, time.Now())
 				return nil
 			})
 		}
@@ -143,32 +143,32 @@
 }
 
 // Leave announces that this VM is shutting down.
-func (f *Membership) Leave() {
-	f.send(f.update(func() []member.Outbound { return f.table.Leave(time.Now()) }))
+func (m *Membership) Leave() {
+	m.send(m.update(func() []member.Outbound { return m.table.Leave(time.Now()) }))
 }
 
 // SendUpdates sends the queued updates and the settings version to the given VMs at once,
 // instead of with the next pings and acks.
-func (f *Membership) SendUpdates(to []member.Member) {
-	f.send(f.update(func() []member.Outbound { return f.table.Announce(to) }))
+func (m *Membership) SendUpdates(to []member.Member) {
+	m.send(m.update(func() []member.Outbound { return m.table.Announce(to) }))
 }
 
-func (f *Membership) update(apply func() []member.Outbound) []member.Outbound {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.table.SetSettingsVersion(f.settingsVersion())
+func (m *Membership) update(apply func() []member.Outbound) []member.Outbound {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.table.SetSettingsVersion(m.settingsVersion())
 	out := apply()
-	if v := f.table.Version(); v != f.publishedVersion {
-		f.publishedVersion = v
-		f.publish()
+	if v := m.table.Version(); v != m.publishedVersion {
+		m.publishedVersion = v
+		m.publish()
 	}
 	return out
 }
 
-func (f *Membership) send(out []member.Outbound) {
+func (m *Membership) send(out []member.Outbound) {
 	for i := range out {
 		// The protocol tolerates lost datagrams, so a send error needs no handling.
-		_ = f.transport.Send(out[i].To, &out[i].Packet)
+		_ = m.transport.Send(out[i].To, &out[i].Packet)
 	}
 }
 
