--- a/internal/state/follow/follow_test.go
+++ b/internal/state/follow/follow_test.go
@@ -177,20 +177,20 @@
 
 // vm is a VM whose followers track a store.
 type vm struct {
-	current     *routes.Current
-	table       *srvtab.Table
-	settings    *SettingsFollower
-	servers     *ServerFollower
-	peersUpdate atomic.Bool
-	changes     atomic.Int64
-	peerData    atomic.Pointer[Update] // servers that another VM provides; nil: there is none
-	clock       uptime.Clock
-	suspended   atomic.Int64 // suspended time, which only clock includes
+	current         *routes.Current
+	table           *srvtab.Table
+	settings        *SettingsFollower
+	servers         *ServerFollower
+	receivesUpdates atomic.Bool
+	changes         atomic.Int64
+	peerData        atomic.Pointer[Update] // servers that another VM provides; nil: there is none
+	clock           uptime.Clock
+	suspended       atomic.Int64 // suspended time, which only clock includes
 }
 
 func (v *vm) fetch(context.Context) (Update, error) {
-	if n := v.peerData.Load(); n != nil {
-		return *n, nil
+	if u := v.peerData.Load(); u != nil {
+		return *u, nil
 	}
 	return Update{}, ErrNoPeer
 }
@@ -206,10 +206,10 @@
 		}
 		v.current = routes.NewCurrent(v.clock)
 		v.table = srvtab.NewTable(func() {})
-		peersUpdate := v.peersUpdate.Load
+		receivesUpdates := v.receivesUpdates.Load
 		always := func() bool { return true }
-		v.settings = NewSettingsFollower(s, v.current, v.clock, peersUpdate, always, func() { v.changes.Add(1) }, zap.NewNop())
-		v.servers = NewServerFollower(s, v.table, v.clock, peersUpdate, always, always, func() { v.changes.Add(1) }, v.fetch, zap.NewNop())
+		v.settings = NewSettingsFollower(s, v.current, v.clock, receivesUpdates, always, func() { v.changes.Add(1) }, zap.NewNop())
+		v.servers = NewServerFollower(s, v.table, v.clock, receivesUpdates, always, always, func() { v.changes.Add(1) }, v.fetch, zap.NewNop())
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var g errgroup.Group
@@ -258,7 +258,7 @@
 			e.Leaving = true
 			s.put(e)
 			time.Sleep(leadBatchDelay + time.Millisecond)
-			v.assertUsable(t, 0, "the server is leaving")
+			v.assertUsable(t, 0, "the server is draining")
 		})
 	})
 	t.Run("the settings' age stays below the duration of a wait", func(t *testing.T) {
@@ -299,19 +299,19 @@
 		s.put(entry(1))
 		s.put(entry(2))
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true) // other VMs read the store for this one
+			v.receivesUpdates.Store(true) // other VMs read the store for this one
 			time.Sleep(time.Second)
 			s.setDown(true)
 			time.Sleep(4 * time.Second)
 			s.setDown(false)
 			s.remove(entry(1))
 			s.remove(entry(2))
-			v.peersUpdate.Store(false)
+			v.receivesUpdates.Store(false)
 			time.Sleep(leadBatchDelay)
 			v.assertUsable(t, 2, "the store has just recovered")
-			n, ok := v.servers.RecentChanges(time.Now())
-			assert.Assert(t, ok && len(n.Changes) == 2, "%+v", n)
-			for _, c := range n.Changes {
+			u, ok := v.servers.RecentChanges(time.Now())
+			assert.Assert(t, ok && len(u.Changes) == 2, "%+v", u)
+			for _, c := range u.Changes {
 				assert.Assert(t, c.Grace > 0, "the change must tell other VMs that the entry may have expired: %+v", c)
 			}
 			s.put(entry(1))
@@ -405,23 +405,23 @@
 	t.Run("VMs that receive updates copy the list of the new era", func(t *testing.T) {
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true)
+			v.receivesUpdates.Store(true)
 			time.Sleep(time.Second)
 			rev := NewRevision(1, 1)
-			assert.Assert(t, rev > v.servers.known(), "revisions of a later era are higher")
+			assert.Assert(t, rev > v.servers.knownRevision(), "revisions of a later era are higher")
 			v.peerData.Store(&Update{Rev: rev, Changes: []Change{{Rev: rev, Entry: entry(5)}}})
 			v.servers.ApplyUpdate(Update{Base: rev, Rev: rev}, time.Now())
 			time.Sleep(time.Second)
-			assert.Equal(t, v.servers.known(), rev)
+			assert.Equal(t, v.servers.knownRevision(), rev)
 			v.servers.ApplyUpdate(Update{Rev: NewRevision(0, 99), Changes: []Change{{Rev: NewRevision(0, 99), Entry: entry(6)}}}, time.Now())
 			v.assertUsable(t, 1, "updates of an earlier era are ignored")
 		})
 	})
 }
 
-// TestResumeAfterSuspension guards against outdated data being treated as current after a suspension. A
-// VM resumes after some seconds and has not yet communicated with the store or other VMs;
-// the age of its data, also in its updates, must include the suspension.
+// TestResumeAfterSuspension guards against outdated data being treated as current after a
+// suspension. A VM resumes after some seconds and has not yet communicated with the store
+// or other VMs; the age of its data, also in its updates, must include the suspension.
 func TestResumeAfterSuspension(t *testing.T) {
 	const suspension = 4 * time.Second
 	s := newStore()
@@ -432,9 +432,9 @@
 		v.suspended.Store(int64(suspension))
 		assert.Assert(t, v.current.Age() >= suspension, "%s", v.current.Age())
 		assert.Assert(t, v.servers.Age() >= suspension, "%s", v.servers.Age())
-		n, ok := v.servers.RecentChanges(time.Now())
-		assert.Assert(t, ok && n.Age >= suspension, "%s", n.Age)
-		follower.ApplyUpdate(n, time.Now())
+		u, ok := v.servers.RecentChanges(time.Now())
+		assert.Assert(t, ok && u.Age >= suspension, "%s", u.Age)
+		follower.ApplyUpdate(u, time.Now())
 		assert.Assert(t, follower.Age() >= suspension, "%s", follower.Age())
 		time.Sleep(2*settingsWait + 100*time.Millisecond)
 		assert.Assert(t, v.current.Age() < suspension && v.servers.Age() < suspension, "the store has responded since")
@@ -462,7 +462,7 @@
 	t.Run("a VM that receives updates does not call the store", func(t *testing.T) {
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true)
+			v.receivesUpdates.Store(true)
 			time.Sleep(2 * time.Second)
 			calls := s.calls.Load()
 			time.Sleep(10 * time.Second)
@@ -472,18 +472,18 @@
 	t.Run("each change of overlapping updates is applied once", func(t *testing.T) {
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true)
+			v.receivesUpdates.Store(true)
 			time.Sleep(2 * time.Second)
-			base := v.servers.known()
-			n := Update{Base: base, Rev: base + 2, Changes: []Change{
+			base := v.servers.knownRevision()
+			u := Update{Base: base, Rev: base + 2, Changes: []Change{
 				{Rev: base + 1, Entry: entry(1)}, {Rev: base + 2, Entry: entry(2)},
 			}}
-			v.servers.ApplyUpdate(n, time.Now())
+			v.servers.ApplyUpdate(u, time.Now())
 			v.assertUsable(t, 2, "both servers are added")
-			n = Update{Base: base, Rev: base + 3, Changes: append(n.Changes, Change{Rev: base + 3, Gone: true, Entry: srvtab.Entry{ID: "1"}})}
-			v.servers.ApplyUpdate(n, time.Now())
+			u = Update{Base: base, Rev: base + 3, Changes: append(u.Changes, Change{Rev: base + 3, Gone: true, Entry: srvtab.Entry{ID: "1"}})}
+			v.servers.ApplyUpdate(u, time.Now())
 			v.assertUsable(t, 1, "one server is removed, and known changes are not applied again")
-			v.servers.ApplyUpdate(Update{Base: base, Rev: base + 2, Changes: n.Changes[:1]}, time.Now())
+			v.servers.ApplyUpdate(Update{Base: base, Rev: base + 2, Changes: u.Changes[:1]}, time.Now())
 			v.assertUsable(t, 1, "a late update is ignored")
 		})
 	})
@@ -491,9 +491,9 @@
 		s := newStore()
 		s.put(entry(1))
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true)
+			v.receivesUpdates.Store(true)
 			time.Sleep(2 * time.Second)
-			base := v.servers.known()
+			base := v.servers.knownRevision()
 			written := Change{Rev: base + 2, Entry: entry(1)}
 			removed := Change{Rev: base + 1, Gone: true, Entry: srvtab.Entry{ID: "1"}}
 			v.servers.ApplyUpdate(Update{Base: base, Rev: base + 2, Changes: []Change{removed, written}}, time.Now())
@@ -501,17 +501,17 @@
 			v.assertUsable(t, 1, "an older change is ignored")
 			v.servers.applyList(nil, base+1, v.clock())
 			v.assertUsable(t, 1, "an older list is ignored")
-			assert.Equal(t, v.servers.known(), base+2)
+			assert.Equal(t, v.servers.knownRevision(), base+2)
 		})
 	})
 	t.Run("after a gap in the updates the store is read", func(t *testing.T) {
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true)
+			v.receivesUpdates.Store(true)
 			time.Sleep(2 * time.Second)
 			s.put(entry(5))
 			v.servers.ApplyUpdate(Update{Base: 50, Rev: 60}, time.Now())
-			v.peersUpdate.Store(false)
+			v.receivesUpdates.Store(false)
 			time.Sleep(time.Second)
 			v.assertUsable(t, 1, "read from the store")
 		})
@@ -519,7 +519,7 @@
 	t.Run("after a gap in the updates the list is copied from another VM", func(t *testing.T) {
 		s := newStore()
 		runFollowers(t, s, func(v *vm) {
-			v.peersUpdate.Store(true)
+			v.receivesUpdates.Store(true)
 			time.Sleep(2 * time.Second)
 			calls := s.calls.Load()
 			v.peerData.Store(&Update{Rev: 60, Changes: []Change{{Rev: 60, Entry: entry(5)}}})
@@ -527,8 +527,8 @@
 			time.Sleep(time.Second)
 			v.assertUsable(t, 1, "copied from the other VM")
 			assert.Equal(t, s.calls.Load(), calls, "the store was not called")
-			n, ok := v.servers.Snapshot()
-			assert.Assert(t, ok && n.Rev == 60 && len(n.Changes) == 1, "%+v", n)
+			u, ok := v.servers.Snapshot()
+			assert.Assert(t, ok && u.Rev == 60 && len(u.Changes) == 1, "%+v", u)
 		})
 	})
 	t.Run("an entry that has lapsed for another VM ends here, too", func(t *testing.T) {
@@ -542,12 +542,12 @@
 			s.mu.Unlock()
 			s.setDown(false)
 			time.Sleep(watch.MaxBackoff + 100*time.Millisecond)
-			n, ok := v.servers.Snapshot()
-			assert.Assert(t, ok && len(n.Changes) == 1 && n.Changes[0].Grace > 0, "%+v", n)
-			v.peersUpdate.Store(true)
-			v.peerData.Store(&n)
+			u, ok := v.servers.Snapshot()
+			assert.Assert(t, ok && len(u.Changes) == 1 && u.Changes[0].Grace > 0, "%+v", u)
+			v.receivesUpdates.Store(true)
+			v.peerData.Store(&u)
 			time.Sleep(time.Second)
-			v.servers.ApplyUpdate(Update{Base: n.Rev + 5, Rev: n.Rev + 6}, time.Now())
+			v.servers.ApplyUpdate(Update{Base: u.Rev + 5, Rev: u.Rev + 6}, time.Now())
 			time.Sleep(200 * time.Millisecond)
 			v.assertUsable(t, 1, "copied from the other VM")
 			time.Sleep(srvtab.ReregisterTime)
@@ -585,13 +585,13 @@
 		runFollowers(t, s, func(v *vm) {
 			s.put(entry(1))
 			time.Sleep(leadBatchDelay + 10*time.Millisecond)
-			n, ok := v.servers.RecentChanges(time.Now())
+			u, ok := v.servers.RecentChanges(time.Now())
 			assert.Assert(t, ok)
-			assert.Equal(t, len(n.Changes), 1)
-			assert.Assert(t, n.Base < n.Changes[0].Rev && n.Changes[0].Rev <= n.Rev)
+			assert.Equal(t, len(u.Changes), 1)
+			assert.Assert(t, u.Base < u.Changes[0].Rev && u.Changes[0].Rev <= u.Rev)
 			time.Sleep(2 * changeRetention)
-			n, _ = v.servers.RecentChanges(time.Now())
-			assert.Equal(t, len(n.Changes), 0)
+			u, _ = v.servers.RecentChanges(time.Now())
+			assert.Equal(t, len(u.Changes), 0)
 			s.setDown(true)
 			time.Sleep(time.Second)
 			_, ok = v.servers.RecentChanges(time.Now())
@@ -611,11 +611,11 @@
 		}
 		time.Sleep(leadBatchDelay + time.Millisecond)
 		v.assertUsable(t, 5000, "this VM knows all servers")
-		n, ok := v.servers.RecentChanges(time.Now())
+		u, ok := v.servers.RecentChanges(time.Now())
 		assert.Assert(t, ok)
-		assert.Equal(t, len(n.Changes), maxChanges)
-		assert.Equal(t, n.Base, n.Changes[0].Rev-1, "VMs that lack earlier changes request the list")
-		assert.Equal(t, n.Rev, n.Changes[maxChanges-1].Rev)
+		assert.Equal(t, len(u.Changes), maxChanges)
+		assert.Equal(t, u.Base, u.Changes[0].Rev-1, "VMs that lack earlier changes request the list")
+		assert.Equal(t, u.Rev, u.Changes[maxChanges-1].Rev)
 	})
 }
 
--- a/internal/state/follow/order_test.go
+++ b/internal/state/follow/order_test.go
@@ -31,8 +31,8 @@
 	f := &fleet{store: make(map[ident.Server]srvtab.Entry), rev: 1}
 	never := func() bool { return false }
 	fetch := func(context.Context) (Update, error) {
-		if n, ok := f.vms[0].Snapshot(); ok {
-			return n, nil
+		if u, ok := f.vms[0].Snapshot(); ok {
+			return u, nil
 		}
 		return Update{}, ErrNoPeer
 	}
@@ -62,7 +62,7 @@
 
 // readChanges applies to v the store's changes after the revision that v knows.
 func (f *fleet) readChanges(v *ServerFollower) {
-	known := v.known()
+	known := v.knownRevision()
 	var list []Change
 	for _, c := range f.changes {
 		if c.Rev > known {
@@ -92,8 +92,8 @@
 			"change": f.changeEntry,
 			"read":   func(*rapid.T) { f.readChanges(f.vms[0]) },
 			"report": func(t *rapid.T) {
-				if n, ok := f.vms[rapid.IntRange(0, 3).Draw(t, "from")].RecentChanges(time.Now()); ok {
-					f.updates = append(f.updates, n)
+				if u, ok := f.vms[rapid.IntRange(0, 3).Draw(t, "from")].RecentChanges(time.Now()); ok {
+					f.updates = append(f.updates, u)
 				}
 			},
 			"receive": func(t *rapid.T) {
@@ -102,7 +102,7 @@
 				}
 				v := f.vms[rapid.IntRange(1, 3).Draw(t, "to")]
 				v.ApplyUpdate(f.updates[rapid.IntRange(0, len(f.updates)-1).Draw(t, "report")], time.Now())
-				if v.known() == 0 {
+				if v.knownRevision() == 0 {
 					v.copyFromPeer(ctx)
 				}
 			},
@@ -110,11 +110,11 @@
 			"other reads": func(t *rapid.T) { f.readChanges(f.vms[rapid.IntRange(1, 3).Draw(t, "vm")]) },
 		})
 		f.readChanges(f.vms[0])
-		n, ok := f.vms[0].RecentChanges(time.Now())
+		u, ok := f.vms[0].RecentChanges(time.Now())
 		assert.Assert(t, ok)
 		for _, v := range f.vms {
-			v.ApplyUpdate(n, time.Now())
-			if v.known() == 0 {
+			v.ApplyUpdate(u, time.Now())
+			if v.knownRevision() == 0 {
 				assert.Assert(t, v.copyFromPeer(ctx))
 			}
 			f.assertMatchesStore(t, v)
--- a/internal/state/follow/servers.go
+++ b/internal/state/follow/servers.go
@@ -19,8 +19,8 @@
 	// serversWait is how long the store holds a request for server changes. It must stay
 	// below 0.9 s, after which other VMs replace a VM that gets no response from the store.
 	serversWait = 700 * time.Millisecond
-	// leadBatchDelay batches the servers' heartbeats into one response. It is the longest
-	// delay that it adds before a retired server is seen.
+	// leadBatchDelay batches the servers' heartbeats into one response. It bounds
+	// the delay that batching adds before a retired server is seen.
 	leadBatchDelay = 200 * time.Millisecond
 	// standbyBatchDelay is the same for a VM that watches the store as a standby.
 	standbyBatchDelay = 500 * time.Millisecond
@@ -35,17 +35,18 @@
 // Change is one change of a server's entry.
 type Change struct {
 	Rev   Revision
-	Entry srvtab.Entry // only the ID, without its start, if Gone
+	Entry srvtab.Entry // only the ID, without the start time, if Gone
 	Gone  bool
-	Grace time.Duration // time until a server counts as gone whose entry expired in an outage; zero: not expired
+	Grace time.Duration // time until the server counts as gone if its entry expired in an outage; zero: not expired
 }
 
-// goneAt returns the time at which a server with a removed entry counts as gone.
-func (c *Change) goneAt(grace, now time.Time) time.Time {
+// goneAt returns the time at which a server with a removed entry counts as gone. That is
+// graceEnd if the change has no grace period of its own.
+func (c *Change) goneAt(graceEnd, now time.Time) time.Time {
 	if c.Grace > 0 {
 		return now.Add(c.Grace)
 	}
-	return grace
+	return graceEnd
 }
 
 // Update holds the changes in a range of revisions, for VMs that do not watch the store.
@@ -72,11 +73,11 @@
 	clock uptime.Clock
 	log   *zap.Logger
 
-	peersUpdate func() bool
-	probes      func() bool
-	leads       func() bool
-	onChange    func()
-	fetch       func(ctx context.Context) (Update, error)
+	receivesUpdates func() bool
+	probes          func() bool
+	leads           func() bool
+	onChange        func()
+	fetch           func(ctx context.Context) (Update, error)
 
 	// applyMu serialises updates of the table, so that they apply in order of revision.
 	// It must be locked before mu, which the table's callbacks lock.
@@ -114,15 +115,16 @@
 )
 
 // NewServerFollower returns a follower of the servers. It watches the store while
-// peersUpdate reports false, which means that no updates come from other VMs. It polls
-// more often if leads reports that this VM leads the watch. probes reports whether this VM
-// must quickly detect that the store has recovered. The follower calls onChange when it
-// has new changes to send to other VMs. While it has no data, it copies the servers from
-// another VM with fetch, or reads them in the store if no other VM can provide them.
-func NewServerFollower(src ServerSource, table *srvtab.Table, clock uptime.Clock, peersUpdate, probes, leads func() bool, onChange func(),
+// receivesUpdates reports false, that is, while no updates come from other VMs. It polls
+// more often if leads reports that this VM is the first of the hubs that watch the store.
+// probes reports whether this VM must quickly detect that the store has recovered. The
+// follower calls onChange when it has new changes to send to other VMs. While it has no
+// data, it copies the servers from another VM with fetch, or reads them in the store if no
+// other VM can provide them.
+func NewServerFollower(src ServerSource, table *srvtab.Table, clock uptime.Clock, receivesUpdates, probes, leads func() bool, onChange func(),
 	fetch func(ctx context.Context) (Update, error), log *zap.Logger,
 ) *ServerFollower {
-	return &ServerFollower{src: src, table: table, clock: clock, peersUpdate: peersUpdate, probes: probes, leads: leads, onChange: onChange, fetch: fetch, log: log}
+	return &ServerFollower{src: src, table: table, clock: clock, receivesUpdates: receivesUpdates, probes: probes, leads: leads, onChange: onChange, fetch: fetch, log: log}
 }
 
 // RecentChanges returns the recent changes as an update for other VMs. It returns false
@@ -134,14 +136,14 @@
 		return Update{}, false
 	}
 	s.prune(now)
-	n := Update{Base: s.base, Rev: s.rev, Age: s.age()}
-	for _, d := range s.recent {
-		if d.Grace > 0 {
-			d.Grace = max(d.Grace-now.Sub(d.at), 1)
+	u := Update{Base: s.base, Rev: s.rev, Age: s.age()}
+	for _, c := range s.recent {
+		if c.Grace > 0 {
+			c.Grace = max(c.Grace-now.Sub(c.at), 1)
 		}
-		n.Changes = append(n.Changes, d.Change)
+		u.Changes = append(u.Changes, c.Change)
 	}
-	return n, true
+	return u, true
 }
 
 // prune removes the changes that are older than changeRetention or exceed maxChanges.
@@ -156,47 +158,47 @@
 
 // ApplyUpdate applies an update from another VM. If there is a gap before the update,
 // everything is read again.
-func (s *ServerFollower) ApplyUpdate(n Update, now time.Time) {
-	if s.applyRemote(n, now) {
+func (s *ServerFollower) ApplyUpdate(u Update, now time.Time) {
+	if s.applyRemote(u, now) {
 		s.onChange()
 	}
 }
 
 // applyRemote applies an update from another VM and reports whether it removed entries.
-func (s *ServerFollower) applyRemote(n Update, now time.Time) bool {
+func (s *ServerFollower) applyRemote(u Update, now time.Time) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
 	removed := false
-	for _, c := range s.selectNew(n, now) {
+	for _, c := range s.selectNew(u, now) {
 		s.applyChange(&c, time.Time{}) // the sender has set Grace if there was an outage
 		removed = removed || c.Gone
 	}
 	return removed
 }
 
-// selectNew returns the unknown changes of n and records them as known. They are also
-// forwarded, for VMs that do not receive updates from the sender of n.
-func (s *ServerFollower) selectNew(n Update, now time.Time) []Change {
+// selectNew returns the unknown changes of u and records them as known. They are also
+// forwarded, for VMs that do not receive updates from the sender of u.
+func (s *ServerFollower) selectNew(u Update, now time.Time) []Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rev == 0 || n.Rev < s.rev {
+	if s.rev == 0 || u.Rev < s.rev {
 		return nil
 	}
-	if n.Base > s.rev {
+	if u.Base > s.rev {
 		s.rev = 0
 		return nil
 	}
 	s.prune(now)
 	var out []Change
-	for _, c := range n.Changes {
+	for _, c := range u.Changes {
 		if c.Rev > s.rev {
 			out = append(out, c)
 			s.recent = append(s.recent, timedChange{Change: c, at: now})
 		}
 	}
-	s.rev = n.Rev
-	s.confirmed = max(s.confirmed, s.clock().Add(-n.Age))
-	if n.Age < relayTime {
+	s.rev = u.Rev
+	s.confirmed = max(s.confirmed, s.clock().Add(-u.Age))
+	if u.Age < relayTime {
 		s.lastUpdate = now
 	}
 	return out
@@ -211,7 +213,7 @@
 
 func (s *ServerFollower) age() time.Duration { return s.clock().Sub(s.confirmed) }
 
-func (s *ServerFollower) known() Revision {
+func (s *ServerFollower) knownRevision() Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rev
@@ -220,18 +222,18 @@
 // Run follows the servers until ctx is done.
 func (s *ServerFollower) Run(ctx context.Context) {
 	l := watch.New(watch.Source[Revision]{
-		Name:         "servers",
-		WatchTimeout: serversWait,
-		Pause:        s.batchDelay,
-		CopyFromPeer: s.copyFromPeer,
-		Read:         s.read,
-		Watch:        s.awaitChanges,
-		OnLost:       s.storeUnreachable,
-		OnRecovered:  s.storeRecovered,
-		Revision:     s.known,
-		Empty:        func() bool { return s.known() == 0 },
-		Informed:     s.peersUpdate,
-		ProbesStore:  s.probes,
+		Name:            "servers",
+		WatchTimeout:    serversWait,
+		BatchDelay:      s.batchDelay,
+		CopyFromPeer:    s.copyFromPeer,
+		Read:            s.read,
+		Watch:           s.awaitChanges,
+		OnUnreachable:   s.storeUnreachable,
+		OnRecovered:     s.storeRecovered,
+		Revision:        s.knownRevision,
+		Empty:           func() bool { return s.knownRevision() == 0 },
+		ReceivesUpdates: s.receivesUpdates,
+		ProbesStore:     s.probes,
 	}, s.log)
 	l.Run(ctx)
 }
@@ -310,21 +312,21 @@
 func (s *ServerFollower) applyList(list []srvtab.Entry, rev Revision, requested uptime.Instant) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
-	known := s.known()
+	known := s.knownRevision()
 	if rev < known {
 		return false
 	}
 	now := time.Now()
-	grace := s.updateGrace(now)
+	graceEnd := s.updateGrace(now)
 	if known != 0 && rev.Era() > known.Era() {
 		list = s.filterKnown(list)
 	}
-	changed, missing := s.table.Replace(list, grace, now)
+	changed, missing := s.table.Replace(list, graceEnd, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasKnown := s.rev != 0
 	if wasKnown {
-		s.recordAll(rev, changed, missing, grace, now)
+		s.recordAll(rev, changed, missing, graceEnd, now)
 	} else {
 		s.base, s.recent = rev, nil
 	}
@@ -342,12 +344,12 @@
 
 // recordAll records the changes found by reading the complete list, so that VMs that
 // receive updates need not request the list.
-func (s *ServerFollower) recordAll(rev Revision, changed []srvtab.Entry, missing []ident.Server, grace, now time.Time) {
+func (s *ServerFollower) recordAll(rev Revision, changed []srvtab.Entry, missing []ident.Server, graceEnd, now time.Time) {
 	for _, e := range changed {
 		s.recent = append(s.recent, timedChange{Change: Change{Rev: rev, Entry: e}, at: now})
 	}
 	for _, id := range missing {
-		gone := Change{Rev: rev, Gone: true, Entry: srvtab.Entry{ID: ident.NewServer(id.Name(), time.Time{})}, Grace: max(grace.Sub(now), 0)}
+		gone := Change{Rev: rev, Gone: true, Entry: srvtab.Entry{ID: ident.NewServer(id.Name(), time.Time{})}, Grace: max(graceEnd.Sub(now), 0)}
 		s.recent = append(s.recent, timedChange{Change: gone, at: now})
 	}
 }
@@ -363,12 +365,12 @@
 	}
 	// The table calls this follower while holding its own lock, so mu must not be held
 	// here. Changes later than rev may be included already and are sent again later.
-	n := Update{Rev: rev, Age: age}
+	u := Update{Rev: rev, Age: age}
 	grace := s.table.RemainingGrace(time.Now())
 	for _, e := range s.table.View().All() {
-		n.Changes = append(n.Changes, Change{Rev: rev, Entry: e, Grace: grace[e.ID]})
+		u.Changes = append(u.Changes, Change{Rev: rev, Entry: e, Grace: grace[e.ID]})
 	}
-	return n, true
+	return u, true
 }
 
 // ErrNoPeer is returned if there is no other VM to copy the servers from.
@@ -379,7 +381,7 @@
 func (s *ServerFollower) copyFromPeer(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, watch.ReadTimeout)
 	defer cancel()
-	n, err := s.fetch(ctx)
+	u, err := s.fetch(ctx)
 	if errors.Is(err, ErrNoPeer) {
 		return false
 	}
@@ -387,29 +389,29 @@
 		s.log.Info("servers not taken from another VM", zap.Error(err))
 		return false
 	}
-	list := make([]srvtab.Entry, 0, len(n.Changes))
-	for _, c := range n.Changes {
+	list := make([]srvtab.Entry, 0, len(u.Changes))
+	for _, c := range u.Changes {
 		list = append(list, c.Entry)
 	}
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
-	if n.Rev < s.known() {
+	if u.Rev < s.knownRevision() {
 		return true
 	}
 	now := time.Now()
 	s.table.Replace(list, time.Time{}, now)
-	for _, c := range n.Changes {
+	for _, c := range u.Changes {
 		if c.Grace > 0 {
 			// No later update announces the end of the grace period.
 			s.table.Remove(c.Entry.ID.Name(), now.Add(c.Grace), now)
 		}
 	}
 	s.mu.Lock()
-	s.rev, s.base, s.recent, s.lastUpdate = n.Rev, n.Rev, nil, now
-	s.confirmed = max(s.confirmed, s.clock().Add(-n.Age))
+	s.rev, s.base, s.recent, s.lastUpdate = u.Rev, u.Rev, nil, now
+	s.confirmed = max(s.confirmed, s.clock().Add(-u.Age))
 	s.mu.Unlock()
-	s.log.Info("servers taken from another VM", zap.Int("servers", len(list)), zap.Uint64("revision", uint64(n.Rev)))
-	return n.Rev != 0
+	s.log.Info("servers taken from another VM", zap.Int("servers", len(list)), zap.Uint64("revision", uint64(u.Rev)))
+	return u.Rev != 0
 }
 
 func (s *ServerFollower) awaitChanges(ctx context.Context, after Revision, wait time.Duration) (Revision, error) {
@@ -432,7 +434,7 @@
 func (s *ServerFollower) applyChanges(changes []Change, rev Revision, at uptime.Instant) bool {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
-	now, known, changed := time.Now(), s.known(), false
+	now, known, changed := time.Now(), s.knownRevision(), false
 	for _, c := range changes {
 		if c.Rev <= known {
 			continue
@@ -458,13 +460,13 @@
 }
 
 // applyChange applies a change and reports whether it is a removal or changed the entry.
-// A server whose entry was removed stays usable until grace, or for the change's own
+// A server whose entry was removed stays usable until graceEnd, or for the change's own
 // grace period.
-func (s *ServerFollower) applyChange(c *Change, grace time.Time) bool {
+func (s *ServerFollower) applyChange(c *Change, graceEnd time.Time) bool {
 	id := zap.String("server", string(c.Entry.ID))
 	if c.Gone {
 		now := time.Now()
-		if s.table.Remove(c.Entry.ID.Name(), c.goneAt(grace, now), now) {
+		if s.table.Remove(c.Entry.ID.Name(), c.goneAt(graceEnd, now), now) {
 			s.log.Info("server entry removed", id)
 		}
 		return true
--- a/internal/state/follow/settings.go
+++ b/internal/state/follow/settings.go
@@ -16,9 +16,9 @@
 )
 
 // settingsWait is how long the store holds a request for new settings. It bounds the
-// time since the settings were last known to be current. Calls that the settings refuse
-// are refused finally if that time is at most 1.3 s, and a revoked key must not be
-// served after 5 s.
+// time since the settings were last known to be current. A call that the settings refuse
+// gets its final refusal only if that time is at most 1.3 s, and a revoked key must not
+// be served after 5 s.
 const settingsWait = 700 * time.Millisecond
 
 // SettingsSource reads the settings in the store. Its calls have an idle timeout: they
@@ -36,15 +36,15 @@
 
 // SettingsFollower keeps the settings in force up to date with the store.
 type SettingsFollower struct {
-	src         SettingsSource
-	current     *routes.Current
-	clock       uptime.Clock
-	log         *zap.Logger
-	peersUpdate func() bool
-	probes      func() bool
-	onChange    func()
-	reads       singleflight.Group
-	rev         atomic.Uint64
+	src             SettingsSource
+	current         *routes.Current
+	clock           uptime.Clock
+	log             *zap.Logger
+	receivesUpdates func() bool
+	probes          func() bool
+	onChange        func()
+	reads           singleflight.Group
+	rev             atomic.Uint64
 	// storedVersion is the version in the store as of its last response.
 	storedVersion atomic.Uint64
 	// restoreGraceEnd is the time, by clock, until which a store restored from a backup
@@ -53,15 +53,16 @@
 }
 
 // NewSettingsFollower returns a follower of the settings. It watches the store while
-// peersUpdate reports false, which means that no updates come from other VMs. probes
+// receivesUpdates reports false, that is, while no updates come from other VMs. probes
 // reports whether this VM must quickly detect that the store has recovered. The follower
 // calls onChange when it has read newer settings in the store.
-func NewSettingsFollower(src SettingsSource, current *routes.Current, clock uptime.Clock, peersUpdate, probes func() bool, onChange func(), log *zap.Logger) *SettingsFollower {
-	return &SettingsFollower{src: src, current: current, clock: clock, peersUpdate: peersUpdate, probes: probes, onChange: onChange, log: log}
+func NewSettingsFollower(src SettingsSource, current *routes.Current, clock uptime.Clock, receivesUpdates, probes func() bool, onChange func(), log *zap.Logger) *SettingsFollower {
+	return &SettingsFollower{src: src, current: current, clock: clock, receivesUpdates: receivesUpdates, probes: probes, onChange: onChange, log: log}
 }
 
 // HandleVersion processes another VM's report that a version was the latest at the given
-// time. If the version is newer than the one in force, the settings are read.
+// time. If the version is newer than the one in force, the settings are read. If it is
+// the one in force, that one is recorded as the latest at that time.
 func (s *SettingsFollower) HandleVersion(ctx context.Context, version uint64, at uptime.Instant) {
 	snap := s.current.Load()
 	switch {
@@ -93,18 +94,18 @@
 // Run follows the settings until ctx is done.
 func (s *SettingsFollower) Run(ctx context.Context) {
 	l := watch.New(watch.Source[Revision]{
-		Name:         "settings",
-		WatchTimeout: settingsWait,
-		Pause:        func() time.Duration { return 0 },
-		CopyFromPeer: func(context.Context) bool { return false }, // other VMs report newer versions
-		Read:         func(ctx context.Context) (Revision, error) { return s.sharedRead(ctx, watch.ReadTimeout) },
-		Watch:        s.awaitVersion,
-		OnLost:       func(time.Time) {},
-		OnRecovered:  func(time.Time) {},
-		Revision:     func() Revision { return Revision(s.rev.Load()) },
-		Empty:        func() bool { return s.current.Load() == nil },
-		Informed:     s.peersUpdate,
-		ProbesStore:  s.probes,
+		Name:            "settings",
+		WatchTimeout:    settingsWait,
+		BatchDelay:      func() time.Duration { return 0 },
+		CopyFromPeer:    func(context.Context) bool { return false }, // other VMs report newer versions
+		Read:            func(ctx context.Context) (Revision, error) { return s.sharedRead(ctx, watch.ReadTimeout) },
+		Watch:           s.awaitVersion,
+		OnUnreachable:   func(time.Time) {},
+		OnRecovered:     func(time.Time) {},
+		Revision:        func() Revision { return Revision(s.rev.Load()) },
+		Empty:           func() bool { return s.current.Load() == nil },
+		ReceivesUpdates: s.receivesUpdates,
+		ProbesStore:     s.probes,
 	}, s.log)
 	l.Run(ctx)
 }
--- a/internal/state/watch/watch.go
+++ b/internal/state/watch/watch.go
@@ -16,22 +16,23 @@
 	// makes no progress is ended sooner by the source's idle timeout. The duration of
 	// a read depends on the amount of data and on the VM's link.
 	ReadTimeout = 15 * time.Second
-	// minBackoff is the pause after the first failed read, and after a failed wait for
-	// changes.
+	// minBackoff is the shortest pause between failed reads, and the pause after a failed
+	// wait for changes.
 	minBackoff = 50 * time.Millisecond
 	// MaxBackoff is the longest pause between failed reads. It keeps the time until a
 	// recovered store is found within a third of the 2 s in which a change must be in
 	// force.
 	MaxBackoff = 400 * time.Millisecond
-	// standbyBackoff is the shortest pause between failed reads of VMs for which
-	// Source.ProbesStore is false. Others find out that the store has recovered.
+	// standbyBackoff is the shortest pause between failed reads, except after the first, of
+	// VMs for which Source.ProbesStore is false. Others find out that the store has
+	// recovered.
 	standbyBackoff = 1500 * time.Millisecond
-	// checkInterval is how often a VM that receives changes from peers checks whether
+	// checkInterval is how often a VM that receives updates from peers checks whether
 	// it still does.
 	checkInterval = 100 * time.Millisecond
 	// emptyCheckInterval replaces checkInterval while nothing is known.
 	emptyCheckInterval = 20 * time.Millisecond
-	// peerTimeout is how long a VM that receives changes from peers, but knows nothing
+	// peerTimeout is how long a VM that receives updates from peers, but knows nothing
 	// yet, waits for its peers before it reads the store itself.
 	peerTimeout = 3 * time.Second
 )
@@ -41,9 +42,9 @@
 type Source[R comparable] struct {
 	Name         string
 	WatchTimeout time.Duration // how long the store holds a watch open if there are no changes
-	// Pause returns how long to wait after a change, so that the next response contains
-	// several changes.
-	Pause func() time.Duration
+	// BatchDelay returns how long to wait after a change, so that the next response
+	// contains several changes.
+	BatchDelay func() time.Duration
 	// CopyFromPeer copies everything from another VM and reports whether it succeeded.
 	CopyFromPeer func(ctx context.Context) bool
 	// Read reads everything from the store and returns its revision.
@@ -51,19 +52,19 @@
 	// Watch waits for changes after a revision, applies them, and returns the new
 	// revision.
 	Watch func(ctx context.Context, after R, wait time.Duration) (R, error)
-	// OnLost is called after each failed call to the store.
-	OnLost func(now time.Time)
+	// OnUnreachable is called after each failed call to the store.
+	OnUnreachable func(now time.Time)
 	// OnRecovered is called after the first successful read after a failure.
 	OnRecovered func(now time.Time)
 	// Revision returns the revision up to which everything is known, or zero if
 	// everything has to be read.
 	Revision func() R
-	// Empty reports whether too little is known for this VM to work with while it
-	// receives changes from peers.
+	// Empty reports whether this VM lacks data that it needs before it can rely on
+	// updates from peers alone.
 	Empty func() bool
-	// Informed reports whether this VM receives changes from peers and need not watch
-	// the store.
-	Informed func() bool
+	// ReceivesUpdates reports whether this VM receives updates from peers and need not
+	// watch the store.
+	ReceivesUpdates func() bool
 	// ProbesStore reports whether this VM has to find out soon that the store has
 	// recovered.
 	ProbesStore func() bool
@@ -115,17 +116,17 @@
 }
 
 // deferToPeers reports whether this VM does not call the store because it receives
-// changes from peers. If it knows nothing yet, it copies everything from a peer.
+// updates from peers. If it knows nothing yet, it copies everything from a peer.
 func (w *Watcher[R]) deferToPeers(ctx context.Context) bool {
 	if !w.src.Empty() {
 		w.emptySince = time.Time{}
-		return w.src.Informed()
+		return w.src.ReceivesUpdates()
 	}
 	now := time.Now()
 	if w.emptySince.IsZero() {
 		w.emptySince = now
 	}
-	if !w.src.Informed() || now.Sub(w.emptySince) > peerTimeout {
+	if !w.src.ReceivesUpdates() || now.Sub(w.emptySince) > peerTimeout {
 		return false
 	}
 	w.src.CopyFromPeer(ctx)
@@ -137,14 +138,14 @@
 var errIncomplete = errors.New("watch: some changes were not received from other VMs")
 
 // backOff waits after a failed read. rounds is the number of rounds of Run since the last
-// successful read. The wait ends early once this VM receives changes from peers.
+// successful read. The wait ends early once this VM receives updates from peers.
 func (w *Watcher[R]) backOff(ctx context.Context, rounds int) {
 	d := min(minBackoff<<min(rounds, 8), MaxBackoff)
 	if rounds > 0 && !w.src.ProbesStore() {
 		d = standbyBackoff + rand.N(standbyBackoff)
 	}
 	for end := time.Now().Add(d); ctx.Err() == nil && time.Now().Before(end); {
-		if w.src.Informed() {
+		if w.src.ReceivesUpdates() {
 			return
 		}
 		retry.Sleep(ctx, min(checkInterval, time.Until(end)))
@@ -162,7 +163,7 @@
 func (w *Watcher[R]) watch(ctx context.Context) error {
 	var none R
 	for ctx.Err() == nil {
-		if w.src.Informed() {
+		if w.src.ReceivesUpdates() {
 			if w.src.Empty() {
 				return errIncomplete
 			}
@@ -178,7 +179,7 @@
 			return err
 		}
 		if next != rev {
-			retry.Sleep(ctx, w.src.Pause())
+			retry.Sleep(ctx, w.src.BatchDelay())
 		}
 	}
 	return ctx.Err()
@@ -195,7 +196,7 @@
 	if ctx.Err() != nil || err == nil {
 		return
 	}
-	w.src.OnLost(time.Now())
+	w.src.OnUnreachable(time.Now())
 	if w.down {
 		return
 	}
