--- a/internal/state/hubreg/hubreg.go
+++ b/internal/state/hubreg/hubreg.go
@@ -27,15 +27,15 @@
 	// isolatedReadInterval is the pause between reads while a starting VM is isolated.
 	isolatedReadInterval = 300 * time.Millisecond
 	// retryPause is the pause after a first failed call. If the next call fails too, as
-	// when the store refuses a VM, the pause is the usual one.
+	// when the store refuses a VM, the usual pause between reads applies.
 	retryPause = 1200 * time.Millisecond
 	// ReachableTime is how long after a response the store counts as reachable for a VM.
 	// It covers one read and one retry.
 	ReachableTime = readInterval + retryPause + 300*time.Millisecond
 	// maxStaleness bounds the age of the registrations that a read returns.
 	maxStaleness = 8 * time.Second
-	// standbyDelay is how long hubs other than the one that leads the watch wait before
-	// they store quarantined requests that it should have stored.
+	// standbyDelay is how long the other hubs wait before they store quarantined requests
+	// that the first hub that watches the store should have stored.
 	standbyDelay = 10 * time.Second
 	// callTimeout bounds the calls to the store of one step.
 	callTimeout = time.Second
@@ -79,8 +79,8 @@
 type Quarantine interface {
 	// Stored records which requests the store holds.
 	Stored(list []poison.Quarantine, now time.Time)
-	// Unstored returns the requests that were quarantined longer than age ago and that
-	// the store has not been known to hold for the duration unconfirmed.
+	// Unstored returns the requests that were quarantined at least age ago and that have
+	// not been recorded as stored within the duration unconfirmed.
 	Unstored(age, unconfirmed time.Duration, now time.Time) []poison.Quarantine
 }
 
@@ -103,38 +103,38 @@
 
 // New returns the Registrar of a VM that started at startedAt. It calls onRead after each
 // read of the registrations while the VM is isolated.
-func New(self hubs.Candidate, startedAt time.Time, h *hubs.Tracker, registry Registry, quarantined Quarantine, onRead func(), log *zap.Logger) *Registrar {
-	return &Registrar{self: self, startedAt: startedAt, hubs: h, registry: registry, quarantined: quarantined, wake: make(chan struct{}, 1), onRead: onRead, log: log}
+func New(self hubs.Candidate, startedAt time.Time, tracker *hubs.Tracker, registry Registry, quarantined Quarantine, onRead func(), log *zap.Logger) *Registrar {
+	return &Registrar{self: self, startedAt: startedAt, hubs: tracker, registry: registry, quarantined: quarantined, wake: make(chan struct{}, 1), onRead: onRead, log: log}
 }
 
 // Wake makes a hub perform the next step at once, so that it stores quarantined requests.
-func (k *Registrar) Wake() {
+func (r *Registrar) Wake() {
 	select {
-	case k.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Run maintains and reads registrations until ctx is done.
-func (k *Registrar) Run(ctx context.Context) {
-	earliest := time.Now().Add(startDelay(k.self.Capacity))
+func (r *Registrar) Run(ctx context.Context) {
+	earliest := time.Now().Add(startDelay(r.self.Capacity))
 	for ctx.Err() == nil {
-		err := k.step(ctx, earliest)
-		k.failures++
+		err := r.step(ctx, earliest)
+		r.failures++
 		if err == nil {
-			k.failures = 0
+			r.failures = 0
 		} else {
-			k.log.Info("names of VMs not kept or read in the store", zap.Error(err))
+			r.log.Info("names of VMs not kept or read in the store", zap.Error(err))
 		}
-		k.wait(ctx, k.pause(err, time.Now()))
+		r.wait(ctx, r.pause(err, time.Now()))
 	}
 }
 
 // wait waits for d. Wake ends the wait early on a hub, unless the last call to the store
 // failed.
-func (k *Registrar) wait(ctx context.Context, d time.Duration) {
-	wake := k.wake
-	if k.failures > 0 || !k.hubs.IsHub(time.Now()) {
+func (r *Registrar) wait(ctx context.Context, d time.Duration) {
+	wake := r.wake
+	if r.failures > 0 || !r.hubs.IsHub(time.Now()) {
 		wake = nil
 	}
 	t := time.NewTimer(d)
@@ -151,11 +151,11 @@
 	return time.Duration(noDelayCapacity-min(c, noDelayCapacity))*delayPerCapacity + rand.N(maxJitter)
 }
 
-func (k *Registrar) pause(err error, now time.Time) time.Duration {
+func (r *Registrar) pause(err error, now time.Time) time.Duration {
 	switch {
-	case err != nil && k.failures == 1:
+	case err != nil && r.failures == 1:
 		return retryPause
-	case k.hubs.LivePeers(now) == 0 && now.Sub(k.startedAt) < ReachableTime:
+	case r.hubs.LivePeers(now) == 0 && now.Sub(r.startedAt) < ReachableTime:
 		return isolatedReadInterval
 	default:
 		return readInterval
@@ -164,89 +164,89 @@
 
 // step reads the registrations once, stores quarantined requests, and registers this VM
 // or renews its lease if it is a hub. A VM does not register before earliest.
-func (k *Registrar) step(ctx context.Context, earliest time.Time) error {
+func (r *Registrar) step(ctx context.Context, earliest time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	registered, err := k.read(ctx, false)
+	registered, err := r.read(ctx, false)
 	if err != nil {
 		return err
 	}
-	if err := k.storeQuarantined(ctx, time.Now()); err != nil {
+	if err := r.storeQuarantined(ctx, time.Now()); err != nil {
 		return err
 	}
 	now := time.Now()
-	if _, there := registered[k.self.VM]; !there && now.Sub(k.registeredAt) > maxStaleness {
-		k.lease = 0 // the store has lost the registration
+	if _, found := registered[r.self.VM]; !found && now.Sub(r.registeredAt) > maxStaleness {
+		r.lease = 0 // the store has lost the registration
 	}
-	if k.lease != 0 {
-		return k.renew(ctx, now)
+	if r.lease != 0 {
+		return r.renew(ctx, now)
 	}
-	if now.Before(earliest) || !k.hubs.IsHub(now) {
+	if now.Before(earliest) || !r.hubs.IsHub(now) {
 		return nil
 	}
-	if k.hubs.LivePeers(now) == 0 {
+	if r.hubs.LivePeers(now) == 0 {
 		// VMs that started at the same time may have registered meanwhile.
-		if registered, err = k.read(ctx, true); err != nil || k.hubs.CountResponding(registered, time.Now()) >= hubs.Count {
+		if registered, err = r.read(ctx, true); err != nil || r.hubs.CountResponding(registered, time.Now()) >= hubs.Count {
 			return err
 		}
-		k.hubs.EndDiscovery(now)
+		r.hubs.EndDiscovery(now)
 	}
-	lease, err := k.registry.Register(ctx, k.self.VM, k.self.Addr, leaseTTL)
+	lease, err := r.registry.Register(ctx, r.self.VM, r.self.Addr, leaseTTL)
 	if err != nil {
 		return err
 	}
-	k.lease, k.renewAt, k.registeredAt = lease, now.Add(renewInterval), now
+	r.lease, r.renewAt, r.registeredAt = lease, now.Add(renewInterval), now
 	return nil
 }
 
-func (k *Registrar) read(ctx context.Context, fresh bool) (map[ident.VM]netip.AddrPort, error) {
-	records, err := k.registry.Read(ctx, fresh)
+func (r *Registrar) read(ctx context.Context, fresh bool) (map[ident.VM]netip.AddrPort, error) {
+	records, err := r.registry.Read(ctx, fresh)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	k.hubs.SetRegistered(records.VMs, now)
-	k.quarantined.Stored(records.Quarantined, now)
-	if k.hubs.LivePeers(now) == 0 {
-		k.onRead()
+	r.hubs.SetRegistered(records.VMs, now)
+	r.quarantined.Stored(records.Quarantined, now)
+	if r.hubs.LivePeers(now) == 0 {
+		r.onRead()
 	}
 	return records.VMs, nil
 }
 
-// storeQuarantined writes the quarantined requests that the store does not hold. The hub
-// that leads the watch does so at once, other hubs after standbyDelay.
-func (k *Registrar) storeQuarantined(ctx context.Context, now time.Time) error {
-	if !k.hubs.IsHub(now) {
+// storeQuarantined writes the quarantined requests that the store does not hold. The first
+// hub that watches the store does so at once, other hubs after standbyDelay.
+func (r *Registrar) storeQuarantined(ctx context.Context, now time.Time) error {
+	if !r.hubs.IsHub(now) {
 		return nil
 	}
 	age := standbyDelay
-	if k.hubs.LeadsWatch(now) {
+	if r.hubs.LeadsWatch(now) {
 		age = 0
 	}
-	for _, e := range k.quarantined.Unstored(age, maxStaleness, now) {
-		if err := k.registry.Quarantine(ctx, e); err != nil {
+	for _, e := range r.quarantined.Unstored(age, maxStaleness, now) {
+		if err := r.registry.Quarantine(ctx, e); err != nil {
 			return err
 		}
-		k.quarantined.Stored([]poison.Quarantine{e}, now)
+		r.quarantined.Stored([]poison.Quarantine{e}, now)
 	}
 	return nil
 }
 
 // renew renews the lease when it is due, or lets it expire if this VM is no longer a hub.
-func (k *Registrar) renew(ctx context.Context, now time.Time) error {
-	if now.Before(k.renewAt) {
+func (r *Registrar) renew(ctx context.Context, now time.Time) error {
+	if now.Before(r.renewAt) {
 		return nil
 	}
-	if !k.hubs.IsHub(now) {
-		k.lease = 0
+	if !r.hubs.IsHub(now) {
+		r.lease = 0
 		return nil
 	}
-	err := k.registry.Renew(ctx, k.lease)
+	err := r.registry.Renew(ctx, r.lease)
 	if errors.Is(err, ErrLeaseExpired) {
-		k.lease = 0
+		r.lease = 0
 	}
 	if err == nil {
-		k.renewAt = now.Add(renewInterval)
+		r.renewAt = now.Add(renewInterval)
 	}
 	return err
 }
--- a/internal/state/hubreg/hubreg_test.go
+++ b/internal/state/hubreg/hubreg_test.go
@@ -102,29 +102,29 @@
 }
 
 func TestNames(t *testing.T) {
-	run := func(t *testing.T, r *fakeRegistry, f func(h *hubs.Tracker)) {
+	run := func(t *testing.T, r *fakeRegistry, f func(tracker *hubs.Tracker)) {
 		synctest.Test(t, func(t *testing.T) {
 			if r.registered == nil {
 				r.registered = make(map[ident.VM]netip.AddrPort)
 			}
-			h := hubs.New(candidate(1), nil, time.Now())
+			tracker := hubs.New(candidate(1), nil, time.Now())
 			ctx, cancel := context.WithCancel(t.Context())
 			var g errgroup.Group
 			g.Go(func() error {
-				New(candidate(1), time.Now(), h, r, noQuarantine{}, func() {}, zap.NewNop()).Run(ctx)
+				New(candidate(1), time.Now(), tracker, r, noQuarantine{}, func() {}, zap.NewNop()).Run(ctx)
 				return nil
 			})
-			f(h)
+			f(tracker)
 			cancel()
 			assert.NilError(t, g.Wait())
 		})
 	}
 	t.Run("a VM that finds no others registers", func(t *testing.T) {
 		r := &fakeRegistry{}
-		run(t, r, func(h *hubs.Tracker) {
+		run(t, r, func(tracker *hubs.Tracker) {
 			time.Sleep(hubs.DiscoveryTimeout)
 			assert.Equal(t, r.writeCount(), 1)
-			assert.Assert(t, h.ShouldWatch(time.Now()))
+			assert.Assert(t, tracker.ShouldWatch(time.Now()))
 			r.change(func() { r.registered, r.expired = make(map[ident.VM]netip.AddrPort), true })
 			time.Sleep(maxStaleness + readInterval + retryPause)
 			assert.Equal(t, r.writeCount(), 2, "a registration that the store has lost is written again")
@@ -153,18 +153,18 @@
 	})
 	t.Run("a VM knows whether the store is reachable", func(t *testing.T) {
 		r := &fakeRegistry{}
-		run(t, r, func(h *hubs.Tracker) {
+		run(t, r, func(tracker *hubs.Tracker) {
 			time.Sleep(time.Second)
 			for range 20 {
 				time.Sleep(time.Second)
-				assert.Assert(t, h.StoreRespondedWithin(ReachableTime, time.Now()))
+				assert.Assert(t, tracker.StoreRespondedWithin(ReachableTime, time.Now()))
 			}
 			r.change(func() { r.unreachable = true })
 			time.Sleep(ReachableTime + time.Second)
-			assert.Assert(t, !h.StoreRespondedWithin(ReachableTime, time.Now()))
+			assert.Assert(t, !tracker.StoreRespondedWithin(ReachableTime, time.Now()))
 			r.change(func() { r.unreachable = false })
 			time.Sleep(readInterval + time.Millisecond)
-			assert.Assert(t, h.StoreRespondedWithin(ReachableTime, time.Now()))
+			assert.Assert(t, tracker.StoreRespondedWithin(ReachableTime, time.Now()))
 		})
 	})
 }
--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -39,8 +39,8 @@
 	// for settleTime.
 	joinTimeout = 400 * time.Millisecond
 	settleTime  = 80 * time.Millisecond
-	// joinInterval is how often it reports during that wait. The others are learning of
-	// each other at the same time.
+	// joinInterval is how often a starting VM reports during that wait, in which other VMs
+	// learn of each other too.
 	joinInterval = 80 * time.Millisecond
 	// orderTTL is how long the top of the order is cached, so that it is not computed
 	// for each message.
@@ -53,8 +53,8 @@
 	Age      time.Duration // of its data on the servers
 }
 
-// Report is what a VM says of itself in a report to a hub, and a hub of itself in its
-// response.
+// Report is a VM's description of itself, in its reports to hubs and, if it is a hub, in
+// its responses.
 type Report struct {
 	Candidate
 	StoreStatus
@@ -88,15 +88,15 @@
 	seeds     []netip.AddrPort
 	startedAt time.Time
 
-	mu             sync.Mutex
-	peers          map[ident.VM]*peer
-	listings       map[ident.VM]listing // by the hub that sent them
-	joinedAt       time.Time            // first message of another VM, or the end of discovery
-	storeResponded time.Time            // when the store last responded to this VM
-	top            []Candidate          // first candidates of the order, maxListed at most
-	topAt          time.Time            // when top was computed
-	rank           int                  // of this VM in top; len(top) if it is not there
-	hubsChanged    time.Time            // when the set of hubs last changed
+	mu               sync.Mutex
+	peers            map[ident.VM]*peer
+	listings         map[ident.VM]listing // by the hub that sent them
+	joinedAt         time.Time            // first message of another VM, or the end of discovery
+	storeRespondedAt time.Time            // when the store last responded to this VM
+	top              []Candidate          // first candidates of the order, maxListed at most
+	topAt            time.Time            // when top was computed
+	rank             int                  // of this VM in top; len(top) if it is not there
+	hubsChangedAt    time.Time            // when the set of hubs last changed
 }
 
 // New returns the tracker of a VM that has just started and received no message yet. The
@@ -105,54 +105,55 @@
 	return &Tracker{self: self, seeds: seeds, startedAt: start, peers: make(map[ident.VM]*peer), listings: make(map[ident.VM]listing)}
 }
 
-// recordMessage records that a message of another VM arrived, and what it says of it.
-func (h *Tracker) recordMessage(r Report, now time.Time) *peer {
-	p := h.peers[r.VM]
+// recordMessage records that a message of another VM arrived, with the VM's description of
+// itself.
+func (t *Tracker) recordMessage(r Report, now time.Time) *peer {
+	p := t.peers[r.VM]
 	if p == nil {
 		p = &peer{}
-		h.peers[r.VM] = p
+		t.peers[r.VM] = p
 	}
 	if now.Sub(p.lastSeen) >= PeerTimeout || p.Candidate != r.Candidate {
-		h.topAt = time.Time{}
+		t.topAt = time.Time{}
 	}
 	p.Candidate, p.status = r.Candidate, r.StoreStatus
 	p.lastSeen, p.unansweredSince, p.unanswered = now, time.Time{}, 0
-	if h.joinedAt.IsZero() {
-		h.joinedAt = now
+	if t.joinedAt.IsZero() {
+		t.joinedAt = now
 	}
 	return p
 }
 
 // HandleReport records another VM's report.
-func (h *Tracker) HandleReport(r Report, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.recordMessage(r, now).lastReport = now
+func (t *Tracker) HandleReport(r Report, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recordMessage(r, now).lastReport = now
 }
 
 // HandleResponse records a hub's response to a report. The hub omits its list of candidates
 // if its digest equals the one in the report. HandleResponse returns whether there is a
 // hub that this VM has neither reported to nor received a message from, in which case
 // the caller should send reports at once.
-func (h *Tracker) HandleResponse(r Report, list []Candidate, digest uint64, now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.recordMessage(r, now)
-	old := h.listings[r.VM]
+func (t *Tracker) HandleResponse(r Report, list []Candidate, digest uint64, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recordMessage(r, now)
+	old := t.listings[r.VM]
 	switch {
 	case old.digest == digest:
 		old.at = now
-		h.listings[r.VM] = old
+		t.listings[r.VM] = old
 	case len(list) > 0:
 		if now.Sub(old.at) >= PeerTimeout {
-			old.list = nil // the hub is new or was away itself
+			old.list = nil // the hub is new or was unreachable itself
 		}
-		h.resetReturned(old.list, list, now)
-		h.listings[r.VM] = listing{at: now, digest: digest, list: list}
-		h.topAt = time.Time{}
+		t.resetReturned(old.list, list, now)
+		t.listings[r.VM] = listing{at: now, digest: digest, list: list}
+		t.topAt = time.Time{}
 	}
-	for _, c := range h.otherHubs(now) {
-		if p := h.peers[c.VM]; p == nil || p.lastSeen.IsZero() && p.lastSent.IsZero() {
+	for _, c := range t.otherHubs(now) {
+		if p := t.peers[c.VM]; p == nil || p.lastSeen.IsZero() && p.lastSent.IsZero() {
 			return true
 		}
 	}
@@ -161,9 +162,9 @@
 
 // resetReturned resets the count of unanswered reports of VMs that a hub lists now and
 // did not list before: they have come back.
-func (h *Tracker) resetReturned(old, list []Candidate, now time.Time) {
+func (t *Tracker) resetReturned(old, list []Candidate, now time.Time) {
 	for _, c := range list {
-		if p := h.peers[c.VM]; p.notResponding(now) && !slices.Contains(old, c) {
+		if p := t.peers[c.VM]; p.notResponding(now) && !slices.Contains(old, c) {
 			p.unansweredSince, p.unanswered = time.Time{}, 0
 		}
 	}
@@ -171,28 +172,28 @@
 
 // SetRegistered records the VMs that are registered in the store, and that the store
 // responded at now.
-func (h *Tracker) SetRegistered(registered map[ident.VM]netip.AddrPort, now time.Time) {
+func (t *Tracker) SetRegistered(registered map[ident.VM]netip.AddrPort, now time.Time) {
 	list := make([]Candidate, 0, len(registered))
 	for name, addr := range registered {
-		if name != h.self.VM {
+		if name != t.self.VM {
 			list = append(list, Candidate{VM: name, Addr: addr})
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.storeResponded = now
-	h.listings[storeSource] = listing{at: now, list: list}
-	h.topAt = time.Time{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.storeRespondedAt = now
+	t.listings[storeSource] = listing{at: now, list: list}
+	t.topAt = time.Time{}
 }
 
 // CountResponding counts the other VMs registered in the store, except those that are not
 // responding.
-func (h *Tracker) CountResponding(registered map[ident.VM]netip.AddrPort, now time.Time) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (t *Tracker) CountResponding(registered map[ident.VM]netip.AddrPort, now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	n := 0
 	for name := range registered {
-		if name != h.self.VM && !h.peers[name].notResponding(now) {
+		if name != t.self.VM && !t.peers[name].notResponding(now) {
 			n++
 		}
 	}
@@ -201,26 +202,26 @@
 
 // EndDiscovery ends the search for other VMs at once, although none has sent a message. It
 // is called when too few VMs are registered in the store to wait for.
-func (h *Tracker) EndDiscovery(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.joinedAt = now.Add(-joinTimeout)
+func (t *Tracker) EndDiscovery(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.joinedAt = now.Add(-joinTimeout)
 }
 
-// Leave puts this VM last in the order by setting its capacity to zero, so that another
+// StepDown puts this VM last in the order by setting its capacity to zero, so that another
 // replaces it as a hub before it stops.
-func (h *Tracker) Leave() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.self.Capacity = 0
-	h.topAt = time.Time{}
+func (t *Tracker) Leave() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.self.Capacity = 0
+	t.topAt = time.Time{}
 }
 
 // Self returns this VM as a candidate.
-func (h *Tracker) Self() Candidate {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.self
+func (t *Tracker) Self() Candidate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.self
 }
 
 // notResponding reports whether a VM has left enough reports unanswered for long enough.
@@ -235,22 +236,22 @@
 // orderTTL. The order contains the live VMs and those on hub lists, except VMs that are
 // not responding. The VMs registered in the store replace the hub lists while these
 // contain no VM that may respond.
-func (h *Tracker) topCandidates(now time.Time) []Candidate {
-	if now.Sub(h.topAt) < orderTTL {
-		return h.top
+func (t *Tracker) topCandidates(now time.Time) []Candidate {
+	if now.Sub(t.topAt) < orderTTL {
+		return t.top
 	}
-	all := map[ident.VM]Candidate{h.self.VM: h.self}
-	for name, p := range h.peers {
+	all := map[ident.VM]Candidate{t.self.VM: t.self}
+	for name, p := range t.peers {
 		if p.live(now) {
 			all[name] = p.Candidate
 		}
 		if now.Sub(p.lastSeen) > forgetAfter && now.Sub(p.lastSent) > forgetAfter {
-			delete(h.peers, name)
-			delete(h.listings, name)
+			delete(t.peers, name)
+			delete(t.listings, name)
 		}
 	}
-	for _, c := range h.currentCandidates(now) {
-		if _, ok := all[c.VM]; !ok && !h.peers[c.VM].notResponding(now) {
+	for _, c := range t.currentCandidates(now) {
+		if _, ok := all[c.VM]; !ok && !t.peers[c.VM].notResponding(now) {
 			all[c.VM] = c
 		}
 	}
@@ -260,15 +261,15 @@
 	}
 	slices.SortFunc(list, compareCandidates)
 	spreadDomains(list)
-	if !slices.Equal(firstHubs(list), firstHubs(h.top)) {
-		h.hubsChanged = now
+	if !slices.Equal(firstHubs(list), firstHubs(t.top)) {
+		t.hubsChangedAt = now
 	}
-	h.top, h.topAt = list[:min(len(list), maxListed)], now
-	h.rank = slices.IndexFunc(h.top, func(c Candidate) bool { return c.VM == h.self.VM })
-	if h.rank < 0 {
-		h.rank = len(h.top)
+	t.top, t.topAt = list[:min(len(list), maxListed)], now
+	t.rank = slices.IndexFunc(t.top, func(c Candidate) bool { return c.VM == t.self.VM })
+	if t.rank < 0 {
+		t.rank = len(t.top)
 	}
-	return h.top
+	return t.top
 }
 
 // firstHubs returns the hubs, the first Count candidates.
@@ -277,47 +278,47 @@
 // currentCandidates returns the candidates of all hub lists that are less than
 // PeerTimeout older than the newest one. When all hubs are lost, no newer list arrives,
 // and the candidates that they listed last replace them.
-func (h *Tracker) currentCandidates(now time.Time) []Candidate {
+func (t *Tracker) currentCandidates(now time.Time) []Candidate {
 	var newest time.Time
-	for by, l := range h.listings {
+	for by, l := range t.listings {
 		if by != storeSource && l.at.After(newest) {
 			newest = l.at
 		}
 	}
 	if newest.IsZero() {
-		return h.listings[storeSource].list
+		return t.listings[storeSource].list
 	}
 	var out []Candidate
-	for by, l := range h.listings {
+	for by, l := range t.listings {
 		if by != storeSource && newest.Sub(l.at) < PeerTimeout {
 			out = append(out, l.list...)
 		}
 	}
-	if h.noneRespond(out, now) {
-		return h.listings[storeSource].list
+	if t.noneRespond(out, now) {
+		return t.listings[storeSource].list
 	}
 	return out
 }
 
 // noneRespond reports whether all candidates but this VM are not responding.
-func (h *Tracker) noneRespond(list []Candidate, now time.Time) bool {
+func (t *Tracker) noneRespond(list []Candidate, now time.Time) bool {
 	for _, c := range list {
-		if c.VM != h.self.VM && !h.peers[c.VM].notResponding(now) {
+		if c.VM != t.self.VM && !t.peers[c.VM].notResponding(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// LiveCandidates returns the candidates that this VM lists in its responses: only those
-// that are live, since VMs that repeated each other's lists would keep one that is gone
-// listed forever.
-func (h *Tracker) LiveCandidates(now time.Time) []Candidate {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// LiveCandidates returns the candidates that this VM lists in its responses. These are
+// only live VMs: if VMs repeated each other's lists, a VM that is gone would stay listed
+// forever.
+func (t *Tracker) LiveCandidates(now time.Time) []Candidate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []Candidate
-	for _, c := range h.topCandidates(now) {
-		if c.VM == h.self.VM || h.peers[c.VM].live(now) {
+	for _, c := range t.topCandidates(now) {
+		if c.VM == t.self.VM || t.peers[c.VM].live(now) {
 			out = append(out, c)
 		}
 	}
@@ -325,10 +326,10 @@
 }
 
 // CandidateDigest returns the digest of the candidates that a hub listed last.
-func (h *Tracker) CandidateDigest(hub ident.VM) uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.listings[hub].digest
+func (t *Tracker) CandidateDigest(hub ident.VM) uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.listings[hub].digest
 }
 
 // Targets returns the VMs to report to now and records the reports as sent. These are
@@ -336,20 +337,20 @@
 // to find out whether it responds now. With all set, the hubs are included even if they
 // are not due, because something has to be reported at once. An isolated VM also reports
 // to its seeds.
-func (h *Tracker) Targets(now time.Time, all bool) []Candidate {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := h.otherHubs(now)
-	if c, ok := h.probeCandidate(out, now); ok {
+func (t *Tracker) Targets(now time.Time, all bool) []Candidate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := t.otherHubs(now)
+	if c, ok := t.probeCandidate(out, now); ok {
 		out = append(out, c)
 	}
-	out = slices.DeleteFunc(out, func(c Candidate) bool { return !all && h.nextDue(c.VM).Sub(now) > coalesceWindow })
+	out = slices.DeleteFunc(out, func(c Candidate) bool { return !all && t.nextDue(c.VM).Sub(now) > coalesceWindow })
 	for _, c := range out {
-		h.recordAttempt(c, now)
+		t.recordAttempt(c, now)
 	}
-	if h.isolated(now) {
-		for _, addr := range h.seeds {
-			if addr != h.self.Addr {
+	if t.isolated(now) {
+		for _, addr := range t.seeds {
+			if addr != t.self.Addr {
 				out = append(out, Candidate{Addr: addr})
 			}
 		}
@@ -358,8 +359,8 @@
 }
 
 // isolated reports whether no other VM is live.
-func (h *Tracker) isolated(now time.Time) bool {
-	for _, p := range h.peers {
+func (t *Tracker) isolated(now time.Time) bool {
+	for _, p := range t.peers {
 		if p.live(now) {
 			return false
 		}
@@ -368,25 +369,25 @@
 }
 
 // NextReport returns how long it is until the next report is due.
-func (h *Tracker) NextReport(now time.Time) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (t *Tracker) NextReport(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	next := ReportInterval
-	if h.isolated(now) {
+	if t.isolated(now) {
 		next = probeInterval
 	}
-	for _, c := range h.otherHubs(now) {
-		next = min(next, h.nextDue(c.VM).Sub(now))
+	for _, c := range t.otherHubs(now) {
+		next = min(next, t.nextDue(c.VM).Sub(now))
 	}
 	return max(next, coalesceWindow)
 }
 
 // otherHubs returns the hubs other than this VM, which it reports to.
-func (h *Tracker) otherHubs(now time.Time) []Candidate {
-	first := h.topCandidates(now)
+func (t *Tracker) otherHubs(now time.Time) []Candidate {
+	first := t.topCandidates(now)
 	out := make([]Candidate, 0, Count+1)
 	for _, c := range firstHubs(first) {
-		if c.VM != h.self.VM {
+		if c.VM != t.self.VM {
 			out = append(out, c)
 		}
 	}
@@ -396,12 +397,12 @@
 // nextDue returns when the next report to a VM is due. A VM with an unanswered report is
 // sent the next one soon, so that a few lost messages do not make it count as
 // not responding.
-func (h *Tracker) nextDue(name ident.VM) time.Time {
-	p := h.peers[name]
+func (t *Tracker) nextDue(name ident.VM) time.Time {
+	p := t.peers[name]
 	switch {
 	case p == nil:
 		return time.Time{}
-	case !h.joinedAt.IsZero() && p.lastSent.Sub(h.joinedAt) < joinTimeout:
+	case !t.joinedAt.IsZero() && p.lastSent.Sub(t.joinedAt) < joinTimeout:
 		return p.lastSent.Add(joinInterval)
 	case !p.unansweredSince.IsZero():
 		return p.lastSent.Add(probeInterval)
@@ -413,11 +414,11 @@
 // recordAttempt records that a report is sent to a VM. The count of unanswered reports
 // starts anew if the last one was sent PeerTimeout or longer ago and the VM does not count
 // as not responding.
-func (h *Tracker) recordAttempt(c Candidate, now time.Time) {
-	p := h.peers[c.VM]
+func (t *Tracker) recordAttempt(c Candidate, now time.Time) {
+	p := t.peers[c.VM]
 	if p == nil {
 		p = &peer{Candidate: c}
-		h.peers[c.VM] = p
+		t.peers[c.VM] = p
 	}
 	if !p.notResponding(now) && now.Sub(p.lastSent) >= PeerTimeout {
 		p.unansweredSince, p.unanswered = time.Time{}, 0
@@ -432,20 +433,20 @@
 // probeCandidate returns a candidate that is not live and was sent no report within
 // retryInterval. Hubs probe the VMs registered in the store as well as those on hub
 // lists; other VMs probe only VMs on hub lists that are not responding.
-func (h *Tracker) probeCandidate(targets []Candidate, now time.Time) (Candidate, bool) {
+func (t *Tracker) probeCandidate(targets []Candidate, now time.Time) (Candidate, bool) {
 	var list []Candidate
-	for by, l := range h.listings {
-		if by != storeSource || h.rank < Count {
+	for by, l := range t.listings {
+		if by != storeSource || t.rank < Count {
 			list = append(list, l.list...)
 		}
 	}
 	for _, c := range list {
-		p := h.peers[c.VM]
-		if c.VM == h.self.VM || p.live(now) || p != nil && now.Sub(p.lastSent) < retryInterval {
+		p := t.peers[c.VM]
+		if c.VM == t.self.VM || p.live(now) || p != nil && now.Sub(p.lastSent) < retryInterval {
 			continue
 		}
 		sameVM := func(o Candidate) bool { return o.VM == c.VM }
-		if slices.ContainsFunc(targets, sameVM) || h.rank >= Count && !p.notResponding(now) {
+		if slices.ContainsFunc(targets, sameVM) || t.rank >= Count && !p.notResponding(now) {
 			continue
 		}
 		return c, true
@@ -454,11 +455,11 @@
 }
 
 // Reporters returns the VMs that have reported to this one within PeerTimeout.
-func (h *Tracker) Reporters(now time.Time) []Candidate {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (t *Tracker) Reporters(now time.Time) []Candidate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []Candidate
-	for _, p := range h.peers {
+	for _, p := range t.peers {
 		if now.Sub(p.lastReport) < PeerTimeout {
 			out = append(out, p.Candidate)
 		}
@@ -468,10 +469,10 @@
 
 // ReporterCounts returns how many VMs have reported to this one within forgetAfter
 // (known) and within PeerTimeout (live).
-func (h *Tracker) ReporterCounts(now time.Time) (known, live int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, p := range h.peers {
+func (t *Tracker) ReporterCounts(now time.Time) (known, live int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, p := range t.peers {
 		if now.Sub(p.lastReport) < forgetAfter {
 			known++
 		}
@@ -483,11 +484,11 @@
 }
 
 // LivePeers returns how many other VMs are live.
-func (h *Tracker) LivePeers(now time.Time) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (t *Tracker) LivePeers(now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	n := 0
-	for _, p := range h.peers {
+	for _, p := range t.peers {
 		if p.live(now) {
 			n++
 		}
@@ -504,16 +505,16 @@
 
 // CoordinatorOrder returns the first n hubs in the order in which they take over the
 // coordination of a service. Logs and metrics call the coordinator the home.
-func (h *Tracker) CoordinatorOrder(service ident.Service, n int, now time.Time) []CoordinatorCandidate {
-	h.mu.Lock()
-	hubs := slices.Clone(h.topCandidates(now))
-	h.mu.Unlock()
+func (t *Tracker) CoordinatorOrder(service ident.Service, n int, now time.Time) []CoordinatorCandidate {
+	t.mu.Lock()
+	hubs := slices.Clone(t.topCandidates(now))
+	t.mu.Unlock()
 	hubs = firstHubs(hubs)
 	sortForService(service, hubs)
 	out := make([]CoordinatorCandidate, 0, n)
 	for _, c := range hubs[:min(len(hubs), n)] {
 		r := CoordinatorCandidate{VM: c.VM, Addr: c.Addr}
-		if c.VM == h.self.VM {
+		if c.VM == t.self.VM {
 			r.Addr = netip.AddrPort{}
 		}
 		out = append(out, r)
--- a/internal/state/hubs/hubs_test.go
+++ b/internal/state/hubs/hubs_test.go
@@ -24,12 +24,12 @@
 // newWithHubs returns the tracker of a VM that has received reports from the given number
 // of VMs of higher capacity.
 func newWithHubs(hubs int, status StoreStatus, now time.Time) *Tracker {
-	h := New(candidate(99, 12), nil, now.Add(-time.Minute))
-	h.EndDiscovery(now)
+	tracker := New(candidate(99, 12), nil, now.Add(-time.Minute))
+	tracker.EndDiscovery(now)
 	for n := range hubs {
-		h.HandleReport(Report{Candidate: candidate(n, 14), StoreStatus: status}, now)
+		tracker.HandleReport(Report{Candidate: candidate(n, 14), StoreStatus: status}, now)
 	}
-	return h
+	return tracker
 }
 
 func TestAsks(t *testing.T) {
@@ -50,26 +50,26 @@
 		"not a hub, and the store responds only to this VM": {hubs: 4, status: StoreStatus{Watching: true, Age: time.Minute}, responded: true, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newWithHubs(tc.hubs, tc.status, now)
+			tracker := newWithHubs(tc.hubs, tc.status, now)
 			if tc.responded {
-				h.SetRegistered(nil, now)
+				tracker.SetRegistered(nil, now)
 			}
-			assert.Equal(t, h.ShouldWatch(now), tc.want)
+			assert.Equal(t, tracker.ShouldWatch(now), tc.want)
 		})
 	}
 	t.Run("a hub that stops responding is replaced", func(t *testing.T) {
-		h := newWithHubs(2, watching, now)
-		assert.Assert(t, !h.ShouldWatch(now.Add(watcherTimeout-1)))
-		assert.Assert(t, h.ShouldWatch(now.Add(watcherTimeout)))
-		assert.Assert(t, h.LeadsWatch(now.Add(watcherTimeout)))
+		tracker := newWithHubs(2, watching, now)
+		assert.Assert(t, !tracker.ShouldWatch(now.Add(watcherTimeout-1)))
+		assert.Assert(t, tracker.ShouldWatch(now.Add(watcherTimeout)))
+		assert.Assert(t, tracker.LeadsWatch(now.Add(watcherTimeout)))
 	})
 	t.Run("a starting VM waits for messages of others", func(t *testing.T) {
-		h := New(candidate(1, 12), nil, now)
-		assert.Assert(t, !h.ShouldWatch(now.Add(DiscoveryTimeout-1)))
-		assert.Assert(t, h.ShouldWatch(now.Add(DiscoveryTimeout)))
-		h.HandleReport(Report{Candidate: candidate(2, 10)}, now)
-		assert.Assert(t, !h.ShouldWatch(now.Add(joinTimeout-1)))
-		assert.Assert(t, h.ShouldWatch(now.Add(joinTimeout)), "the other has less capacity")
+		tracker := New(candidate(1, 12), nil, now)
+		assert.Assert(t, !tracker.ShouldWatch(now.Add(DiscoveryTimeout-1)))
+		assert.Assert(t, tracker.ShouldWatch(now.Add(DiscoveryTimeout)))
+		tracker.HandleReport(Report{Candidate: candidate(2, 10)}, now)
+		assert.Assert(t, !tracker.ShouldWatch(now.Add(joinTimeout-1)))
+		assert.Assert(t, tracker.ShouldWatch(now.Add(joinTimeout)), "the other has less capacity")
 	})
 }
 
@@ -77,33 +77,33 @@
 // them stops responding, and it comes back.
 func TestTargets(t *testing.T) {
 	now := time.Now()
-	h := New(candidate(99, 12), nil, now)
-	h.EndDiscovery(now) // reports are due at the usual intervals, not at joinInterval
-	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
-	assert.Equal(t, len(h.Targets(now, true)), 1, "the VM that is registered in the store")
+	tracker := New(candidate(99, 12), nil, now)
+	tracker.EndDiscovery(now) // reports are due at the usual intervals, not at joinInterval
+	tracker.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
+	assert.Equal(t, len(tracker.Targets(now, true)), 1, "the VM that is registered in the store")
 	list := []Candidate{candidate(0, 14), candidate(1, 14), candidate(2, 14), candidate(3, 14), candidate(4, 13)}
-	assert.Assert(t, h.HandleResponse(Report{Candidate: list[0], StoreStatus: watching}, list, Digest(list), now), "there are new hubs to report to")
-	assert.Equal(t, len(h.Targets(now, false)), Count-1, "the hubs that no report was sent to yet")
+	assert.Assert(t, tracker.HandleResponse(Report{Candidate: list[0], StoreStatus: watching}, list, Digest(list), now), "there are new hubs to report to")
+	assert.Equal(t, len(tracker.Targets(now, false)), Count-1, "the hubs that no report was sent to yet")
 	for _, c := range list[:3] {
-		h.HandleResponse(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), now)
+		tracker.HandleResponse(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), now)
 	}
-	assert.Equal(t, len(h.Targets(now.Add(probeInterval), false)), 1, "the hub that has not responded")
+	assert.Equal(t, len(tracker.Targets(now.Add(probeInterval), false)), 1, "the hub that has not responded")
 	expired := now.Add(PeerTimeout + orderTTL)
 	for at := now; !at.After(expired); at = at.Add(probeInterval) {
-		h.Targets(at, false)
+		tracker.Targets(at, false)
 	}
 	for _, c := range list[:3] {
-		h.HandleResponse(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), expired)
+		tracker.HandleResponse(Report{Candidate: c, StoreStatus: watching}, list, Digest(list), expired)
 	}
 	var names []ident.VM
-	for _, c := range h.Targets(expired, true) {
+	for _, c := range tracker.Targets(expired, true) {
 		names = append(names, c.VM)
 	}
 	assert.Assert(t, !contains(names, "vm-3") && contains(names, "vm-4"), "%s: the next candidate replaces it", names)
-	h.HandleResponse(Report{Candidate: list[1], StoreStatus: watching}, list[:3], 1, expired) // this hub receives nothing from vm-3 either
-	h.HandleResponse(Report{Candidate: list[1], StoreStatus: watching}, list, Digest(list), expired)
+	tracker.HandleResponse(Report{Candidate: list[1], StoreStatus: watching}, list[:3], 1, expired) // this hub receives nothing from vm-3 either
+	tracker.HandleResponse(Report{Candidate: list[1], StoreStatus: watching}, list, Digest(list), expired)
 	names = nil
-	for _, c := range h.Targets(expired, true) {
+	for _, c := range tracker.Targets(expired, true) {
 		names = append(names, c.VM)
 	}
 	assert.Assert(t, contains(names, "vm-3"), "%s: it has come back", names)
@@ -114,18 +114,18 @@
 // count as not responding.
 func TestGivenUp(t *testing.T) {
 	now := time.Now()
-	h := New(candidate(99, 12), nil, now)
-	h.EndDiscovery(now)
-	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
+	tracker := New(candidate(99, 12), nil, now)
+	tracker.EndDiscovery(now)
+	tracker.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
 	for range minUnanswered - 1 {
-		h.Targets(now, true)
+		tracker.Targets(now, true)
 	}
-	h.SetRegistered(nil, now) // vm-0 is not a candidate for a while
+	tracker.SetRegistered(nil, now) // vm-0 is not a candidate for a while
 	now = now.Add(2 * retryInterval)
-	h.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
-	assert.Equal(t, len(h.Targets(now, true)), 1)
+	tracker.SetRegistered(map[ident.VM]netip.AddrPort{"vm-0": candidate(0, 0).Addr}, now)
+	assert.Equal(t, len(tracker.Targets(now, true)), 1)
 	now = now.Add(orderTTL)
-	assert.Equal(t, len(h.CoordinatorOrder("s", Count, now)), 2, "it may still respond")
+	assert.Equal(t, len(tracker.CoordinatorOrder("s", Count, now)), 2, "it may still respond")
 }
 
 func contains(list []ident.VM, vm ident.VM) bool {
--- a/internal/state/hubs/watch.go
+++ b/internal/state/hubs/watch.go
@@ -27,39 +27,39 @@
 // ShouldWatch reports whether this VM has to watch the store for changes. The first
 // watcherCount hubs that the store responds to do so and report the changes to the others.
 // Another VM does so if the store responds to it and no peer has recent data.
-func (h *Tracker) ShouldWatch(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.joining(now) {
+func (t *Tracker) ShouldWatch(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.joining(now) {
 		return false
 	}
-	watching := h.watchersBefore(now)
-	if h.rank >= Count {
-		return now.Sub(h.storeResponded) < reachableTime && h.peerDataAge(now) > staleTimeout
+	watching := t.watchersBefore(now)
+	if t.rank >= Count {
+		return now.Sub(t.storeRespondedAt) < reachableTime && t.peerDataAge(now) > staleTimeout
 	}
 	return watching < watcherCount
 }
 
 // joining reports whether this VM is still starting and looks for other VMs.
-func (h *Tracker) joining(now time.Time) bool {
-	if h.joinedAt.IsZero() {
-		return now.Sub(h.startedAt) < DiscoveryTimeout
+func (t *Tracker) joining(now time.Time) bool {
+	if t.joinedAt.IsZero() {
+		return now.Sub(t.startedAt) < DiscoveryTimeout
 	}
-	h.topCandidates(now)
-	for _, c := range firstHubs(h.top) {
-		if c.VM != h.self.VM && !h.peers[c.VM].live(now) {
-			return now.Sub(h.joinedAt) < joinTimeout
+	t.topCandidates(now)
+	for _, c := range firstHubs(t.top) {
+		if c.VM != t.self.VM && !t.peers[c.VM].live(now) {
+			return now.Sub(t.joinedAt) < joinTimeout
 		}
 	}
-	return now.Sub(h.joinedAt) < min(joinTimeout, h.hubsChanged.Sub(h.joinedAt)+settleTime)
+	return now.Sub(t.joinedAt) < min(joinTimeout, t.hubsChangedAt.Sub(t.joinedAt)+settleTime)
 }
 
 // watchersBefore returns how many VMs before this one in the order watch the store and
 // get responses.
-func (h *Tracker) watchersBefore(now time.Time) int {
+func (t *Tracker) watchersBefore(now time.Time) int {
 	n := 0
-	for _, c := range h.topCandidates(now)[:h.rank] {
-		p := h.peers[c.VM]
+	for _, c := range t.topCandidates(now)[:t.rank] {
+		p := t.peers[c.VM]
 		if p != nil && p.status.Watching && now.Sub(p.lastSeen) < watcherTimeout && p.status.Age < maxResponseAge {
 			n++
 		}
@@ -69,64 +69,64 @@
 
 // LeadsWatch reports whether no VM before this one in the order watches the store and
 // gets responses.
-func (h *Tracker) LeadsWatch(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.watchersBefore(now) == 0
+func (t *Tracker) LeadsWatch(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.watchersBefore(now) == 0
 }
 
 // ProbesStore reports whether this VM is one of the first watcherCount hubs. While the
 // store is down, only these find out soon that it has recovered. An isolated VM is not one
 // of them: there may be many such VMs, and each is the first of the order that it knows.
-func (h *Tracker) ProbesStore(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.topCandidates(now)
-	return h.rank < watcherCount && !h.isolated(now)
+func (t *Tracker) ProbesStore(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.topCandidates(now)
+	return t.rank < watcherCount && !t.isolated(now)
 }
 
 // IsHub reports whether this VM is a hub.
-func (h *Tracker) IsHub(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.topCandidates(now)
-	return h.rank < Count
+func (t *Tracker) IsHub(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.topCandidates(now)
+	return t.rank < Count
 }
 
 // StoreRespondedWithin reports whether the store's last response to this VM is more recent
 // than the given duration.
-func (h *Tracker) StoreRespondedWithin(within time.Duration, now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return now.Sub(h.storeResponded) < within
+func (t *Tracker) StoreRespondedWithin(within time.Duration, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return now.Sub(t.storeRespondedAt) < within
 }
 
 // StoreReachable reports whether the store has responded to this VM within reachableTime.
-func (h *Tracker) StoreReachable(now time.Time) bool {
-	return h.StoreRespondedWithin(reachableTime, now)
+func (t *Tracker) StoreReachable(now time.Time) bool {
+	return t.StoreRespondedWithin(reachableTime, now)
 }
 
 // PeerDataAge returns the age of the newest data on the servers that any other VM has
 // reported, or forgetAfter if there is none.
-func (h *Tracker) PeerDataAge(now time.Time) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.peerDataAge(now)
+func (t *Tracker) PeerDataAge(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.peerDataAge(now)
 }
 
-func (h *Tracker) peerDataAge(now time.Time) time.Duration {
+func (t *Tracker) peerDataAge(now time.Time) time.Duration {
 	age := forgetAfter
-	for _, p := range h.peers {
+	for _, p := range t.peers {
 		age = min(age, p.status.Age+now.Sub(p.lastSeen))
 	}
 	return age
 }
 
 // PeersReachStore reports whether the store responds to another VM that watches it.
-func (h *Tracker) PeersReachStore(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, p := range h.peers {
+func (t *Tracker) PeersReachStore(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, p := range t.peers {
 		if p.live(now) && p.status.Watching && p.status.Age < maxResponseAge {
 			return true
 		}
@@ -135,12 +135,12 @@
 }
 
 // HubAddrs returns the addresses of the other hubs that are live.
-func (h *Tracker) HubAddrs(now time.Time) []netip.AddrPort {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (t *Tracker) HubAddrs(now time.Time) []netip.AddrPort {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []netip.AddrPort
-	for _, c := range h.otherHubs(now) {
-		if h.peers[c.VM].live(now) {
+	for _, c := range t.otherHubs(now) {
+		if t.peers[c.VM].live(now) {
 			out = append(out, c.Addr)
 		}
 	}
