--- a/internal/state/member/receive.go
+++ b/internal/state/member/receive.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// applyUpdate applies what a packet says of one VM.
+// applyUpdate applies a packet's update of one VM.
 func (t *Table) applyUpdate(m Member, now time.Time) {
 	if m.Name == t.self.Name {
 		t.refute(m)
--- a/internal/state/member/table.go
+++ b/internal/state/member/table.go
@@ -105,7 +105,7 @@
 	return out
 }
 
-// MergeList merges the platform's VM list, which lags. An unknown VM is added with
+// MergeList merges the platform's VM list, which may be outdated. An unknown VM is added with
 // incarnation 0, which is lower than any that it may report itself. A VM that is
 // no longer on the list is forgotten once it has been dead or left for four
 // suspicion timeouts.
@@ -134,8 +134,7 @@
 // Tick performs what is due at now and returns the packets to send.
 func (t *Table) Tick(now time.Time) []Outbound {
 	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > 2*t.cfg.Period {
-		// This VM itself was paused: that its pings were not acked says nothing of
-		// the others.
+		// This VM itself was paused, so missing acks say nothing about the others.
 		clear(t.probes)
 		t.postponeSuspicions(now.Sub(t.lastTick))
 	}
@@ -260,7 +259,7 @@
 	t.probes[t.sequence] = &probe{target: e.Name, sentAt: now, requester: requester, requestSeq: requestSeq}
 	p := t.newPacket(Ping, t.sequence)
 	if e.State != Alive {
-		// Report its state to it, so that it can refute it.
+		// Include the target's own state, so that the target can refute it.
 		p.Updates = append(p.Updates, e.Member)
 	}
 	return Outbound{To: e.Address, Packet: p}
--- a/internal/state/routes/routes_test.go
+++ b/internal/state/routes/routes_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestPick(t *testing.T) {
+func TestPickService(t *testing.T) {
 	r := &Route{Shares: []Share{{"a", 90}, {"none", 0}, {"b", 10}}}
 	for draw, want := range map[float64]ident.Service{0: "a", 0.899: "a", 0.9: "b", 0.9999: "b"} {
 		assert.Equal(t, r.PickService(draw), want, "draw %g", draw)
--- a/internal/state/routes/types.go
+++ b/internal/state/routes/types.go
@@ -56,7 +56,7 @@
 	Priority int // overrides the priority of a route
 }
 
-// Limits bound the size of a client's requests and the time it may take.
+// Limits bound the size of a client's requests and the time that the client may take.
 type Limits struct {
 	MaxHeaderBytes int // bytes
 	MaxBodyBytes   int // bytes
--- a/internal/state/shards/acquire.go
+++ b/internal/state/shards/acquire.go
@@ -90,8 +90,8 @@
 	return fmt.Sprintf("%s/%d/", m.vm, lease)
 }
 
-// writeHolder replaces the stored value of revision from, or 0 for no value, by one that
-// names this VM as the holder, and returns the new revision. If the reply to the write is
+// writeHolder replaces the stored value of revision from (0: no value) by one that names
+// this VM as the holder, and returns the new revision. If the reply to the write is
 // lost or the write conflicts, it reads whether the write took effect. With from 0 any value
 // of this VM counts, since only such a write can have left it. In a handover only the value
 // that replaced revision from counts.
--- a/internal/state/shards/handover.go
+++ b/internal/state/shards/handover.go
@@ -25,8 +25,9 @@
 	handoverRetryDelay = 100 * time.Millisecond
 )
 
-// startHandover ends this VM's term on a shard, which is to be handed over until the given
-// time. From now on this VM accepts no claims on the shard's keys in this term.
+// startHandover ends this VM's term on a shard and schedules its handover, which is
+// abandoned at the given time. From now on this VM accepts no claims on the shard's keys
+// in this term.
 func (m *Manager) startHandover(shard int, until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/state/shards/manager.go
+++ b/internal/state/shards/manager.go
@@ -100,6 +100,7 @@
 
 func (l ctxLock) unlock() { <-l }
 
+// holding is the state of a shard that this VM holds or is handing over.
 type holding struct {
 	shard        *term.Shard
 	revision     uint64    // of the stored value that names this VM
@@ -119,13 +120,13 @@
 }
 
 // New returns a Manager whose leases last ttl.
-func New(vm ident.VM, ttl time.Duration, s Store, f Fleet, h HandoverClient, log *zap.Logger) *Manager {
+func New(vm ident.VM, ttl time.Duration, s Store, f Fleet, c HandoverClient, log *zap.Logger) *Manager {
 	m := &Manager{
 		vm:          vm,
 		ttl:         ttl,
 		store:       s,
 		fleet:       f,
-		client:      h,
+		client:      c,
 		log:         log,
 		held:        map[int]*holding{},
 		handingOver: map[int]*holding{},
@@ -186,8 +187,8 @@
 	m.handOverPending(ctx)
 }
 
-// renew renews the lease once a third of its duration has passed. All shards are lost
-// with a lease that has expired.
+// renew renews the lease once a third of its duration has passed. If the lease has
+// expired, this VM drops all shards.
 func (m *Manager) renew(ctx context.Context) error {
 	m.mu.Lock()
 	lease, leaseEnd := m.lease, m.leaseEnd
@@ -254,8 +255,8 @@
 // isReleasing reports whether the store may still name this VM as the holder of a shard
 // on which it has ended its term. The caller must hold mu.
 func (m *Manager) isReleasing(shard int) bool {
-	_, freeing := m.releasing[shard]
-	return freeing || m.handingOver[shard] != nil
+	_, ok := m.releasing[shard]
+	return ok || m.handingOver[shard] != nil
 }
 
 func (m *Manager) isHeld(shard int) bool {
@@ -272,8 +273,8 @@
 
 func shardPath(shard int) string { return fmt.Sprintf("%s%02d", shardPrefix, shard) }
 
-// Claim decides a claim on a key of a shard that this VM holds.
-func (m *Manager) Claim(shard int, key string, minted time.Time, sum [32]byte, r ident.Request) (term.Decision, *proto.Answer) {
+// Claim decides whether a request may run for a key of a shard that this VM holds.
+func (m *Manager) Claim(shard int, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -281,17 +282,17 @@
 	if h == nil || !m.leaseEnd.valid(now) {
 		return term.NotHolder, nil
 	}
-	return h.shard.Claim(key, minted, sum, r, now)
+	return h.shard.Claim(key, created, fingerprint, r, now)
 }
 
 // Finish records the end of a request whose key is in a shard that this VM holds or
 // is handing over.
-func (m *Manager) Finish(shard int, key string, r ident.Request, ran bool, answer *proto.Answer) {
+func (m *Manager) Finish(shard int, key string, r ident.Request, ran bool, response *proto.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, h := range []*holding{m.held[shard], m.handingOver[shard]} {
 		if h != nil {
-			h.shard.Finish(key, r, ran, answer)
+			h.shard.Finish(key, r, ran, response)
 		}
 	}
 }
--- a/internal/state/shards/manager_test.go
+++ b/internal/state/shards/manager_test.go
@@ -32,70 +32,70 @@
 
 const noFault = store.ErrorKind(255)
 
-func (m *fakeStore) faultOf(call string) error {
-	if f := m.fail(call); f != noFault {
+func (s *fakeStore) faultOf(call string) error {
+	if f := s.fail(call); f != noFault {
 		return &store.Error{Kind: f, Err: errors.New(call)}
 	}
 	return nil
 }
 
-func (m *fakeStore) delay(call string) {
-	if m.onCall != nil {
-		m.onCall(call)
+func (s *fakeStore) delay(call string) {
+	if s.onCall != nil {
+		s.onCall(call)
 	}
 }
 
-func (m *fakeStore) Get(_ context.Context, path string) (store.Item, error) {
-	m.delay("get")
-	it, ok := m.table.Get(path, time.Now())
+func (s *fakeStore) Get(_ context.Context, path string) (store.Item, error) {
+	s.delay("get")
+	it, ok := s.table.Get(path, time.Now())
 	if !ok {
 		return store.Item{}, &store.Error{Kind: store.NotFound, Err: errors.New(path)}
 	}
-	return store.Item{Path: path, Revision: it.Revision, Value: it.Value}, m.faultOf("get")
+	return store.Item{Path: path, Revision: it.Revision, Value: it.Value}, s.faultOf("get")
 }
 
-func (m *fakeStore) Put(_ context.Context, path string, value []byte, want, lease uint64) (uint64, error) {
-	fault := m.fail("put")
+func (s *fakeStore) Put(_ context.Context, path string, value []byte, want, lease uint64) (uint64, error) {
+	fault := s.fail("put")
 	if fault == store.Unavailable || fault == store.BudgetExhausted {
 		return 0, &store.Error{Kind: fault, Err: errors.New("put")}
 	}
-	rev, ok := m.table.Put(path, value, want, lease, time.Now())
+	rev, ok := s.table.Put(path, value, want, lease, time.Now())
 	if !ok {
 		return 0, &store.Error{Kind: store.Conflict, Err: errors.New(path)}
 	}
-	m.delay("put")
+	s.delay("put")
 	if fault != noFault {
 		return 0, &store.Error{Kind: fault, Err: errors.New("put")}
 	}
 	return rev, nil
 }
 
-func (m *fakeStore) Delete(_ context.Context, path string, want uint64) error {
-	if err := m.faultOf("delete"); err != nil {
+func (s *fakeStore) Delete(_ context.Context, path string, want uint64) error {
+	if err := s.faultOf("delete"); err != nil {
 		return err
 	}
-	if !m.table.Delete(path, want, time.Now()) {
+	if !s.table.Delete(path, want, time.Now()) {
 		return &store.Error{Kind: store.Conflict, Err: errors.New(path)}
 	}
 	return nil
 }
 
-func (m *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
-	return store.Lease{ID: m.table.Grant(ttl, time.Now()), StoreTime: time.Now()}, m.faultOf("grant")
+func (s *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
+	return store.Lease{ID: s.table.Grant(ttl, time.Now()), StoreTime: time.Now()}, s.faultOf("grant")
 }
 
-func (m *fakeStore) Renew(_ context.Context, id uint64) (store.Lease, error) {
-	if err := m.faultOf("renew"); err != nil {
+func (s *fakeStore) Renew(_ context.Context, id uint64) (store.Lease, error) {
+	if err := s.faultOf("renew"); err != nil {
 		return store.Lease{}, err
 	}
-	if !m.table.Renew(id, time.Now()) {
-		return store.Lease{}, &store.Error{Kind: store.NotFound, Err: errors.New("lapsed")}
+	if !s.table.Renew(id, time.Now()) {
+		return store.Lease{}, &store.Error{Kind: store.NotFound, Err: errors.New("lease expired")}
 	}
 	return store.Lease{ID: id, StoreTime: time.Now()}, nil
 }
 
-func (m *fakeStore) Revoke(_ context.Context, id uint64) error {
-	m.table.Revoke(id, time.Now())
+func (s *fakeStore) Revoke(_ context.Context, id uint64) error {
+	s.table.Revoke(id, time.Now())
 	return nil
 }
 
@@ -110,23 +110,23 @@
 
 func (c *cluster) Handover(ctx context.Context, to member.Member, shard int, rev uint64, start time.Time, claims []*proto.Claim) (bool, error) {
 	if c.handoversFail {
-		return false, errors.New("no answer")
+		return false, errors.New("no reply")
 	}
 	return c.managers[to.Name].Accept(ctx, shard, rev, start, claims)
 }
 
-func newCluster(m *fakeStore, n int) *cluster {
+func newCluster(s *fakeStore, n int) *cluster {
 	c := &cluster{managers: map[ident.VM]*Manager{}}
 	for i := range n {
-		c.add(m, i)
+		c.add(s, i)
 	}
 	return c
 }
 
-func (c *cluster) add(m *fakeStore, i int) *Manager {
+func (c *cluster) add(s *fakeStore, i int) *Manager {
 	name := ident.VM(fmt.Sprintf("vm-%d", i))
 	c.live = append(c.live, member.Member{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:1")})
-	c.managers[name] = New(name, 10*time.Second, m, c, c, zap.NewNop())
+	c.managers[name] = New(name, 10*time.Second, s, c, c, zap.NewNop())
 	return c.managers[name]
 }
 
@@ -139,12 +139,12 @@
 	}
 }
 
-// assertAllHeld fails the test unless the managers hold as many shards as there are.
+// assertAllHeld fails the test unless the managers together hold Count shards.
 func (c *cluster) assertAllHeld(t *testing.T) {
 	t.Helper()
 	total := 0
-	for _, k := range c.managers {
-		n, _ := k.Held()
+	for _, m := range c.managers {
+		n, _ := m.Held()
 		total += n
 	}
 	assert.Equal(t, total, Count)
@@ -152,11 +152,11 @@
 
 // assertStoreNamesHolders fails the test unless the store names each holder at the
 // revision that the holder knows.
-func (c *cluster) assertStoreNamesHolders(t *testing.T, m *fakeStore) {
+func (c *cluster) assertStoreNamesHolders(t *testing.T, s *fakeStore) {
 	t.Helper()
-	for _, k := range c.managers {
-		for shard, h := range k.held {
-			it, ok := m.table.Get(shardPath(shard), time.Now())
+	for _, m := range c.managers {
+		for shard, h := range m.held {
+			it, ok := s.table.Get(shardPath(shard), time.Now())
 			assert.Assert(t, ok && it.Revision == h.revision, "shard %d: %v", shard, it)
 		}
 	}
@@ -188,24 +188,24 @@
 	})
 	t.Run("hand over shards with their claims to a VM that joins", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 1)
+			st := newFakeStore()
+			c := newCluster(st, 1)
 			c.runRounds(4)
 			old := c.managers["vm-0"]
-			minted := time.Now()
+			created := time.Now()
 			for s := range Count {
-				v, _ := old.Claim(s, "k", minted, [32]byte{}, "r1")
+				v, _ := old.Claim(s, "k", created, [32]byte{}, "r1")
 				assert.Equal(t, v, term.Granted)
 			}
-			joined := c.add(m, 1)
+			joined := c.add(st, 1)
 			joined.round(context.Background())
 			c.runRounds(3)
 			c.assertAllHeld(t)
 			n, claims := joined.Held()
 			assert.Assert(t, n > Count/4 && claims == n, "%d shards, %d claims", n, claims)
 			for s := range Count {
-				for _, k := range c.managers {
-					if v, _ := k.Claim(s, "k", minted, [32]byte{}, "r2"); v != term.NotHolder {
+				for _, m := range c.managers {
+					if v, _ := m.Claim(s, "k", created, [32]byte{}, "r2"); v != term.NotHolder {
 						assert.Equal(t, v, term.InProgress)
 					}
 				}
@@ -214,39 +214,39 @@
 	})
 	t.Run("release a shard whose handover failed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 1)
+			st := newFakeStore()
+			c := newCluster(st, 1)
 			c.runRounds(4)
-			c.add(m, 1)
+			c.add(st, 1)
 			c.handoversFail = true
-			m.fail = failOnly("delete", store.Unavailable)
+			st.fail = failOnly("delete", store.Unavailable)
 			c.runRounds(3)
-			m.fail = noFaults
+			st.fail = noFaults
 			c.runRounds(12) // the handover is retried until handoverTimeout
 			c.assertAllHeld(t)
 		})
 	})
 	t.Run("do not acquire a shard that is yet to be released", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 1)
+			st := newFakeStore()
+			c := newCluster(st, 1)
 			c.runRounds(4)
-			c.add(m, 1)
+			c.add(st, 1)
 			c.handoversFail = true
-			m.fail = failOnly("delete", store.Unavailable)
+			st.fail = failOnly("delete", store.Unavailable)
 			c.runRounds(9) // shards are to be released, and remain in the store
 			c.live = c.live[:1]
 			c.runRounds(6)
-			m.fail = noFaults
+			st.fail = noFaults
 			c.runRounds(8)
-			c.assertStoreNamesHolders(t, m)
+			c.assertStoreNamesHolders(t, st)
 		})
 	})
 	t.Run("hold a shard whose acquisition lost its reply", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			m.fail = failOnly("put", store.OutcomeUnknown)
-			c := newCluster(m, 2)
+			st := newFakeStore()
+			st.fail = failOnly("put", store.OutcomeUnknown)
+			c := newCluster(st, 2)
 			c.runRounds(8)
 			c.assertAllHeld(t)
 		})
@@ -254,17 +254,17 @@
 	t.Run("release a partly acquired shard whose assigned owner has changed", func(t *testing.T) {
 		for call, lost := range map[string]store.ErrorKind{"renew": store.BudgetExhausted, "put": store.OutcomeUnknown} {
 			synctest.Test(t, func(t *testing.T) {
-				m := newFakeStore()
-				c := newCluster(m, 1)
-				m.fail = func(c string) store.ErrorKind {
+				st := newFakeStore()
+				c := newCluster(st, 1)
+				st.fail = func(c string) store.ErrorKind {
 					if c == call || c == "get" {
 						return lost
 					}
 					return noFault
 				}
 				c.runRounds(1) // the only VM tries to acquire every shard
-				m.fail = noFaults
-				c.add(m, 1)
+				st.fail = noFaults
+				c.add(st, 1)
 				c.runRounds(12)
 				c.assertAllHeld(t)
 			})
@@ -272,45 +272,45 @@
 	})
 	t.Run("reject claims once the lease may have expired", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 1)
+			st := newFakeStore()
+			c := newCluster(st, 1)
 			c.runRounds(4)
-			k := c.managers["vm-0"]
-			m.fail = func(string) store.ErrorKind { return store.Unavailable }
+			m := c.managers["vm-0"]
+			st.fail = func(string) store.ErrorKind { return store.Unavailable }
 			time.Sleep(7 * time.Second)
-			v, _ := k.Claim(0, "before", time.Now(), [32]byte{}, "r")
+			v, _ := m.Claim(0, "before", time.Now(), [32]byte{}, "r")
 			assert.Equal(t, v, term.Granted, "an outage shorter than the lease has no effect")
 			time.Sleep(4 * time.Second)
-			v, _ = k.Claim(0, "after", time.Now(), [32]byte{}, "r")
+			v, _ = m.Claim(0, "after", time.Now(), [32]byte{}, "r")
 			assert.Equal(t, v, term.NotHolder)
-			m.fail = noFaults
+			st.fail = noFaults
 			c.runRounds(8)
 			c.assertAllHeld(t)
-			v, _ = k.Claim(0, "before", time.Now(), [32]byte{}, "r2")
-			assert.Equal(t, v, term.Granted, "the key was minted in the new term")
+			v, _ = m.Claim(0, "before", time.Now(), [32]byte{}, "r2")
+			assert.Equal(t, v, term.Granted, "the key was created in the new term")
 		})
 	})
-	t.Run("a VM that leaves hands over all shards", func(t *testing.T) {
+	t.Run("a VM that shuts down hands over all shards", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(newFakeStore(), 3)
 			c.runRounds(4)
-			leaving := c.managers["vm-1"]
+			stopping := c.managers["vm-1"]
 			c.live = append(c.live[:1:1], c.live[2:]...)
-			leaving.HandOverAll(context.Background())
-			n, _ := leaving.Held()
+			stopping.HandOverAll(context.Background())
+			n, _ := stopping.Held()
 			assert.Equal(t, n, 0)
 			c.assertAllHeld(t)
 		})
 	})
-	t.Run("a VM that leaves waits for the next holder's store budget", func(t *testing.T) {
+	t.Run("a VM that shuts down waits for the next holder's store budget", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 2)
+			st := newFakeStore()
+			c := newCluster(st, 2)
 			c.runRounds(4)
-			leaving := c.managers["vm-1"]
-			_, minted := leaving.claimAll()
+			stopping := c.managers["vm-1"]
+			_, created := stopping.claimAll()
 			used := 0
-			m.fail = func(call string) store.ErrorKind {
+			st.fail = func(call string) store.ErrorKind {
 				if call != "put" {
 					return noFault
 				}
@@ -320,26 +320,26 @@
 				return noFault
 			}
 			c.live = c.live[:1]
-			leaving.HandOverAll(context.Background())
+			stopping.HandOverAll(context.Background())
 			for s := range Count {
-				v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again")
+				v, _ := c.managers["vm-0"].Claim(s, "k", created, [32]byte{}, "again")
 				assert.Assert(t, v == term.Granted || v == term.InProgress, "shard %d lost its claims: %d", s, v)
 			}
 		})
 	})
 	t.Run("a handover whose write lost its reply keeps the claims", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 2)
+			st := newFakeStore()
+			c := newCluster(st, 2)
 			c.runRounds(4)
-			n, minted := c.managers["vm-1"].claimAll()
-			m.fail = failOnly("put", store.OutcomeUnknown)
-			leaving := c.managers["vm-1"]
+			n, created := c.managers["vm-1"].claimAll()
+			st.fail = failOnly("put", store.OutcomeUnknown)
+			stopping := c.managers["vm-1"]
 			c.live = c.live[:1]
-			leaving.HandOverAll(context.Background())
+			stopping.HandOverAll(context.Background())
 			kept := 0
 			for s := range Count {
-				if v, _ := c.managers["vm-0"].Claim(s, "k", minted, [32]byte{}, "again"); v == term.InProgress {
+				if v, _ := c.managers["vm-0"].Claim(s, "k", created, [32]byte{}, "again"); v == term.InProgress {
 					kept++
 				}
 			}
@@ -348,18 +348,18 @@
 	})
 	t.Run("a shard that is acquired while it is handed over", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 1)
+			st := newFakeStore()
+			c := newCluster(st, 1)
 			c.runRounds(4)
 			old := c.managers["vm-0"]
-			joined := c.add(m, 1)
+			joined := c.add(st, 1)
 			assert.NilError(t, joined.renew(context.Background()))
 			shard := joined.assignedShards()[0]
 			handedOver := make(chan struct{})
-			m.onCall = func(call string) {
+			st.onCall = func(call string) {
 				switch call {
 				case "get": // the acquisition has found that the shard is held
-					m.onCall = func(call string) {
+					st.onCall = func(call string) {
 						if call == "put" {
 							time.Sleep(2 * time.Second)
 						}
@@ -374,10 +374,10 @@
 			}
 			joined.acquire(context.Background(), shard)
 			time.Sleep(3 * term.MaxClockSkew)
-			minted := time.Now()
-			before, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r1")
+			created := time.Now()
+			before, _ := joined.Claim(shard, "k", created, [32]byte{}, "r1")
 			<-handedOver
-			after, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r2")
+			after, _ := joined.Claim(shard, "k", created, [32]byte{}, "r2")
 			assert.Assert(t, before != term.Granted || after != term.Granted, "the key was allowed to run twice")
 			v, _ := joined.Claim(shard, "new", time.Now(), [32]byte{}, "r3")
 			assert.Equal(t, v, term.Granted, "the shard must be handed over in the end")
@@ -386,20 +386,20 @@
 	t.Run("a shard that is offered again after its next handover started", func(t *testing.T) {
 		for _, step := range []string{"handing over", "releasing"} {
 			synctest.Test(t, func(t *testing.T) {
-				m := newFakeStore()
-				c := newCluster(m, 1)
+				st := newFakeStore()
+				c := newCluster(st, 1)
 				c.runRounds(4)
-				joined := c.add(m, 1)
+				joined := c.add(st, 1)
 				assert.NilError(t, joined.renew(context.Background()))
 				shard := joined.assignedShards()[0]
 				revision := c.managers["vm-0"].held[shard].revision
 				offer := func() bool {
-					taken, err := joined.Accept(context.Background(), shard, revision, time.Now().Add(-time.Hour), nil)
-					return taken && err == nil
+					accepted, err := joined.Accept(context.Background(), shard, revision, time.Now().Add(-time.Hour), nil)
+					return accepted && err == nil
 				}
 				assert.Assert(t, offer())
-				minted := time.Now()
-				v, _ := joined.Claim(shard, "k", minted, [32]byte{}, "r1")
+				created := time.Now()
+				v, _ := joined.Claim(shard, "k", created, [32]byte{}, "r1")
 				assert.Equal(t, v, term.Granted)
 				assert.Assert(t, offer(), "an offer whose reply was lost is retried")
 				joined.startHandover(shard, time.Now())
@@ -407,21 +407,21 @@
 					joined.finishHandover(shard, joined.handingOver[shard], false)
 				}
 				assert.Assert(t, !offer(), "the shard is already being handed over to another VM")
-				v, _ = joined.Claim(shard, "k", minted, [32]byte{}, "r2")
+				v, _ = joined.Claim(shard, "k", created, [32]byte{}, "r2")
 				assert.Equal(t, v, term.NotHolder)
 			})
 		}
 	})
 	t.Run("a shard that is released while it is handed over", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			m := newFakeStore()
-			c := newCluster(m, 1)
+			st := newFakeStore()
+			c := newCluster(st, 1)
 			c.runRounds(4)
-			joined := c.add(m, 1)
+			joined := c.add(st, 1)
 			assert.NilError(t, joined.renew(context.Background()))
 			shard := joined.assignedShards()[0]
 			joined.uncertain[shard] = true
-			m.onCall = func(call string) {
+			st.onCall = func(call string) {
 				if call == "put" {
 					time.Sleep(2 * time.Second)
 				}
@@ -443,15 +443,15 @@
 }
 
 // claimAll claims one key in each shard that m holds, and returns the number of
-// successful claims and the time at which the keys were minted.
-func (m *Manager) claimAll() (n int, minted time.Time) {
-	minted = time.Now()
+// successful claims and the time at which the keys were created.
+func (m *Manager) claimAll() (n int, created time.Time) {
+	created = time.Now()
 	for s := range Count {
-		if v, _ := m.Claim(s, "k", minted, [32]byte{}, "first"); v == term.Granted {
+		if v, _ := m.Claim(s, "k", created, [32]byte{}, "first"); v == term.Granted {
 			n++
 		}
 	}
-	return n, minted
+	return n, created
 }
 
 // assignedShards returns the shards whose assigned owner is this VM.
