--- a/internal/state/srvtab/doc.go
+++ b/internal/state/srvtab/doc.go
@@ -1,5 +1,5 @@
 // Package srvtab tracks the backend servers: which accept new work, which are
-// leaving, and which are gone.
+// draining, and which are gone.
 //
 // An entry that expires while the store is unreachable does not mean that its
 // server is gone, because the server could not renew it. Such a server stays
--- a/internal/state/srvtab/drain.go
+++ b/internal/state/srvtab/drain.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// drainRetention is how long the drain of a server start is remembered, and
+	// drainRetention is how long the drain of a server is remembered, and
 	// drainAnnounceTime is the longest time for which it is announced while no entry
-	// confirms it. A store outage may last for minutes; a draining start ends before that.
+	// confirms it. A store outage may last for minutes; a draining server ends sooner.
 	drainRetention    = 10 * time.Minute
 	drainAnnounceTime = time.Minute
 	// maxAnnounced bounds the number of drains in one message.
 	maxAnnounced = 100
 )
 
-// drain records that a start of a server is draining.
+// drain records that a server is draining.
 type drain struct {
 	at        time.Time
 	confirmed bool // the entry in the store says so or is gone, so other VMs learn it from the store
 	announce  bool
 }
 
-// recordDrain returns the drain of a server start, and records one that begins now if
-// there is none. It also removes drains older than drainRetention.
+// recordDrain returns the drain of a server, and records one that begins now if there is
+// none. It also removes drains older than drainRetention.
 func (t *Table) recordDrain(id ident.Server, now time.Time) *drain {
 	d := t.drains[id]
 	if d == nil {
--- a/internal/state/srvtab/table.go
+++ b/internal/state/srvtab/table.go
@@ -24,8 +24,9 @@
 	Leaving bool
 }
 
-// Server is one start of a backend server. It is immutable; a changed entry
-// creates a new Server that shares the channel.
+// Server is one start of a backend server; a restarted server has a new ID under the
+// same name. A Server is immutable; a changed entry creates a new Server that shares
+// the channel.
 type Server struct {
 	Entry
 	retired chan struct{}
@@ -50,10 +51,10 @@
 	services map[ident.Service][]*Server
 }
 
-// Service returns the servers of a service that accept new work.
+// ServersOf returns the servers of a service that accept new work.
 func (v *View) Service(name ident.Service) []*Server { return v.services[name] }
 
-// Server returns a known server, which may be leaving, or nil.
+// Server returns a known server, which may be draining, or nil.
 func (v *View) Server(id ident.Server) *Server { return v.servers[id] }
 
 // All returns the entries of all known servers.
@@ -80,8 +81,8 @@
 	servers map[ident.Server]*Server
 	latest  map[string]ident.Server    // the latest start under each name
 	expired map[ident.Server]time.Time // entries that expired in a store outage, and when they count as gone
-	retired map[ident.Server]time.Time // servers that this VM has seen leave, and when
-	drains  map[ident.Server]*drain    // starts known to drain, even if their entries do not say so
+	retired map[ident.Server]time.Time // servers that this VM has seen retire, and when
+	drains  map[ident.Server]*drain    // servers known to drain, even if their entries do not say so
 	view    atomic.Pointer[View]
 }
 
@@ -124,8 +125,8 @@
 	if e.Leaving {
 		t.recordDrain(e.ID, time.Now()).confirmed = true
 	}
-	// A draining start never returns to service, so an entry that shows it as ready
-	// is outdated.
+	// A draining server returns to service only by a restart, under a new ID, so an
+	// entry that shows it as ready is outdated.
 	e.Leaving = t.drains[e.ID] != nil
 	old := t.servers[e.ID]
 	if old != nil && old.Entry == e {
@@ -181,29 +182,29 @@
 
 // ApplyRetired drops servers that another VM reports as retired, and returns those that
 // were in use here. If forward is set, they are announced to other VMs as if this VM had
-// seen them leave.
+// seen them retire.
 func (t *Table) ApplyRetired(ids []ident.Server, forward bool) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var left []ident.Server
+	var dropped []ident.Server
 	for _, id := range ids {
 		s := t.servers[id]
 		if s == nil || s.Leaving {
 			continue
 		}
 		t.drop(id)
-		left = append(left, id)
+		dropped = append(dropped, id)
 		if forward {
 			t.announce(id)
 		}
 	}
-	if left != nil {
+	if dropped != nil {
 		t.publish()
 	}
-	return left
+	return dropped
 }
 
-// MarkReplaced drops a server at whose address another server answers. It reports
+// MarkReplaced drops a server at whose address another server responds. It reports
 // whether the server was in use here.
 func (t *Table) MarkReplaced(id ident.Server) bool {
 	t.mu.Lock()
@@ -218,7 +219,7 @@
 }
 
 // RetiredToAnnounce returns the servers that this VM announces as retired: those that it
-// has recently seen leave or, as a hub, learned of from other VMs.
+// has recently seen retire or, as a hub, learned of from other VMs.
 func (t *Table) RetiredToAnnounce(now time.Time) []ident.Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -233,7 +234,7 @@
 	return out
 }
 
-// dropAndAnnounce drops a server that this VM has seen leave.
+// dropAndAnnounce drops a server that this VM has seen retire.
 func (t *Table) dropAndAnnounce(id ident.Server) {
 	t.drop(id)
 	t.announce(id)
--- a/internal/state/srvtab/table_test.go
+++ b/internal/state/srvtab/table_test.go
@@ -46,7 +46,7 @@
 	t.Run("an unchanged entry is not reported as a change", func(t *testing.T) {
 		assert.Assert(t, !newTable().Put(server("a")))
 	})
-	t.Run("a leaving server accepts no new work and does not return", func(t *testing.T) {
+	t.Run("a draining server accepts no new work and does not return", func(t *testing.T) {
 		tab := newTable()
 		s := tab.View().Server("a")
 		e := server("a")
@@ -136,7 +136,7 @@
 		tab.Replace([]Entry{first}, time.Time{}, now)
 		assertUsable(t, tab, string(second.ID))
 	})
-	t.Run("a server that was leaving starts again", func(t *testing.T) {
+	t.Run("a server that was draining starts again", func(t *testing.T) {
 		tab, _ := newTable()
 		e := first
 		e.Leaving = true
@@ -192,7 +192,7 @@
 		table.Put(ready("a"))
 		assertInUse(t, table, 1)
 	})
-	t.Run("an outdated entry does not override one that marked it as leaving", func(t *testing.T) {
+	t.Run("an outdated entry does not override one that marked it as draining", func(t *testing.T) {
 		table := newTable()
 		table.Put(Entry{ID: "a", Service: "s", Leaving: true})
 		table.Remove("a", time.Time{}, now)
--- a/internal/state/syncer/follower_test.go
+++ b/internal/state/syncer/follower_test.go
@@ -27,7 +27,7 @@
 	"umberladder/internal/test/check"
 )
 
-var errNoReply = errors.New("no answer")
+var errNoReply = errors.New("no reply")
 
 // cluster is a group of VMs whose followers share a store, in virtual time, over a
 // network that drops, repeats and delays packets.
@@ -69,17 +69,17 @@
 		})
 	}
 	for i, m := range list {
-		d := &vm{cluster: c, self: m, invars: &invar.Checker{}, inbox: make(chan member.Packet, 10_000)}
-		d.current = NewCurrent(d.invars)
-		d.follower = NewFollower(d.current, d, d, &c.group, zap.NewNop(), rand.New(rand.NewPCG(seed, uint64(i+1))))
+		v := &vm{cluster: c, self: m, invars: &invar.Checker{}, inbox: make(chan member.Packet, 10_000)}
+		v.current = NewCurrent(v.invars)
+		v.follower = NewFollower(v.current, v, v, &c.group, zap.NewNop(), rand.New(rand.NewPCG(seed, uint64(i+1))))
 		t := member.New(member.DefaultConfig(), m, rand.New(rand.NewPCG(seed, uint64(100+i))))
 		t.MergeList(list, time.Now())
-		d.fleet = fleet.New(t, d, staticList(list), d.follower.SettingsVersion, d.follower.HandlePeerVersion)
-		d.follower.SetFleet(d.fleet)
-		c.vms = append(c.vms, d)
+		v.fleet = fleet.New(t, v, staticList(list), v.follower.SettingsVersion, v.follower.HandlePeerVersion)
+		v.follower.SetFleet(v.fleet)
+		c.vms = append(c.vms, v)
 	}
-	for _, d := range c.vms {
-		for _, run := range []func(context.Context) error{d.fleet.Run, d.fleet.Receive, d.follower.Run} {
+	for _, v := range c.vms {
+		for _, run := range []func(context.Context) error{v.fleet.Run, v.fleet.Receive, v.follower.Run} {
 			c.group.Go(func() error { return run(ctx) })
 		}
 	}
@@ -114,8 +114,8 @@
 func (c *cluster) clearFaults() {
 	c.locked(func() {
 		c.loss, c.down, c.delayTime = 0, false, 0
-		for _, d := range c.vms {
-			d.paused = false
+		for _, v := range c.vms {
+			v.paused = false
 		}
 	})
 }
@@ -128,11 +128,11 @@
 }
 
 // waitWhilePaused waits until VM d is not paused.
-func (d *vm) waitWhilePaused() {
+func (v *vm) waitWhilePaused() {
 	for {
-		d.cluster.mu.Lock()
-		paused := d.paused
-		d.cluster.mu.Unlock()
+		v.cluster.mu.Lock()
+		paused := v.paused
+		v.cluster.mu.Unlock()
 		if !paused {
 			return
 		}
@@ -141,13 +141,13 @@
 }
 
 // Send implements fleet.Transport.
-func (d *vm) Send(to netip.AddrPort, p *member.Packet) error {
-	for _, other := range d.cluster.vms {
+func (v *vm) Send(to netip.AddrPort, p *member.Packet) error {
+	for _, other := range v.cluster.vms {
 		if other.self.Address != to {
 			continue
 		}
 		for range 2 { // some packets arrive twice
-			wait, arrives := d.cluster.delay()
+			wait, arrives := v.cluster.delay()
 			if !arrives {
 				break
 			}
@@ -162,24 +162,24 @@
 }
 
 // Run implements fleet.Transport.
-func (d *vm) Run(ctx context.Context, take func(member.Packet)) error {
+func (v *vm) Run(ctx context.Context, handle func(member.Packet)) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case p := <-d.inbox:
-			d.waitWhilePaused()
-			take(p)
+		case p := <-v.inbox:
+			v.waitWhilePaused()
+			handle(p)
 		}
 	}
 }
 
 // accessStore delays as the store does, and fails if the store is unavailable.
-func (d *vm) accessStore() error {
-	d.waitWhilePaused()
-	d.cluster.mu.Lock()
-	down, slow := d.cluster.down, d.cluster.delayTime
-	d.cluster.mu.Unlock()
+func (v *vm) accessStore() error {
+	v.waitWhilePaused()
+	v.cluster.mu.Lock()
+	down, slow := v.cluster.down, v.cluster.delayTime
+	v.cluster.mu.Unlock()
 	time.Sleep(slow)
 	if down {
 		return &store.Error{Kind: store.Unavailable, Err: errors.New("down")}
@@ -188,27 +188,27 @@
 }
 
 // List implements Reader.
-func (d *vm) List(_ context.Context, prefix string, after uint64) ([]store.Item, uint64, error) {
-	if err := d.accessStore(); err != nil {
+func (v *vm) List(_ context.Context, prefix string, after uint64) ([]store.Item, uint64, error) {
+	if err := v.accessStore(); err != nil {
 		return nil, 0, err
 	}
-	items, rev := d.cluster.table.List(prefix, after, time.Now())
-	return d.items(items), rev, nil
+	items, rev := v.cluster.table.List(prefix, after, time.Now())
+	return v.items(items), rev, nil
 }
 
 // Watch implements Reader.
-func (d *vm) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]store.Item, uint64, error) {
-	if err := d.accessStore(); err != nil {
+func (v *vm) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]store.Item, uint64, error) {
+	if err := v.accessStore(); err != nil {
 		return nil, 0, err
 	}
-	items, rev := d.cluster.table.Watch(prefix, after, wait, ctx.Done())
-	if err := d.accessStore(); err != nil {
+	items, rev := v.cluster.table.Watch(prefix, after, wait, ctx.Done())
+	if err := v.accessStore(); err != nil {
 		return nil, 0, err // the reply is lost
 	}
-	return d.items(items), rev, nil
+	return v.items(items), rev, nil
 }
 
-func (d *vm) items(list []table.Item) []store.Item {
+func (v *vm) items(list []table.Item) []store.Item {
 	out := make([]store.Item, 0, len(list))
 	for _, it := range list {
 		out = append(out, store.Item{Path: it.Path, Revision: it.Revision, Value: it.Value})
@@ -217,14 +217,14 @@
 }
 
 // Pull implements Puller.
-func (d *vm) Pull(_ context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
-	d.cluster.locked(func() { d.cluster.pulls++ })
-	wait, arrives := d.cluster.delay()
+func (v *vm) Pull(_ context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
+	v.cluster.locked(func() { v.cluster.pulls++ })
+	wait, arrives := v.cluster.delay()
 	time.Sleep(wait)
 	if !arrives {
 		return nil, 0, errNoReply
 	}
-	for _, other := range d.cluster.vms {
+	for _, other := range v.cluster.vms {
 		if other.self.Name == from.Name {
 			other.waitWhilePaused()
 			docs, upTo := other.follower.DocumentsAfter(after)
@@ -256,20 +256,20 @@
 
 // writeThrough writes document n of a workspace through a VM, which applies it
 // immediately.
-func (c *cluster) writeThrough(t *testing.T, d *vm, name, n int) uint64 {
+func (c *cluster) writeThrough(t *testing.T, v *vm, name, n int) uint64 {
 	rev := c.workspace(t, name, n)
 	it, _ := c.table.Get(fmt.Sprintf("%s/workspaces/w%d", Prefix, name), time.Now())
 	doc, err := Decode(store.Item{Path: it.Path, Revision: it.Revision, Value: it.Value})
 	assert.NilError(t, err)
-	d.follower.ApplyWritten(doc)
+	v.follower.ApplyWritten(doc)
 	return rev
 }
 
 // behind returns the first VM that is not at the revision.
 func (c *cluster) behind(rev uint64) string {
-	for _, d := range c.vms {
-		if got := d.follower.Revision(); got != rev {
-			return fmt.Sprintf("%s is at %d in place of %d", d.self.Name, got, rev)
+	for _, v := range c.vms {
+		if got := v.follower.Revision(); got != rev {
+			return fmt.Sprintf("%s is at %d instead of %d", v.self.Name, got, rev)
 		}
 	}
 	return ""
@@ -278,12 +278,12 @@
 // assertComplete fails the test unless each VM has every document up to its revision.
 func (c *cluster) assertComplete(t *testing.T) {
 	items, _ := c.table.List(Prefix, 0, time.Now())
-	for _, d := range c.vms {
-		check.Invariants(t, d.invars)
-		snap := d.current.Load()
+	for _, v := range c.vms {
+		check.Invariants(t, v.invars)
+		snap := v.current.Load()
 		for _, it := range items {
 			if it.Revision <= snap.Revision {
-				assert.Equal(t, snap.Documents[strings.TrimPrefix(it.Path, Prefix)].Version, it.Revision, "%s on %s", it.Path, d.self.Name)
+				assert.Equal(t, snap.Documents[strings.TrimPrefix(it.Path, Prefix)].Version, it.Revision, "%s on %s", it.Path, v.self.Name)
 			}
 		}
 	}
@@ -303,13 +303,13 @@
 			defer c.stop(t, cancel)
 			last := c.write(t, config.SystemPath, systemBody)
 			for n := range rapid.IntRange(1, 20).Draw(rt, "steps") {
-				d := c.vms[rapid.IntRange(0, 4).Draw(rt, "vm")]
+				v := c.vms[rapid.IntRange(0, 4).Draw(rt, "vm")]
 				on := rapid.Bool().Draw(rt, "on")
 				switch rapid.SampledFrom([]string{"write", "through", "through", "loss", "down", "slow", "pause"}).Draw(rt, "what") {
 				case "write":
 					last = c.workspace(t, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
 				case "through":
-					last = c.writeThrough(t, d, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
+					last = c.writeThrough(t, v, rapid.IntRange(0, 2).Draw(rt, "workspace"), n)
 				case "loss":
 					c.locked(func() { c.loss = map[bool]float64{true: 0.4}[on] })
 				case "down":
@@ -317,7 +317,7 @@
 				case "slow":
 					c.locked(func() { c.delayTime = map[bool]time.Duration{true: 700 * time.Millisecond}[on] })
 				case "pause":
-					c.locked(func() { d.paused = on })
+					c.locked(func() { v.paused = on })
 				}
 				time.Sleep(time.Duration(rapid.IntRange(0, 2000).Draw(rt, "ms")) * time.Millisecond)
 				c.assertComplete(t)
@@ -347,10 +347,10 @@
 		c.writeThrough(t, c.vms[4], 1, 1)
 		last := c.writeThrough(t, c.vms[4], 0, 2)
 		time.Sleep(3 * time.Second)
-		for _, d := range c.vms {
-			docs := d.current.Load().Documents
-			assert.Equal(t, docs["/workspaces/w0"].Version, last, d.self.Name)
-			assert.Equal(t, docs["/workspaces/w1"].Version, last-1, d.self.Name)
+		for _, v := range c.vms {
+			docs := v.current.Load().Documents
+			assert.Equal(t, docs["/workspaces/w0"].Version, last, v.self.Name)
+			assert.Equal(t, docs["/workspaces/w1"].Version, last-1, v.self.Name)
 		}
 		pulls := c.pullCount()
 		time.Sleep(3 * time.Second)
--- a/internal/state/term/shard_test.go
+++ b/internal/state/term/shard_test.go
@@ -34,13 +34,13 @@
 	created map[string]time.Time
 }
 
-func (m *model) clock(h *vm) time.Time { return m.now.Add(h.skew) }
+func (m *model) clock(v *vm) time.Time { return m.now.Add(v.skew) }
 
 // leaseHolder returns the VM whose lease is valid by the store's clock, or nil.
 func (m *model) leaseHolder() *vm {
-	for _, h := range m.vms {
-		if h.shard != nil && m.now.Before(h.leaseEnd) {
-			return h
+	for _, v := range m.vms {
+		if v.shard != nil && m.now.Before(v.leaseEnd) {
+			return v
 		}
 	}
 	return nil
@@ -68,28 +68,28 @@
 				if m.leaseHolder() != nil {
 					t.Skip()
 				}
-				h := pick(t)
+				v := pick(t)
 				// The store's clock is the true one.
-				h.shard, h.leaseEnd = New(m.now), m.now.Add(ttl)
+				v.shard, v.leaseEnd = New(m.now), m.now.Add(ttl)
 			},
 			"renew": func(t *rapid.T) {
-				if h := m.leaseHolder(); h != nil {
-					h.leaseEnd = m.now.Add(ttl)
+				if v := m.leaseHolder(); v != nil {
+					v.leaseEnd = m.now.Add(ttl)
 				}
 			},
 			"hand": func(t *rapid.T) {
-				h, to := m.leaseHolder(), pick(t)
-				if h == nil || to == h || len(h.pending) > 0 {
+				v, to := m.leaseHolder(), pick(t)
+				if v == nil || to == v || len(v.pending) > 0 {
 					t.Skip()
 				}
-				start, claims := h.shard.Export()
+				start, claims := v.shard.Export()
 				to.shard, to.leaseEnd = Import(start, claims), m.now.Add(ttl)
-				h.shard = nil
+				v.shard = nil
 			},
 			"call": func(t *rapid.T) {
-				h := m.leaseHolder()
-				if h == nil {
-					t.Skip() // no VM takes itself for the lease holder
+				v := m.leaseHolder()
+				if v == nil {
+					t.Skip() // no VM holds a valid lease
 				}
 				key := fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "key"))
 				calls++
@@ -99,24 +99,24 @@
 					ahead := rapid.SampledFrom([]int{-300, 0, 100, 240, 400, 900}).Draw(t, "caller's skew")
 					m.created[key] = m.now.Add(time.Duration(ahead) * time.Millisecond)
 				}
-				shard, clock, created := h.shard, m.clock(h), m.created[key]
+				shard, clock, created := v.shard, m.clock(v), m.created[key]
 				decide := func() {
 					if d, _ := shard.Claim(key, created, [32]byte{}, request, clock); d == Granted {
 						m.grants[key]++
 					}
 				}
 				if rapid.IntRange(0, 3).Draw(t, "frozen") == 0 {
-					h.pending = append(h.pending, decide)
+					v.pending = append(v.pending, decide)
 					return
 				}
 				decide()
 			},
 			"thaw": func(t *rapid.T) {
-				for _, h := range m.vms {
-					for _, decide := range h.pending {
+				for _, v := range m.vms {
+					for _, decide := range v.pending {
 						decide()
 					}
-					h.pending = nil
+					v.pending = nil
 				}
 			},
 			"": func(t *rapid.T) {
@@ -132,59 +132,59 @@
 	now := time.UnixMilli(1_000_000_000)
 	created := now.Add(2*MaxClockSkew + time.Millisecond)
 	clock := created
-	fresh := func() *Shard { return New(now) }
+	newShard := func() *Shard { return New(now) }
 	a, b := [32]byte{1}, [32]byte{2}
-	decide := func(s *Shard, sum [32]byte, r string) Decision {
-		d, _ := s.Claim("k", created, sum, ident.Request(r), clock)
+	decide := func(s *Shard, fingerprint [32]byte, r string) Decision {
+		d, _ := s.Claim("k", created, fingerprint, ident.Request(r), clock)
 		return d
 	}
 	t.Run("a second request waits for the first", func(t *testing.T) {
-		s := fresh()
+		s := newShard()
 		assert.Equal(t, decide(s, a, "r1"), Granted)
-		assert.Equal(t, decide(s, a, "r1"), Granted, "the same request asks again")
+		assert.Equal(t, decide(s, a, "r1"), Granted, "the same request claims the key again")
 		assert.Equal(t, decide(s, a, "r2"), InProgress)
 	})
 	t.Run("a second request gets the response of the first", func(t *testing.T) {
-		s := fresh()
+		s := newShard()
 		decide(s, a, "r1")
 		s.Finish("k", "r1", true, &proto.Answer{Body: []byte("ok")})
 		d, response := s.Claim("k", created, a, "r2", clock)
 		assert.Equal(t, d, Replay)
 		assert.Equal(t, string(response.GetBody()), "ok")
 	})
-	t.Run("without a kept response the first request may have run", func(t *testing.T) {
-		s := fresh()
+	t.Run("without a stored response the first request may have run", func(t *testing.T) {
+		s := newShard()
 		decide(s, a, "r1")
 		s.Finish("k", "r1", true, nil)
 		assert.Equal(t, decide(s, a, "r2"), MayHaveRun)
 	})
 	t.Run("a request that did not run releases the key", func(t *testing.T) {
-		s := fresh()
+		s := newShard()
 		decide(s, a, "r1")
 		s.Finish("k", "r1", false, nil)
 		assert.Equal(t, decide(s, a, "r2"), Granted)
 	})
 	t.Run("a key with another body is a mismatch", func(t *testing.T) {
-		s := fresh()
+		s := newShard()
 		decide(s, a, "r1")
 		assert.Equal(t, decide(s, b, "r2"), Mismatch)
 	})
 	t.Run("a key from before the term may have run", func(t *testing.T) {
-		d, _ := fresh().Claim("k", now, a, "r1", clock)
+		d, _ := newShard().Claim("k", now, a, "r1", clock)
 		assert.Equal(t, d, MayHaveRun)
 	})
 	t.Run("a key from the future is refused", func(t *testing.T) {
-		d, _ := fresh().Claim("k", clock.Add(2*MaxClockSkew), a, "r1", clock)
+		d, _ := newShard().Claim("k", clock.Add(2*MaxClockSkew), a, "r1", clock)
 		assert.Equal(t, d, FutureKey)
 	})
 	t.Run("a lost VM's claim does not stay running", func(t *testing.T) {
-		s := fresh()
+		s := newShard()
 		decide(s, a, "r1")
 		d, _ := s.Claim("k", created, a, "r2", clock.Add(lostAfter))
 		assert.Equal(t, d, MayHaveRun)
 	})
 	t.Run("old claims are evicted and their keys refused", func(t *testing.T) {
-		s := fresh()
+		s := newShard()
 		decide(s, a, "r1")
 		d, _ := s.Claim("k", created, a, "r2", clock.Add(Retention+time.Minute))
 		assert.Equal(t, d, MayHaveRun)
