--- a/cmd/stress/claims.go
+++ b/cmd/stress/claims.go
@@ -93,7 +93,8 @@
 	}, nil
 }
 
-// callBooking makes one at-most-once plain call.
+// callBooking makes one at-most-once plain call, without an idempotency key if key
+// is empty.
 func callBooking(ctx context.Context, vm plan.Endpoint, key string) error {
 	url := fmt.Sprintf("http://%s/v1/services/%s/do?tag=cost-%s", vm.Address, plan.Bookings, uuid.NewString())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, http.NoBody)
--- a/cmd/stress/control.go
+++ b/cmd/stress/control.go
@@ -13,8 +13,8 @@
 	"umberladder/internal/load/stats"
 )
 
-// controlWire holds the average cost of control traffic and work per VM of an idle
-// fleet.
+// controlWire holds the control-plane overhead of an idle fleet, averaged per VM, and
+// the time until all VMs have detected the death of one.
 type controlWire struct {
 	VMs           int     `json:"vms"`
 	Engines       int     `json:"engines"`
@@ -33,7 +33,7 @@
 	var d time.Duration
 	c := &cobra.Command{
 		Use:   "control",
-		Short: "Measure the cost of control per VM of an idle fleet, and how soon the death of a VM is detected",
+		Short: "Measure the control-plane overhead per VM of an idle fleet, and how soon the death of a VM is detected",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			f, err := flags.fleet()
@@ -52,7 +52,7 @@
 	return c
 }
 
-// usage holds the resource use of a VM so far.
+// usage holds the CPU time and the metrics of a VM at one point in time.
 type usage struct {
 	cpu     time.Duration
 	metrics stats.Metrics
--- a/cmd/stress/cost.go
+++ b/cmd/stress/cost.go
@@ -18,7 +18,7 @@
 	"umberladder/internal/load/stats"
 )
 
-// costWire holds the cost of relaying streams by a process.
+// costWire holds the CPU time that a process used to relay streams.
 type costWire struct {
 	Process         string  `json:"process"`
 	Tokens          int     `json:"tokens"`
--- a/internal/fake/engine/commands.go
+++ b/internal/fake/engine/commands.go
@@ -33,9 +33,9 @@
 	ctx.SetBody(list.MarshalTo(nil))
 }
 
-// handleCommand accepts a command to load or change something. With
-// Config.CheckFencing, a command is refused if its fencing number is older than
-// the newest one seen.
+// handleCommand accepts and counts a command, such as one to load a model; commands
+// have no other effect on the fake. With Config.CheckFencing, a command is refused if its
+// fencing number is older than the newest one seen.
 func (e *Engine) handleCommand(ctx *fasthttp.RequestCtx) {
 	v, err := fastjson.ParseBytes(ctx.PostBody())
 	if err != nil || v.GetUint64("fence") == 0 || len(v.GetStringBytes("kind")) == 0 {
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	cacheKeyBytes     = 64 // length of the prompt prefix that is the cache key
+	cacheKeyBytes     = 64 // length of the prompt prefix that is hashed to the cache key
 	finishedRetention = 30 * time.Second
 	idleStepTime      = 5 * time.Millisecond
 )
@@ -61,11 +61,11 @@
 
 // Counts holds the event counters of an engine.
 type Counts struct {
-	Starts     int
-	Completed  int
-	Preempted  int
-	LateStarts int // generations requested later than drainGrace after the drain began
-	Commands   int // commands accepted
+	Starts       int
+	Completed    int
+	Preempted    int
+	LateRequests int // generations requested, and refused, later than drainGrace after the drain began
+	Commands     int // commands accepted
 }
 
 // Load is a load report.
--- a/internal/fake/engine/server.go
+++ b/internal/fake/engine/server.go
@@ -87,7 +87,7 @@
 	}
 	if f := e.faults.Load(); f.Refuse || f.Draining {
 		if f.Draining {
-			e.countLateStart()
+			e.countLateRequest()
 		}
 		ctx.Response.Header.Set("Retry-After", "1")
 		writeError(ctx, fasthttp.StatusServiceUnavailable, false, "not taking work")
@@ -143,13 +143,13 @@
 	}
 }
 
-// countLateStart counts a generation requested later than drainGrace after the
-// drain began. By then callers must know that the engine drains.
-func (e *Engine) countLateStart() {
+// countLateRequest counts a generation requested later than drainGrace after the
+// drain began. By then the VMs must know that the engine drains.
+func (e *Engine) countLateRequest() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if time.Since(e.drainStart) > drainGrace {
-		e.counts.LateStarts++
+		e.counts.LateRequests++
 	}
 }
 
@@ -273,7 +273,7 @@
 	c := e.Counts()
 	ctx.SetContentType("application/json")
 	fmt.Fprintf(ctx, `{"starts":%d,"completed":%d,"preempted":%d,"late":%d,"orders":%d}`,
-		c.Starts, c.Completed, c.Preempted, c.LateStarts, c.Commands)
+		c.Starts, c.Completed, c.Preempted, c.LateRequests, c.Commands)
 }
 
 func (e *Engine) handleFaults(ctx *fasthttp.RequestCtx) {
--- a/internal/fake/runlog/runlog.go
+++ b/internal/fake/runlog/runlog.go
@@ -1,5 +1,5 @@
-// Package runlog records what a fake server ran, so that a test can check the
-// system's statements against it. A log in a file outlives the fake's process.
+// Package runlog records what a fake server ran, so that a test can compare it with
+// what the system reported. A log in a file outlives the fake's process.
 package runlog
 
 import (
--- a/internal/fake/store/server.go
+++ b/internal/fake/store/server.go
@@ -111,6 +111,8 @@
 	s.loseReply(ctx)
 }
 
+// admit counts the call and reports whether it is within the rate limit. Otherwise
+// it responds with status 429.
 func (s *Server) admit(ctx *fasthttp.RequestCtx) bool {
 	s.meter.recordCall(string(ctx.Request.Header.Peek("Caller")), time.Now())
 	limit := s.reads
@@ -125,6 +127,8 @@
 	return false
 }
 
+// available applies the injected delay and outages, and reports whether the store
+// handles the call. Otherwise it has responded or closed the connection.
 func (s *Server) available(ctx *fasthttp.RequestCtx) bool {
 	f := s.faults.Load()
 	if f.Delay > 0 {
--- a/internal/fake/vmlist/list.go
+++ b/internal/fake/vmlist/list.go
@@ -64,7 +64,7 @@
 	l.changes = append(l.changes, c)
 }
 
-// VMs returns the VMs as they were one lag ago.
+// VMs returns the list as of l.lag ago.
 func (l *List) VMs() []VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
