--- a/internal/load/drive/client.go
+++ b/internal/load/drive/client.go
@@ -43,7 +43,7 @@
 }
 
 // NewClient returns a client that sends requests to the VMs that vms picks. It
-// calls onGap with the time between each two tokens of a stream.
+// calls onGap with the time between successive tokens of a stream.
 func NewClient(vms *picker.Picker, onGap func(time.Duration)) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 	return &Client{http: &http.Client{Transport: t}, vms: vms, onGap: onGap}
@@ -154,8 +154,8 @@
 
 // attemptTag returns the tag under which backend servers record this attempt.
 // Each attempt of a retryable call has its own tag, so that each refusal can be
-// checked against the records. All attempts of an at-most-once call share one
-// tag, so that a duplicate run is detected.
+// checked against the servers' run logs. All attempts of an at-most-once call share
+// one tag, so that a duplicate run is detected.
 func (s *session) attemptTag() string {
 	if s.request.AtMostOnce || s.res.Attempts == 1 {
 		return s.request.Spec.Tag
@@ -201,8 +201,8 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errInterrupted, err)
 	}
-	if s.res.First == 0 {
-		s.res.First = time.Since(s.start)
+	if s.res.TimeToFirst == 0 {
+		s.res.TimeToFirst = time.Since(s.start)
 	}
 	if resp.StatusCode != http.StatusOK {
 		s.handleRefusal(data, resp.Header.Get("Retry-After"))
@@ -304,8 +304,8 @@
 // handleToken processes one token and returns the time of its arrival.
 func (s *session) handleToken(id, text string, previous time.Time) time.Time {
 	now := time.Now()
-	if s.res.First == 0 {
-		s.res.First = now.Sub(s.start)
+	if s.res.TimeToFirst == 0 {
+		s.res.TimeToFirst = now.Sub(s.start)
 	}
 	if !previous.IsZero() {
 		s.client.onGap(now.Sub(previous))
--- a/internal/load/drive/run.go
+++ b/internal/load/drive/run.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if res.Request.Stream {
-		r.FirstToken.Add(res.First)
+		r.FirstToken.Add(res.TimeToFirst)
 	}
 }
 
--- a/internal/load/fault/kinds.go
+++ b/internal/load/fault/kinds.go
@@ -77,7 +77,8 @@
 func killEngine(inj *Injector) (Undo, error) { return inj.kill(inj.randomEngine()) }
 func killPlain(inj *Injector) (Undo, error)  { return inj.kill(inj.randomPlain()) }
 
-// freezeVM pauses a VM, possibly for longer than the lease on idempotency keys.
+// freezeVM pauses a VM, possibly for longer than its lease on shards of idempotency
+// keys lasts.
 func freezeVM(inj *Injector) (Undo, error) {
 	return inj.freeze(inj.randomVM(), 200*time.Millisecond, 20*time.Second)
 }
@@ -117,6 +118,8 @@
 	return inj.startEngineFault(`{"late_ms":%d}`, 100+inj.Rand.IntN(3500))
 }
 
+// foreignEngine has an engine drop connections and respond to resumes with the
+// events of another generation.
 func foreignEngine(inj *Injector) (Undo, error) {
 	return inj.startEngineFault(`{"cut_after":%d,"new_run":true}`, 5+inj.Rand.IntN(20))
 }
--- a/internal/load/picker/picker.go
+++ b/internal/load/picker/picker.go
@@ -49,18 +49,18 @@
 func (p *Picker) Run(ctx context.Context) error {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
-		isUp := make([]bool, len(p.vms))
+		readyNow := make([]bool, len(p.vms))
 		var g errgroup.Group
 		for i, vm := range p.vms {
 			g.Go(func() error {
-				isUp[i] = isReady(ctx, client, vm)
+				readyNow[i] = isReady(ctx, client, vm)
 				return nil
 			})
 		}
 		_ = g.Wait()
 		var ready []plan.Endpoint
 		for i, vm := range p.vms {
-			if isUp[i] {
+			if readyNow[i] {
 				ready = append(ready, vm)
 			}
 		}
--- a/internal/load/plan/fleet.go
+++ b/internal/load/plan/fleet.go
@@ -34,8 +34,8 @@
 	EngineStep     time.Duration // time of one step of an engine
 }
 
-// Profiles returns the known deployments: the two that the requirements describe,
-// with small engines, and a smaller one for demonstrations.
+// Profiles returns the known profiles: the two deployments that the requirements
+// describe, with small engines, and a smaller one for demonstrations.
 func Profiles() []Profile {
 	return []Profile{
 		{Name: "demo", FailureDomains: 3, Engines: 4, PlainServers: 2, EngineMemory: 6000, EngineBatch: 64, EngineStep: 4 * time.Millisecond},
--- a/internal/load/race/race.go
+++ b/internal/load/race/race.go
@@ -41,12 +41,12 @@
 	Conflicts      int     `json:"conflicts"`
 	Failed         int     `json:"failed"`           // response: not applied
 	OutcomeUnknown int     `json:"answered-unknown"` // outcome unknown at first; queried afterwards
-	Unsettled      int     `json:"unsettled"`        // outcome still unknown at the end
+	Unresolved     int     `json:"unsettled"`        // outcome still unknown at the end
 	Lost           int     `json:"lost-changes"`     // accepted, but not in the history
 	AppliedTwice   int     `json:"applied-twice"`
 	FalseResponses int     `json:"false-answers"` // response: not applied, but in the history
 	Reversions     int     `json:"reversions"`
-	NotInForce     int     `json:"not-in-force"` // changes that were not in force on a VM after 20 s, counted per VM
+	NotInForce     int     `json:"not-in-force"` // changes not in force on a VM 20 s after acceptance, counted per VM
 	InForceP50     float64 `json:"in-force-p50-ms"`
 	InForceP99     float64 `json:"in-force-p99-ms"`
 	InForceMax     float64 `json:"in-force-max-ms"`
@@ -235,7 +235,7 @@
 		}
 		time.Sleep(statusPause)
 	}
-	r.locked(func() { r.report.Unsettled++ })
+	r.locked(func() { r.report.Unresolved++ })
 }
 
 // awaitInForce measures how long the version takes to be in force on each VM, and
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -24,7 +24,7 @@
 	"umberladder/internal/policy/retry"
 )
 
-// Scenario is one scenario of a load test.
+// Scenario defines the faults of a load test and the conditions under which it passes.
 type Scenario struct {
 	Name        string
 	Description string
@@ -158,8 +158,8 @@
 	drive.Summary
 	ConnectionBreaks int `json:"cut-off"`   // requests with a broken connection though no VM was killed or paused
 	LateRequests     int `json:"late-work"` // generations offered to engines more than 3 s after these began to drain
-	// StallPerRequest (in milliseconds) and PreemptedPer1000 leave out the metrics
-	// that were lost with killed VMs.
+	// StallPerRequest (in milliseconds) and PreemptedPer1000 do not include the
+	// metrics that were lost with killed VMs.
 	StallPerRequest     float64   `json:"stall-ms-per-request"`
 	PreemptedPer1000    float64   `json:"preempted-per-1000"`
 	CallBytesPerRequest float64   `json:"peer-call-bytes-per-request"`
--- a/internal/load/soak/fatal.go
+++ b/internal/load/soak/fatal.go
@@ -12,8 +12,8 @@
 
 const (
 	// maxFatalCrashes is how many servers a request may crash before it has to be in
-	// quarantine. maxLateFatalRuns is how often it may still reach servers later than
-	// healthyTime after that, the time that VMs have to learn of the crashes.
+	// quarantine. VMs have healthyTime to learn of the crashes; maxLateFatalRuns is how
+	// often the request may still reach servers after that.
 	maxFatalCrashes  = 3
 	maxLateFatalRuns = 3
 	// fatalRepeats is how often a client sends a request that crashes servers.
--- a/internal/load/soak/soak_test.go
+++ b/internal/load/soak/soak_test.go
@@ -126,9 +126,10 @@
 	return err
 }
 
-// Soaks that ran at the same time chose ports on the same address. While a VM was
-// down, another soak's VM took its port and responded to its clients ("ready",
-// metrics, 404):
+// TestVMAddresses checks that each VM has a loopback address of its own. Soaks that ran
+// at the same time once chose ports on the same address. While a VM was down, another
+// soak's VM took its port and responded to its clients ("ready", metrics, 404). The VM
+// could then not be restarted:
 //
 //	listen tcp 127.0.0.1:32878: bind: address already in use
 func TestVMAddresses(t *testing.T) {
@@ -151,8 +152,8 @@
 // crashing servers, and calls to servers that the VM knew to be draining.
 func TestFatalAndDrainViolations(t *testing.T) {
 	now := time.Now()
-	ledger := fake.NewRunLog()
-	r := &run{runLog: ledger, stops: map[string][]time.Time{"stopped": {now.Add(2 * time.Second)}}}
+	runLog := fake.NewRunLog()
+	r := &run{runLog: runLog, stops: map[string][]time.Time{"stopped": {now.Add(2 * time.Second)}}}
 	add := func(after time.Duration, c call) *call {
 		c.sentAt = now.Add(after)
 		r.calls = append(r.calls, &c)
@@ -160,11 +161,11 @@
 	}
 	for n := range maxFatalCrashes + maxLateFatalRuns {
 		id := fmt.Sprint("r", n)
-		ledger.RecordStart(id, &fake.Run{Server: id, Start: now})
+		runLog.RecordStart(id, &fake.Run{Server: id, Start: now})
 		add(time.Duration(n/maxFatalCrashes)*2*healthyTime, call{id: id, path: "/get/fatal", vm: "vm"})
 	}
 	assert.Equal(t, len(r.fatalViolations()), 0)
-	ledger.RecordStart("more", &fake.Run{Server: "x", Start: now})
+	runLog.RecordStart("more", &fake.Run{Server: "x", Start: now})
 	add(2*healthyTime, call{id: "more", path: "/get/fatal", vm: "vm"})
 	assert.Equal(t, len(r.fatalViolations()), 1)
 
--- a/internal/load/trial/trial_test.go
+++ b/internal/load/trial/trial_test.go
@@ -72,7 +72,7 @@
 }
 
 // TestCharts draws the measures that matter to users, by load: the baselines with
-// seven deciding VMs, and the predictive placement with one coordinator.
+// seven VMs that place generations, and the predictive placement with one coordinator.
 func TestCharts(t *testing.T) {
 	if *charts == "" {
 		t.Skip("draws charts; run with -charts DIRECTORY")
@@ -81,12 +81,12 @@
 	groups := []string{"0.7 of load", "1.0", "1.3"}
 	measures := map[string]struct {
 		title, unit string
-		of          func(*Result) float64
+		value       func(*Result) float64
 		series      []chart.Series
 	}{
-		"stall":       {title: "Stall time of a request", unit: "ms", of: func(f *Result) float64 { return drive.Millis(f.MeanStall()) }},
-		"preemptions": {title: "Preemptions", unit: "per 1,000 requests", of: (*Result).PreemptedPer1000},
-		"token-gap":   {title: "Time between tokens, 99 in 100", unit: "ms", of: func(f *Result) float64 { return drive.Millis(f.GapP99) }},
+		"stall":       {title: "Stall time of a request", unit: "ms", value: func(res *Result) float64 { return drive.Millis(res.MeanStall()) }},
+		"preemptions": {title: "Preemptions", unit: "per 1,000 requests", value: (*Result).PreemptedPer1000},
+		"token-gap":   {title: "Time between tokens, 99 in 100", unit: "ms", value: func(res *Result) float64 { return drive.Millis(res.GapP99) }},
 	}
 	for _, p := range placements {
 		vms := 7
@@ -99,8 +99,8 @@
 		}
 		for name, m := range measures {
 			s := chart.Series{Name: p}
-			for _, f := range results {
-				s.Values = append(s.Values, m.of(f))
+			for _, res := range results {
+				s.Values = append(s.Values, m.value(res))
 			}
 			m.series = append(m.series, s)
 			measures[name] = m
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestPredictedBeatsTwoChoices checks the purpose of the predictive placement with
-// one deciding VM: less than half the preemptions of the baseline, at equal
-// goodput.
+// TestPredictedBeatsTwoChoices checks what the predictive placement is meant to
+// achieve, with one VM that places all generations: less than half the preemptions of
+// the two-choices baseline, at a goodput that is at most 2% lower.
 func TestPredictedBeatsTwoChoices(t *testing.T) {
 	baseline, predicted := runTrial(t, baseConfig("two-choices", 1.0, 1)), runTrial(t, stallConfig("predicted", 1.0, 1))
 	assert.Assert(t, predicted.PreemptedPer1000() < baseline.PreemptedPer1000()/2, "%.1f preemptions against %.1f", predicted.PreemptedPer1000(), baseline.PreemptedPer1000())
