--- a/internal/proc/cmds/cmds_test.go
+++ b/internal/proc/cmds/cmds_test.go
@@ -22,15 +22,17 @@
 }
 
 // runCommand runs the command line and fails the test unless it exits with the code
-// and its output contains says. It returns the output.
-func runCommand(t *testing.T, code int, says string, args ...string) string {
+// and its output contains want. It returns the output.
+func runCommand(t *testing.T, code int, want string, args ...string) string {
 	t.Helper()
 	got, out := execute(args...)
 	assert.Equal(t, got, code, out)
-	assert.Assert(t, strings.Contains(out, says), "%q does not say %q", out, says)
+	assert.Assert(t, strings.Contains(out, want), "%q does not contain %q", out, want)
 	return out
 }
 
+// TestOffline runs commands that need no running VM, and checks the exit codes of
+// commands that reach none.
 func TestOffline(t *testing.T) {
 	dir := t.TempDir()
 	p, err := plan.FindProfile("demo")
@@ -77,11 +79,12 @@
 	t.Run("a forged code", func(t *testing.T) {
 		runCommand(t, ExitForged, "can't be explained", "explain", "AAAA", "--config", node)
 	})
-	t.Run("nobody answers", func(t *testing.T) {
+	t.Run("no response", func(t *testing.T) {
 		runCommand(t, ExitFailure, "does not answer", "status", "--server", "127.9.9.9:1")
 	})
 }
 
+// TestOnline runs commands against a running fleet.
 func TestOnline(t *testing.T) {
 	s := inproc.New(t, 106, 2, nil)
 	server := []string{"--server", s.Layout.Operators[0].Address.String()}
--- a/internal/proc/conf/edge.go
+++ b/internal/proc/conf/edge.go
@@ -23,7 +23,7 @@
 	Peers             netip.AddrPort // UDP and HTTP for other VMs
 	Store             netip.AddrPort
 	Seeds             []netip.AddrPort // contacted to find other VMs while none is known
-	Cores             float64          // processor cores available to the VM, may be a fraction
+	Cores             float64          // number of processor cores available to the VM; may be fractional
 	LinkBitsPerSecond float64          // rate of the VM's network link
 	LogLevel          string
 	LogLinesPerSecond int           // maximum rate of the log
@@ -44,22 +44,22 @@
 }
 
 type edgeWire struct {
-	Name        string          `json:"name"`
-	Domain      string          `json:"failure-domain"`
-	Callers     string          `json:"callers-address"`
-	Ready       string          `json:"ready-address"`
-	Metrics     string          `json:"metrics-address"`
-	Peers       string          `json:"peers-address"`
-	Store       string          `json:"store-address"`
-	Seeds       []string        `json:"seeds,omitzero"`
-	Cores       *float64        `json:"processor-cores,omitzero"`
-	Link        *float64        `json:"link-mbit-per-second,omitzero"`
-	LogLevel    *string         `json:"log-level,omitzero"`
-	LogRate     *int            `json:"log-lines-per-second,omitzero"`
-	RevokeBound *string         `json:"revoke-bound,omitzero"`
-	ApplyBound  *string         `json:"apply-bound,omitzero"`
-	StopGrace   *string         `json:"stop-grace,omitzero"`
-	RetryBudget retryBudgetWire `json:"retry-budget,omitzero"`
+	Name              string          `json:"name"`
+	Domain            string          `json:"failure-domain"`
+	Callers           string          `json:"callers-address"`
+	Ready             string          `json:"ready-address"`
+	Metrics           string          `json:"metrics-address"`
+	Peers             string          `json:"peers-address"`
+	Store             string          `json:"store-address"`
+	Seeds             []string        `json:"seeds,omitzero"`
+	Cores             *float64        `json:"processor-cores,omitzero"`
+	LinkMbps          *float64        `json:"link-mbit-per-second,omitzero"`
+	LogLevel          *string         `json:"log-level,omitzero"`
+	LogLinesPerSecond *int            `json:"log-lines-per-second,omitzero"`
+	RevokeBound       *string         `json:"revoke-bound,omitzero"`
+	ApplyBound        *string         `json:"apply-bound,omitzero"`
+	StopGrace         *string         `json:"stop-grace,omitzero"`
+	RetryBudget       retryBudgetWire `json:"retry-budget,omitzero"`
 
 	Quarantine quarantineWire `json:"quarantine,omitzero"`
 }
@@ -136,9 +136,9 @@
 		Store:             f.Address("/store-address", w.Store),
 		Seeds:             parseSeeds(f, w.Seeds),
 		Cores:             f.Float("/processor-cores", w.Cores, DefaultProcessorCores, 0.001, 10_000),
-		LinkBitsPerSecond: f.Float("/link-mbit-per-second", w.Link, DefaultLinkMbps, 0.001, 1e7) * bitsPerMegabit,
+		LinkBitsPerSecond: f.Float("/link-mbit-per-second", w.LinkMbps, DefaultLinkMbps, 0.001, 1e7) * bitsPerMegabit,
 		LogLevel:          oneOf(f, "/log-level", w.LogLevel, DefaultLogLevel, logLevels),
-		LogLinesPerSecond: f.Int("/log-lines-per-second", w.LogRate, DefaultLogLinesPerSecond, 1, 1_000_000),
+		LogLinesPerSecond: f.Int("/log-lines-per-second", w.LogLinesPerSecond, DefaultLogLinesPerSecond, 1, 1_000_000),
 		RevokeBound:       f.Duration("/revoke-bound", w.RevokeBound, DefaultRevokeBound, 500*time.Millisecond, time.Hour),
 		ApplyBound:        f.Duration("/apply-bound", w.ApplyBound, DefaultApplyBound, 1500*time.Millisecond, time.Hour),
 		StopGrace:         f.Duration("/stop-grace", w.StopGrace, DefaultStopGrace, 500*time.Millisecond, time.Hour),
--- a/internal/proc/conf/wire.go
+++ b/internal/proc/conf/wire.go
@@ -58,14 +58,14 @@
 }
 
 type generationWire struct {
-	Patience   *string `json:"patience,omitzero"`
-	Detach     *string `json:"detach,omitzero"`
-	ResumeBase *string `json:"resume-delay,omitzero"`
-	ResumeMax  *string `json:"resume-delay-limit,omitzero"`
-	ResumeTry  *int    `json:"resume-tries,omitzero"`
-	StartTry   *int    `json:"start-tries,omitzero"`
-	FirstPace  *string `json:"first-token-pace,omitzero"`
-	TokenPace  *string `json:"token-pace,omitzero"`
+	TokenTimeout     *string `json:"patience,omitzero"`
+	DetachTimeout    *string `json:"detach,omitzero"`
+	ResumeDelay      *string `json:"resume-delay,omitzero"`
+	ResumeDelayLimit *string `json:"resume-delay-limit,omitzero"`
+	ResumeTries      *int    `json:"resume-tries,omitzero"`
+	StartTries       *int    `json:"start-tries,omitzero"`
+	FirstTokenPace   *string `json:"first-token-pace,omitzero"`
+	TokenPace        *string `json:"token-pace,omitzero"`
 }
 
 type storeBudgetWire struct {
@@ -166,13 +166,13 @@
 	const p = "/generation/"
 	d := infer.DefaultConfig()
 	return infer.Config{
-		TokenTimeout:     f.Duration(p+"patience", w.Patience, d.TokenTimeout, 10*time.Millisecond, time.Hour),
-		DetachTimeout:    f.Duration(p+"detach", w.Detach, d.DetachTimeout, 0, time.Hour),
-		ResumeDelay:      f.Duration(p+"resume-delay", w.ResumeBase, d.ResumeDelay, time.Millisecond, time.Minute),
-		ResumeDelayLimit: f.Duration(p+"resume-delay-limit", w.ResumeMax, d.ResumeDelayLimit, time.Millisecond, time.Minute),
-		ResumeTries:      f.Int(p+"resume-tries", w.ResumeTry, d.ResumeTries, 0, 100),
-		StartTries:       f.Int(p+"start-tries", w.StartTry, d.StartTries, 1, 100),
-		FirstTokenPace:   f.Duration(p+"first-token-pace", w.FirstPace, d.FirstTokenPace, time.Millisecond, time.Minute),
+		TokenTimeout:     f.Duration(p+"patience", w.TokenTimeout, d.TokenTimeout, 10*time.Millisecond, time.Hour),
+		DetachTimeout:    f.Duration(p+"detach", w.DetachTimeout, d.DetachTimeout, 0, time.Hour),
+		ResumeDelay:      f.Duration(p+"resume-delay", w.ResumeDelay, d.ResumeDelay, time.Millisecond, time.Minute),
+		ResumeDelayLimit: f.Duration(p+"resume-delay-limit", w.ResumeDelayLimit, d.ResumeDelayLimit, time.Millisecond, time.Minute),
+		ResumeTries:      f.Int(p+"resume-tries", w.ResumeTries, d.ResumeTries, 0, 100),
+		StartTries:       f.Int(p+"start-tries", w.StartTries, d.StartTries, 1, 100),
+		FirstTokenPace:   f.Duration(p+"first-token-pace", w.FirstTokenPace, d.FirstTokenPace, time.Millisecond, time.Minute),
 		TokenPace:        f.Duration(p+"token-pace", w.TokenPace, d.TokenPace, time.Millisecond, time.Minute),
 	}
 }
--- a/internal/proc/edge/metrics.go
+++ b/internal/proc/edge/metrics.go
@@ -82,8 +82,8 @@
 // registerGauges exports state that the VM's components keep as gauges.
 func (v *VM) registerGauges(deps Deps) {
 	lines := func() (float64, float64) {
-		written, left := deps.LogSink.Counts()
-		return float64(written), float64(left)
+		written, dropped := deps.LogSink.Counts()
+		return float64(written), float64(dropped)
 	}
 	for name, f := range map[string]func() float64{
 		metricLogLines:        func() float64 { n, _ := lines(); return n },
--- a/internal/proc/edge/recorder.go
+++ b/internal/proc/edge/recorder.go
@@ -17,61 +17,62 @@
 }
 
 // Ended implements task.Counter.
-func (c *recorder) Ended(e *task.Result) {
+func (r *recorder) Ended(res *task.Result) {
 	kind, reason, ran := "", "", ""
-	if e.Route != nil {
-		kind = e.Route.Kind.String()
+	if res.Route != nil {
+		kind = res.Route.Kind.String()
 	}
-	if e.Refusal != nil {
-		reason, ran = e.Refusal.Reason.String(), e.Refusal.Ran.String()
+	if res.Refusal != nil {
+		reason, ran = res.Refusal.Reason.String(), res.Refusal.Ran.String()
 	}
-	labels := fmt.Sprintf(`{service=%q,kind=%q}`, e.Service, kind)
-	c.metricSet.GetOrCreateCounter(fmt.Sprintf(`%s{service=%q,kind=%q,status="%d",reason=%q,ran=%q}`,
-		metricCalls, e.Service, kind, e.Status, reason, ran)).Inc()
-	c.metricSet.GetOrCreateHistogram(metricTimeToFirst + labels).Update(e.First.Seconds())
-	c.metricSet.GetOrCreateHistogram(metricDuration + labels).Update(e.Total.Seconds())
-	c.metricSet.GetOrCreateHistogram(metricMaxEventGap + labels).Update(e.MaxEventGap.Seconds())
-	c.metricSet.GetOrCreateCounter(metricMigrations + labels).Add(e.Moves)
-	c.metricSet.GetOrCreateCounter(metricAttempts + labels).Add(e.Attempts)
-	c.logEnd(e, kind, reason, ran)
+	labels := fmt.Sprintf(`{service=%q,kind=%q}`, res.Service, kind)
+	r.metricSet.GetOrCreateCounter(fmt.Sprintf(`%s{service=%q,kind=%q,status="%d",reason=%q,ran=%q}`,
+		metricCalls, res.Service, kind, res.Status, reason, ran)).Inc()
+	r.metricSet.GetOrCreateHistogram(metricTimeToFirst + labels).Update(res.First.Seconds())
+	r.metricSet.GetOrCreateHistogram(metricDuration + labels).Update(res.Total.Seconds())
+	r.metricSet.GetOrCreateHistogram(metricMaxEventGap + labels).Update(res.MaxEventGap.Seconds())
+	r.metricSet.GetOrCreateCounter(metricMigrations + labels).Add(res.Moves)
+	r.metricSet.GetOrCreateCounter(metricAttempts + labels).Add(res.Attempts)
+	r.logEnd(res, kind, reason, ran)
 }
 
 // logEnd logs the end of a call: at warn level if the call was refused or failed
-// with a 5xx status, at info level otherwise.
-func (c *recorder) logEnd(e *task.Result, kind, reason, ran string) {
+// with a 5xx status, so that the line is not dropped first under load like routine
+// lines, and at info level otherwise.
+func (r *recorder) logEnd(res *task.Result, kind, reason, ran string) {
 	level := zap.InfoLevel
-	if e.Refusal != nil || e.Status >= fasthttp.StatusInternalServerError {
+	if res.Refusal != nil || res.Status >= fasthttp.StatusInternalServerError {
 		level = zap.WarnLevel
 	}
-	ce := c.log.Check(level, "call ended")
+	ce := r.log.Check(level, "call ended")
 	if ce == nil {
 		return
 	}
 	route := ""
-	if e.Route != nil {
-		route = e.Route.Name
+	if res.Route != nil {
+		route = res.Route.Name
 	}
 	fields := []zap.Field{
-		zap.String("request", string(e.Call.ID)),
-		zap.Stringer("fingerprint", e.Fingerprint),
+		zap.String("request", string(res.Call.ID)),
+		zap.Stringer("fingerprint", res.Fingerprint),
 		zap.String("route", route),
 		zap.String("kind", kind),
-		zap.String("service", string(e.Service)),
-		zap.String("server", string(e.Server)),
-		zap.Int("status", e.Status),
-		zap.Duration("queued", e.Queued),
-		zap.Duration("first", e.First),
-		zap.Duration("total", e.Total),
-		zap.Int("sent", e.Attempts),
-		zap.Int("moves", e.Moves),
-		zap.Int("events", e.Events),
-		zap.Duration("gap", e.MaxEventGap),
-		zap.Uint64("settings-version", e.SettingsVersion),
-		zap.Duration("settings-age", e.SettingsAge),
+		zap.String("service", string(res.Service)),
+		zap.String("server", string(res.Server)),
+		zap.Int("status", res.Status),
+		zap.Duration("queued", res.Queued),
+		zap.Duration("first", res.First),
+		zap.Duration("total", res.Total),
+		zap.Int("sent", res.Attempts),
+		zap.Int("moves", res.Moves),
+		zap.Int("events", res.Events),
+		zap.Duration("gap", res.MaxEventGap),
+		zap.Uint64("settings-version", res.SettingsVersion),
+		zap.Duration("settings-age", res.SettingsAge),
 	}
-	if r := e.Refusal; r != nil {
+	if refusal := res.Refusal; refusal != nil {
 		fields = append(fields, zap.String("reason", reason), zap.String("ran", ran),
-			zap.String("detail", r.Detail), zap.Duration("retry-after", r.RetryAfter))
+			zap.String("detail", refusal.Detail), zap.Duration("retry-after", refusal.RetryAfter))
 	}
 	ce.Write(fields...)
 }
--- a/internal/proc/edge/vm.go
+++ b/internal/proc/edge/vm.go
@@ -40,9 +40,10 @@
 	exitReserve = 400 * time.Millisecond
 	// drainPollInterval is how often open connections are checked while stopping.
 	drainPollInterval = 50 * time.Millisecond
-	// readyMargin is how long before it must refuse calls a VM stops being ready,
-	// so that the balancer moves clients away first. Calls must be refused once the
-	// settings are too old, or once a newer version has been known for too long.
+	// readyMargin is the time from the moment a VM stops being ready to the moment
+	// it must refuse calls, so that the balancer moves clients away first. A VM must
+	// refuse calls once its settings are too old, or once a newer version has been
+	// known for too long.
 	readyMargin = time.Second
 	// Limits that apply until the first settings have been loaded.
 	defaultMaxHeaderBytes = 16 << 10
@@ -55,7 +56,7 @@
 // responds to requests that cannot be read.
 type Ingress interface {
 	Handle(ctx context.Context, r *front.Request, w *front.ResponseWriter)
-	Reject(w *front.ResponseWriter, f front.ErrorKind, detail string)
+	Reject(w *front.ResponseWriter, kind front.ErrorKind, detail string)
 }
 
 // Backend sends requests to backend servers.
--- a/internal/proc/peers/crashes.go
+++ b/internal/proc/peers/crashes.go
@@ -10,10 +10,10 @@
 	"umberladder/internal/policy/poison"
 )
 
-// quarantinesChanged propagates changes of the evidence about requests that crash
-// servers. Every VM reports changed findings to the hubs at once. Requests that were
-// quarantined or released are also announced: a hub sends them to all VMs at once, and
-// writes new quarantines to the store at once.
+// quarantinesChanged propagates changes of the findings about requests that crash
+// servers. Every VM reports changed findings to the hubs immediately. If requests were
+// quarantined or released, a hub also announces them to all VMs immediately, and writes
+// new quarantines to the store immediately.
 func (n *Node) quarantinesChanged(c poison.Change) {
 	for _, f := range c.Quarantined {
 		n.log.Warn("request quarantined", zap.Stringer("fingerprint", f))
@@ -32,11 +32,11 @@
 }
 
 // mergeFindings merges another VM's findings about requests that crash servers.
-func (n *Node) mergeFindings(s *wire.Message, now time.Time) {
-	c := n.Poison.Merge(s.Findings, now)
+func (n *Node) mergeFindings(m *wire.Message, now time.Time) {
+	c := n.Poison.Merge(m.Findings, now)
 	for _, list := range [][]call.Fingerprint{c.Quarantined, c.Released} {
 		for _, f := range list {
-			n.log.Info("quarantine decision changed by another VM's findings", zap.Stringer("fingerprint", f), zap.String("reported-by", string(s.VM)))
+			n.log.Info("quarantine decision changed by another VM's findings", zap.Stringer("fingerprint", f), zap.String("reported-by", string(m.VM)))
 		}
 	}
 }
--- a/internal/proc/peers/delegate.go
+++ b/internal/proc/peers/delegate.go
@@ -24,8 +24,8 @@
 	// from peers. Beyond it, the VM reads the store itself, with time left before the
 	// settings are too old to accept API keys.
 	maxSettingsAge = 2500 * time.Millisecond
-	// loadRecipients is how many VMs of each service receive load changes at once:
-	// the coordinator and its first substitute.
+	// loadRecipients is how many VMs receive load changes of each service
+	// immediately: its coordinator and the first substitute.
 	loadRecipients = 2
 	// storeSilence is how long the store must not have responded to any VM before
 	// engines are probed directly for whether they drain. Normally, the servers'
@@ -63,8 +63,8 @@
 	return n.Settings.Load() == nil || n.Settings.Age() < maxSettingsAge || !n.Hubs.StoreReachable(now)
 }
 
-// probesStore reports whether this VM probes an unreachable store frequently, to
-// detect its recovery early.
+// probesStore reports whether this VM probes an unreachable store frequently, so that
+// its recovery is detected early.
 func (n *Node) probesStore() bool { return n.Hubs.ProbesStore(time.Now()) }
 
 // leadsWatch reports whether no VM ranked before this one watches the store and
@@ -81,117 +81,117 @@
 }
 
 // FillReport implements gossip.Delegate.
-func (l *delegate) FillReport(s *wire.Message, now time.Time) {
-	n := l.node
-	s.Loads = n.Alloc.Local()
-	s.Attempts = n.Budget.Report(now)
-	s.Findings = n.Poison.Report(now)
-	s.Limits = n.Rates.Report(now)
-	l.fillCommon(s, now)
-	if s.Store.Watching {
-		l.fillServerUpdate(s, now)
+func (d *delegate) FillReport(m *wire.Message, now time.Time) {
+	n := d.node
+	m.Loads = n.Alloc.Local()
+	m.Attempts = n.Budget.Report(now)
+	m.Findings = n.Poison.Report(now)
+	m.Limits = n.Rates.Report(now)
+	d.fillCommon(m, now)
+	if m.Store.Watching {
+		d.fillServerUpdate(m, now)
 	}
 }
 
 // FillResponse implements gossip.Delegate.
-func (l *delegate) FillResponse(s *wire.Message, to ident.VM, now time.Time) {
-	total := l.node.Budget.Response(to, now)
-	s.Hub.Known, s.Hub.Reporting, s.Hub.PeerAttempts = total.Known, total.Reporting, total.Attempts
-	s.Findings = l.node.Poison.Response(to, now)
-	s.Limits = l.node.Rates.Response(to, now)
-	l.fillCommon(s, now)
-	l.fillServerUpdate(s, now)
+func (d *delegate) FillResponse(m *wire.Message, to ident.VM, now time.Time) {
+	total := d.node.Budget.Response(to, now)
+	m.Hub.Known, m.Hub.Reporting, m.Hub.PeerAttempts = total.Known, total.Reporting, total.Attempts
+	m.Findings = d.node.Poison.Response(to, now)
+	m.Limits = d.node.Rates.Response(to, now)
+	d.fillCommon(m, now)
+	d.fillServerUpdate(m, now)
 }
 
 // fillCommon fills in the fields that reports and hub responses have in common.
-func (l *delegate) fillCommon(s *wire.Message, now time.Time) {
-	n := l.node
+func (d *delegate) fillCommon(m *wire.Message, now time.Time) {
+	n := d.node
 	self := n.Hubs.Self()
-	s.Capacity, s.Domain = self.Capacity, self.Domain
-	s.Retired = n.Servers.RetiredToAnnounce(now)
-	s.Draining = n.Servers.DrainsToAnnounce(now)
-	s.QuarantineDigest = n.Poison.Digest(now)
-	s.SettingsVersion = n.Version()
-	s.Store = n.storeStatus(now)
+	m.Capacity, m.Domain = self.Capacity, self.Domain
+	m.Retired = n.Servers.RetiredToAnnounce(now)
+	m.Draining = n.Servers.DrainsToAnnounce(now)
+	m.QuarantineDigest = n.Poison.Digest(now)
+	m.SettingsVersion = n.Version()
+	m.Store = n.storeStatus(now)
 }
 
-func (l *delegate) fillServerUpdate(s *wire.Message, now time.Time) {
-	if n, ok := l.node.ServerFollower.RecentChanges(now); ok {
-		s.ServerUpdate = &n
+func (d *delegate) fillServerUpdate(m *wire.Message, now time.Time) {
+	if update, ok := d.node.ServerFollower.RecentChanges(now); ok {
+		m.ServerUpdate = &update
 	}
 }
 
 // reportOf returns the sender's report about itself in a message.
-func reportOf(s *wire.Message, from netip.AddrPort) hubs.Report {
-	return hubs.Report{Candidate: hubs.Candidate{VM: s.VM, Addr: from, Capacity: s.Capacity, Domain: s.Domain}, StoreStatus: s.Store}
+func reportOf(m *wire.Message, from netip.AddrPort) hubs.Report {
+	return hubs.Report{Candidate: hubs.Candidate{VM: m.VM, Addr: from, Capacity: m.Capacity, Domain: m.Domain}, StoreStatus: m.Store}
 }
 
 // HandleReport implements gossip.Delegate.
-func (l *delegate) HandleReport(s *wire.Message, from netip.AddrPort, now time.Time) {
-	n := l.node
-	n.Hubs.HandleReport(reportOf(s, from), now)
-	n.Budget.HandleReport(s.VM, s.Attempts, now)
-	n.Poison.HandleReport(s.VM, s.QuarantineDigest)
-	n.Rates.HandleReport(s.VM, s.Limits, now)
-	if s.HasLoads() {
-		n.Alloc.UpdatePeer(s.VM, s.Boot, s.Seq, s.Part, s.Loads, now)
+func (d *delegate) HandleReport(m *wire.Message, from netip.AddrPort, now time.Time) {
+	n := d.node
+	n.Hubs.HandleReport(reportOf(m, from), now)
+	n.Budget.HandleReport(m.VM, m.Attempts, now)
+	n.Poison.HandleReport(m.VM, m.QuarantineDigest)
+	n.Rates.HandleReport(m.VM, m.Limits, now)
+	if m.HasLoads() {
+		n.Alloc.UpdatePeer(m.VM, m.Boot, m.Seq, m.Part, m.Loads, now)
 	}
-	l.applyCommon(s, from, true, now)
+	d.applyCommon(m, from, true, now)
 }
 
 // HandleResponse implements gossip.Delegate.
-func (l *delegate) HandleResponse(s *wire.Message, from netip.AddrPort, now time.Time) {
-	n := l.node
-	if n.Hubs.HandleResponse(reportOf(s, from), s.Hub.Candidates, s.Hub.CandidateDigest, now) {
+func (d *delegate) HandleResponse(m *wire.Message, from netip.AddrPort, now time.Time) {
+	n := d.node
+	if n.Hubs.HandleResponse(reportOf(m, from), m.Hub.Candidates, m.Hub.CandidateDigest, now) {
 		n.reportNow()
 	}
-	n.Budget.HandleResponse(s.VM, retry.FleetTotal{At: now, Known: s.Hub.Known, Reporting: s.Hub.Reporting, Attempts: s.Hub.PeerAttempts})
-	n.Poison.HandleResponse(s.VM, s.Boot, s.QuarantineDigest, now)
-	n.Rates.HandleResponse(s.VM, s.Hub.Reporting, s.Limits, now)
-	l.applyCommon(s, from, false, now)
-	if s.Reply != nil {
-		l.handleVersionReply(*s.Reply, from)
+	n.Budget.HandleResponse(m.VM, retry.FleetTotal{At: now, Known: m.Hub.Known, Reporting: m.Hub.Reporting, Attempts: m.Hub.PeerAttempts})
+	n.Poison.HandleResponse(m.VM, m.Boot, m.QuarantineDigest, now)
+	n.Rates.HandleResponse(m.VM, m.Hub.Reporting, m.Limits, now)
+	d.applyCommon(m, from, false, now)
+	if m.Reply != nil {
+		d.handleVersionReply(*m.Reply, from)
 	}
 }
 
 // applyCommon applies another VM's state of servers and settings. If forward is set,
 // as for reports, retired and draining servers are also announced to the VMs that
 // report to this one.
-func (l *delegate) applyCommon(s *wire.Message, from netip.AddrPort, forward bool, now time.Time) {
-	n := l.node
-	n.mergeFindings(s, now)
-	if s.ServerUpdate != nil {
-		n.ServerFollower.ApplyUpdate(*s.ServerUpdate, now)
+func (d *delegate) applyCommon(m *wire.Message, from netip.AddrPort, forward bool, now time.Time) {
+	n := d.node
+	n.mergeFindings(m, now)
+	if m.ServerUpdate != nil {
+		n.ServerFollower.ApplyUpdate(*m.ServerUpdate, now)
 	}
-	for _, id := range n.Servers.MarkAllDraining(s.Draining, forward, now) {
-		n.log.Info("server drains", zap.String("server", string(id)), zap.String("reported-by", string(s.VM)))
+	for _, id := range n.Servers.MarkAllDraining(m.Draining, forward, now) {
+		n.log.Info("server drains", zap.String("server", string(id)), zap.String("reported-by", string(m.VM)))
 	}
-	for _, id := range n.Servers.ApplyRetired(s.Retired, forward) {
-		n.log.Info("server leaves", zap.String("server", string(id)), zap.String("reported-by", string(s.VM)))
+	for _, id := range n.Servers.ApplyRetired(m.Retired, forward) {
+		n.log.Info("server leaves", zap.String("server", string(id)), zap.String("reported-by", string(m.VM)))
 	}
-	if s.SettingsVersion > n.Version() {
-		l.fetchNewer(s.SettingsVersion, from)
+	if m.SettingsVersion > n.Version() {
+		d.fetchNewer(m.SettingsVersion, from)
 	}
 }
 
 // fetchNewer fetches newer settings from the VM that announced them, or from the
 // store if that fails.
-func (l *delegate) fetchNewer(version uint64, from netip.AddrPort) {
-	l.node.Settings.RecordVersion(version, uptime.Now())
-	if !l.node.fetchingSettings.CompareAndSwap(false, true) {
+func (d *delegate) fetchNewer(version uint64, from netip.AddrPort) {
+	d.node.Settings.RecordVersion(version, uptime.Now())
+	if !d.node.fetchingSettings.CompareAndSwap(false, true) {
 		return
 	}
-	l.node.group.Go(func() error {
-		defer l.node.fetchingSettings.Store(false)
-		if err := l.node.fetchSettings(l.ctx, version, from); err != nil {
-			l.node.log.Info("settings not taken from another VM", zap.Uint64("version", version), zap.Stringer("from", from),
-				zap.Duration("behind", l.node.Settings.BehindFor()), zap.Error(err))
-			l.node.settingsFollower.HandleVersion(l.ctx, version, 0)
+	d.node.group.Go(func() error {
+		defer d.node.fetchingSettings.Store(false)
+		if err := d.node.fetchSettings(d.ctx, version, from); err != nil {
+			d.node.log.Info("settings not taken from another VM", zap.Uint64("version", version), zap.Stringer("from", from),
+				zap.Duration("behind", d.node.Settings.BehindFor()), zap.Error(err))
+			d.node.settingsFollower.HandleVersion(d.ctx, version, 0)
 		}
-		if l.node.Version() < version {
+		if d.node.Version() < version {
 			// Without the pause, each message from each VM would start another
 			// read of a store that does not respond.
-			retry.Sleep(l.ctx, fetchRetryPause+rand.N(fetchRetryPause))
+			retry.Sleep(d.ctx, fetchRetryPause+rand.N(fetchRetryPause))
 		}
 		return nil
 	})
@@ -252,13 +252,13 @@
 }
 
 // Clock implements gossip.Delegate.
-func (l *delegate) Clock() uint64 { return uint64(uptime.Now()) }
+func (d *delegate) Clock() uint64 { return uint64(uptime.Now()) }
 
 // VersionReply implements gossip.Delegate.
-func (l *delegate) VersionReply(requestTime uint64) *wire.VersionReply {
-	freshAt := l.node.Settings.FreshAt()
+func (d *delegate) VersionReply(requestTime uint64) *wire.VersionReply {
+	freshAt := d.node.Settings.FreshAt()
 	r := &wire.VersionReply{RequestTime: requestTime}
-	if snap := l.node.Settings.Load(); snap != nil {
+	if snap := d.node.Settings.Load(); snap != nil {
 		r.Version, r.Age = snap.Version, uptime.Now().Sub(freshAt)
 	}
 	return r
@@ -267,33 +267,33 @@
 // handleVersionReply applies a hub's reply about the age of the settings. The hub's
 // settings were the newest r.Age before it replied. That age is counted back from the
 // time of this VM's request, which is earlier than the reply.
-func (l *delegate) handleVersionReply(r wire.VersionReply, from netip.AddrPort) {
+func (d *delegate) handleVersionReply(r wire.VersionReply, from netip.AddrPort) {
 	if r.Version == 0 || uptime.Instant(r.RequestTime) > uptime.Now() {
 		return
 	}
-	if r.Version > l.node.Version() {
-		l.fetchNewer(r.Version, from)
+	if r.Version > d.node.Version() {
+		d.fetchNewer(r.Version, from)
 		return
 	}
-	l.node.settingsFollower.HandleVersion(l.ctx, r.Version, uptime.Instant(r.RequestTime).Add(-r.Age))
+	d.node.settingsFollower.HandleVersion(d.ctx, r.Version, uptime.Instant(r.RequestTime).Add(-r.Age))
 }
 
 // StateChanged implements gossip.Delegate.
-func (l *delegate) StateChanged() <-chan struct{} { return l.node.announceNow }
+func (d *delegate) StateChanged() <-chan struct{} { return d.node.announceNow }
 
 // LoadsChanged implements gossip.Delegate.
-func (l *delegate) LoadsChanged() <-chan struct{} { return l.node.Alloc.Dirty() }
+func (d *delegate) LoadsChanged() <-chan struct{} { return d.node.Alloc.Dirty() }
 
 // Coordinators implements gossip.Delegate.
-func (l *delegate) Coordinators() []netip.AddrPort {
+func (d *delegate) Coordinators() []netip.AddrPort {
 	out := []netip.AddrPort{}
-	snap := l.node.Settings.Load()
+	snap := d.node.Settings.Load()
 	if snap == nil {
 		return out
 	}
 	now := time.Now()
 	for _, s := range snap.EngineServices() {
-		for _, candidate := range l.node.Hubs.CoordinatorOrder(s, loadRecipients, now) {
+		for _, candidate := range d.node.Hubs.CoordinatorOrder(s, loadRecipients, now) {
 			if candidate.Addr.IsValid() && !slices.Contains(out, candidate.Addr) {
 				out = append(out, candidate.Addr)
 			}
@@ -303,12 +303,12 @@
 }
 
 // HandlePlacementRequest implements gossip.Delegate.
-func (l *delegate) HandlePlacementRequest(req coord.Request, reply func(coord.Response)) {
-	l.node.coordinator.Submit(req, reply, time.Now())
+func (d *delegate) HandlePlacementRequest(req coord.Request, reply func(coord.Response)) {
+	d.node.coordinator.Submit(req, reply, time.Now())
 }
 
 // HandlePlacementResponse implements gossip.Delegate.
-func (l *delegate) HandlePlacementResponse(resp coord.Response) { l.node.placer.HandleResponse(resp) }
+func (d *delegate) HandlePlacementResponse(resp coord.Response) { d.node.placer.HandleResponse(resp) }
 
 // SendRequest implements placer.Transport. Requests made before the gossip agent has
 // started are lost.
--- a/internal/proc/record/recorder.go
+++ b/internal/proc/record/recorder.go
@@ -89,12 +89,13 @@
 		zap.Int("bytes", rec.Bytes),
 	}
 	if rec.Refusal != nil {
-		fields = append(fields, refusal(rec.Refusal)...)
+		fields = append(fields, refusalFields(rec.Refusal)...)
 	}
 	r.log.Info("request", fields...)
 }
 
-func refusal(r *refuse.Refusal) []zap.Field {
+// refusalFields returns the log fields of a refusal.
+func refusalFields(r *refuse.Refusal) []zap.Field {
 	return []zap.Field{
 		zap.Stringer("reason", r.Reason),
 		zap.String("detail", r.Detail),
--- a/internal/proc/serve/serve_test.go
+++ b/internal/proc/serve/serve_test.go
@@ -47,12 +47,12 @@
 	return p
 }
 
-func promptOrder(tokens int, tag string) prompt.Spec {
+func promptSpec(tokens int, tag string) prompt.Spec {
 	return prompt.Spec{Tokens: tokens, Seed: 7, Tag: tag}
 }
 
-func generation(o prompt.Spec, more string) string {
-	return fmt.Sprintf(`{"model":%q,"prompt":%q%s}`, plan.Proposals, o.Prompt(), more)
+func completionBody(spec prompt.Spec, more string) string {
+	return fmt.Sprintf(`{"model":%q,"prompt":%q%s}`, plan.Proposals, spec.Prompt(), more)
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
@@ -67,11 +67,11 @@
 func TestCallers(t *testing.T) {
 	s := inproc.New(t, 101, 2, smallLimits)
 	t.Run("bad input", func(t *testing.T) { badInput(t, s) })
-	t.Run("who may ask", func(t *testing.T) { authorization(t, s) })
-	t.Run("whole, chat and models", func(t *testing.T) { completeResponses(t, s) })
+	t.Run("authorization", func(t *testing.T) { authorization(t, s) })
+	t.Run("completions, chat and models", func(t *testing.T) { completeResponses(t, s) })
 	t.Run("a slow sender is cut off", func(t *testing.T) { slowSender(t, s) })
 	t.Run("a caller that stops reading", func(t *testing.T) { stalledClient(t, s) })
-	t.Run("a refusal explains itself", func(t *testing.T) { refusalExplained(t, s) })
+	t.Run("a refusal code is explained", func(t *testing.T) { refusalExplained(t, s) })
 	t.Run("resumed through another VM", func(t *testing.T) { resumed(t, s) })
 	t.Run("metrics", func(t *testing.T) {
 		code, body := s.Get(0, "/metrics", "")
@@ -84,7 +84,7 @@
 func badInput(t *testing.T, s *inproc.Fleet) {
 	long := strings.Repeat("x", 5<<10)
 	for name, c := range map[string]struct {
-		path, body, reason, says string
+		path, body, reason, want string
 		code                     int
 	}{
 		"broken JSON":       {completionsPath, `{"model":`, "bad-input", "not valid JSON", 400},
@@ -94,7 +94,7 @@
 		"unknown model":     {completionsPath, `{"model":"nothing","prompt":"x"}`, "not-found", "no such service", 404},
 		"negative tokens":   {completionsPath, `{"model":"proposals","prompt":"x","max_tokens":-1}`, "bad-input", "max_tokens:", 400},
 		"absurd tokens":     {completionsPath, `{"model":"proposals","prompt":"x","max_tokens":1e12}`, "bad-input", "max_tokens:", 400},
-		"several answers":   {completionsPath, `{"model":"proposals","prompt":"x","n":3}`, "bad-input", "n:", 400},
+		"several choices":   {completionsPath, `{"model":"proposals","prompt":"x","n":3}`, "bad-input", "n:", 400},
 		"stream is no bool": {completionsPath, `{"model":"proposals","prompt":"x","stream":"yes"}`, "bad-input", "stream:", 400},
 		"no messages":       {"/v1/chat/completions", `{"model":"proposals"}`, "bad-input", "messages:", 400},
 		"an image":          {"/v1/chat/completions", `{"model":"proposals","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, "bad-input", "messages/0/content", 400},
@@ -109,7 +109,7 @@
 			p := parse(t, body)
 			assert.Equal(t, p.Reason, c.reason)
 			assert.Equal(t, p.Ran, "no")
-			assert.Assert(t, strings.Contains(p.Detail, c.says), "%q does not say %q", p.Detail, c.says)
+			assert.Assert(t, strings.Contains(p.Detail, c.want), "%q does not contain %q", p.Detail, c.want)
 		})
 	}
 	t.Run("a large header", func(t *testing.T) {
@@ -117,26 +117,26 @@
 		assert.Equal(t, code, 431, body)
 		assert.Equal(t, parse(t, body).Reason, "header-too-large")
 	})
-	t.Run("a class that is not there", func(t *testing.T) {
-		code, body, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(1, "c"), ""), "Umberladder-Class", "first")
+	t.Run("a class that does not exist", func(t *testing.T) {
+		code, body, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, completionBody(promptSpec(1, "c"), ""), "Umberladder-Class", "first")
 		assert.Equal(t, code, 400, body)
 	})
 }
 
 func authorization(t *testing.T, s *inproc.Fleet) {
-	code, body, _ := s.Call(0, http.MethodPost, completionsPath, "nobody", generation(promptOrder(1, "w"), ""))
+	code, body, _ := s.Call(0, http.MethodPost, completionsPath, "nobody", completionBody(promptSpec(1, "w"), ""))
 	assert.Equal(t, code, 401)
 	assert.Equal(t, parse(t, body).Reason, "wrong-key")
 	triage := fmt.Sprintf(`{"model":%q,"prompt":"x"}`, plan.Triage)
 	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.Installers, triage)
-	assert.Equal(t, code, 404, "another team's service")
+	assert.Equal(t, code, 404, "another workspace's service")
 	code, _, _ = s.Call(0, http.MethodPost, completionsPath, plan.FaultDesk, triage)
 	assert.Equal(t, code, 200)
 }
 
 func completeResponses(t *testing.T, s *inproc.Fleet) {
-	o := promptOrder(5, "whole")
-	code, body, _ := s.Call(1, http.MethodPost, completionsPath, plan.Installers, generation(o, ""))
+	spec := promptSpec(5, "whole")
+	code, body, _ := s.Call(1, http.MethodPost, completionsPath, plan.Installers, completionBody(spec, ""))
 	assert.Equal(t, code, 200, body)
 	var c struct {
 		Choices []struct {
@@ -148,10 +148,10 @@
 		}
 	}
 	assert.NilError(t, json.Unmarshal([]byte(body), &c))
-	assert.NilError(t, o.CheckComplete(c.Choices[0].Text))
+	assert.NilError(t, spec.CheckComplete(c.Choices[0].Text))
 	assert.Equal(t, c.Usage.Completion, 5)
 
-	chat := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"max_completion_tokens":3}`, plan.Proposals, o.Prompt())
+	chat := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}],"max_completion_tokens":3}`, plan.Proposals, spec.Prompt())
 	code, body, _ = s.Call(1, http.MethodPost, "/v1/chat/completions", plan.Installers, chat)
 	assert.Equal(t, code, 200, body)
 	assert.NilError(t, json.Unmarshal([]byte(body), &c))
@@ -187,11 +187,11 @@
 	assert.NilError(t, err)
 	defer func() { _ = c.Close() }()
 	assert.NilError(t, c.(*net.TCPConn).SetReadBuffer(1<<10))
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"prompt":%q}`, plan.Proposals, promptOrder(1500, "stalled").Prompt())
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"prompt":%q}`, plan.Proposals, promptSpec(1500, "stalled").Prompt())
 	_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		completionsPath, plan.CallerKey(plan.Installers), len(body), body)
 	assert.NilError(t, err)
-	code, _, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(3, "beside"), ""))
+	code, _, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, completionBody(promptSpec(3, "beside"), ""))
 	assert.Equal(t, code, 200)
 	check.Eventually(t, 15*time.Second, "the stalled stream ends", func() bool { return negatedAbandonedCount(t, s) <= before })
 }
@@ -224,19 +224,19 @@
 
 // resumed drops a stream after 20 tokens and resumes it through another VM.
 func resumed(t *testing.T, s *inproc.Fleet) {
-	o := promptOrder(60, "resumed")
+	spec := promptSpec(60, "resumed")
 	var words []string
-	handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 20, &words)
+	handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), completionBody(spec, `,"stream":true`), 20, &words)
 	assert.Equal(t, last, "19")
 	code, body, _ := s.Call(1, http.MethodGet, "/v1/resume/"+handle, plan.Installers, "", "Last-Event-ID", last)
 	assert.Equal(t, code, 200, body)
 	words = append(words, tokenTexts(t, body)...)
-	assert.NilError(t, o.CheckComplete(strings.Join(words, "")))
+	assert.NilError(t, spec.CheckComplete(strings.Join(words, "")))
 	assert.Equal(t, s.Engines[0].Runs("resumed")+s.Engines[1].Runs("resumed"), 1)
 	t.Run("through two VMs at once", func(t *testing.T) {
-		o := promptOrder(60, "resumed-twice")
+		spec := promptSpec(60, "resumed-twice")
 		var head []string
-		handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), generation(o, `,"stream":true`), 10, &head)
+		handle, last := readTokens(t, s.URL(0, completionsPath), plan.CallerKey(plan.Installers), completionBody(spec, `,"stream":true`), 10, &head)
 		bodies := make([]string, 2)
 		var g errgroup.Group
 		for i := range bodies {
@@ -247,7 +247,7 @@
 		}
 		assert.NilError(t, g.Wait())
 		for _, body := range bodies {
-			assert.NilError(t, o.CheckComplete(strings.Join(append(slices.Clone(head), tokenTexts(t, body)...), "")))
+			assert.NilError(t, spec.CheckComplete(strings.Join(append(slices.Clone(head), tokenTexts(t, body)...), "")))
 		}
 		assert.Equal(t, s.Engines[0].Runs("resumed-twice")+s.Engines[1].Runs("resumed-twice"), 1)
 	})
@@ -338,7 +338,7 @@
 		code, body, _ := s.Call(1, http.MethodPost, bookPath+"first", plan.Installers, "b", "Idempotency-Key", k)
 		assert.Equal(t, code, 422, body)
 	})
-	t.Run("the answer is lost: it may have run, and is not run again", func(t *testing.T) {
+	t.Run("a lost response: the call may have run and is not run again", func(t *testing.T) {
 		for _, p := range s.PlainServers {
 			p.SetFaults(plain.Faults{DropResponse: true})
 		}
@@ -353,22 +353,22 @@
 		assert.Equal(t, code, 409, body)
 		assert.Equal(t, runs("cut"), 1)
 	})
-	t.Run("a keyed generation is answered again", func(t *testing.T) {
-		o, k := promptOrder(8, "keyed"), newKey()
-		_, first, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(o, ""), "Idempotency-Key", k)
-		code, again, _ := s.Call(2, http.MethodPost, completionsPath, plan.Installers, generation(o, ""), "Idempotency-Key", k)
+	t.Run("the response to a keyed generation is returned again", func(t *testing.T) {
+		spec, k := promptSpec(8, "keyed"), newKey()
+		_, first, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, completionBody(spec, ""), "Idempotency-Key", k)
+		code, again, _ := s.Call(2, http.MethodPost, completionsPath, plan.Installers, completionBody(spec, ""), "Idempotency-Key", k)
 		assert.Equal(t, code, 200, again)
 		assert.Equal(t, s.Engines[0].Runs("keyed")+s.Engines[1].Runs("keyed"), 1)
 		assert.Equal(t, completionText(t, first), completionText(t, again))
 	})
-	t.Run("handed on by a VM that leaves", func(t *testing.T) {
+	t.Run("handed over by a VM that shuts down", func(t *testing.T) {
 		k := newKey()
 		s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 		s.Stop(1)
 		s.Stop(2)
 		code, body, _ := s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 		assert.Assert(t, code == 200 || code == 503, body)
-		check.Eventually(t, 5*time.Second, "answered again", func() bool {
+		check.Eventually(t, 5*time.Second, "the stored response is returned", func() bool {
 			code, _, _ := s.Call(0, http.MethodPost, bookPath+"handed", plan.Installers, "", "Idempotency-Key", k)
 			return code == 200
 		})
@@ -385,10 +385,10 @@
 
 func TestShutdownCutsNothing(t *testing.T) {
 	s := inproc.New(t, 103, 2, nil)
-	o := promptOrder(400, "long")
+	spec := promptSpec(400, "long")
 	body := make(chan string, 1)
 	runInBackground(t, func() {
-		_, b, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, generation(o, `,"stream":true`))
+		_, b, _ := s.Call(0, http.MethodPost, completionsPath, plan.Installers, completionBody(spec, `,"stream":true`))
 		body <- b
 	})
 	check.Eventually(t, 5*time.Second, "the stream runs", func() bool {
@@ -400,7 +400,7 @@
 		return code != 200
 	})
 	got := <-body
-	assert.NilError(t, o.CheckComplete(strings.Join(tokenTexts(t, got), "")))
+	assert.NilError(t, spec.CheckComplete(strings.Join(tokenTexts(t, got), "")))
 	assert.Assert(t, strings.Contains(got, "[DONE]"))
 	select {
 	case <-s.Done(0):
@@ -434,7 +434,7 @@
 		return body, h.Get("ETag")
 	}
 	doc, tag := read(0)
-	t.Run("a team's key opens its own subtree alone", func(t *testing.T) {
+	t.Run("a workspace's key opens only its own subtree", func(t *testing.T) {
 		for _, other := range []string{"/v1/settings/system", "/v1/settings/workspaces/" + plan.FaultDesk, "/v1/history/system"} {
 			code, _, _ := s.CallOperator(0, http.MethodGet, other, plan.Installers, "")
 			assert.Equal(t, code, 404, other)
@@ -454,7 +454,7 @@
 		assert.Equal(t, code, 422, body)
 		assert.Assert(t, strings.Contains(body, `/limits/concurrency`), body)
 	})
-	t.Run("a dry run says what would be promised beyond what there is", func(t *testing.T) {
+	t.Run("a dry run warns of a class that does not exist", func(t *testing.T) {
 		missing := strings.Replace(doc, `"class":"urgent"`, `"class":"nothing"`, 1)
 		code, body, _ := s.CallOperator(0, http.MethodPut, path+"?dry-run=true", plan.Installers, missing, "If-Match", tag)
 		assert.Equal(t, code, 200, body)
@@ -462,7 +462,7 @@
 		now, _ := read(0)
 		assert.Equal(t, now, doc)
 	})
-	t.Run("what a workspace uses, on every VM", func(t *testing.T) {
+	t.Run("usage of a workspace on every VM", func(t *testing.T) {
 		usage := "/v1/status/workspaces/"
 		code, body, _ := s.CallOperator(1, http.MethodGet, usage+plan.Installers, plan.Installers, "")
 		assert.Equal(t, code, 200, body)
@@ -486,7 +486,7 @@
 		_, body, _ = s.CallOperator(2, http.MethodGet, "/v1/history/workspaces/"+plan.Installers, plan.Installers, "")
 		assert.Assert(t, strings.Contains(body, "/limits/concurrency changed") && strings.Contains(body, "operator-of-installers"), body)
 	})
-	t.Run("booting while the store is down", func(t *testing.T) {
+	t.Run("starting while the store is down", func(t *testing.T) {
 		s.Stop(2)
 		s.Store.SetFaults(store.Faults{Down: true})
 		defer s.Store.SetFaults(store.Faults{})
@@ -505,7 +505,7 @@
 		e.SetFaults(engine.Faults{Stall: 700 * time.Millisecond})
 	}
 	for i := range 2 {
-		code, body, _ := s.Call(i, http.MethodPost, completionsPath, plan.Installers, generation(promptOrder(6, "slow"), ""))
+		code, body, _ := s.Call(i, http.MethodPost, completionsPath, plan.Installers, completionBody(promptSpec(6, "slow"), ""))
 		assert.Equal(t, code, 200, body)
 	}
 	_, body, _ := s.CallOperator(0, http.MethodGet, "/v1/burn?merged=true", "system", "")
@@ -526,5 +526,5 @@
 	s.Stop(1)
 	_, body, _ = s.CallOperator(0, http.MethodGet, "/v1/burn?merged=true", plan.FaultDesk, "")
 	assert.NilError(t, json.Unmarshal([]byte(body), &r), body)
-	assert.Equal(t, len(r.Rows), 0, "a team sees its own rows alone")
+	assert.Equal(t, len(r.Rows), 0, "a workspace sees only its own rows")
 }
--- a/internal/proc/serve/status.go
+++ b/internal/proc/serve/status.go
@@ -68,10 +68,10 @@
 	return o
 }
 
-func violationCounts(a *fastjson.Arena, b *invar.Checker) *fastjson.Value {
+func violationCounts(a *fastjson.Arena, checker *invar.Checker) *fastjson.Value {
 	o := a.NewObject()
 	for _, n := range invar.All() {
-		o.Set(n.String(), a.NewNumberInt(int(b.Count(n))))
+		o.Set(n.String(), a.NewNumberInt(int(checker.Count(n))))
 	}
 	return o
 }
@@ -121,9 +121,9 @@
 	var mu sync.Mutex
 	v.callPeers(func(m member.Member) {
 		data, err := v.peers.Burn(ctx, m)
-		var one *burn.Report
+		var peer *burn.Report
 		if err == nil {
-			one, err = burn.Decode(data)
+			peer, err = burn.Decode(data)
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -131,7 +131,7 @@
 			rep.Silent = append(rep.Silent, m.Name)
 			return
 		}
-		rep.Merge(one)
+		rep.Merge(peer)
 	})
 }
 
--- a/internal/proc/serve/vm.go
+++ b/internal/proc/serve/vm.go
@@ -48,7 +48,8 @@
 	// maxIdleConns is the number of idle connections kept to each server.
 	maxIdleConns = 16
 	// remoteLoadFactor multiplies the load interval of engines whose coordinator
-	// is another VM, so that their load is read less often.
+	// is another VM. Their load is read less often, because the coordinator places
+	// for all VMs.
 	remoteLoadFactor = 3
 	// peerTimeout bounds each call to another VM.
 	peerTimeout = 3 * time.Second
@@ -183,20 +184,21 @@
 }
 
 // httpLog adapts the log to fasthttp. The library's messages are mostly about
-// callers' broken connections, so they are logged at debug level.
+// callers' broken connections and help only in debugging, so they are logged at
+// debug level.
 type httpLog struct{ log *zap.Logger }
 
 func (l httpLog) Printf(format string, args ...any) {
 	l.log.Debug("http", zap.String("line", fmt.Sprintf(format, args...)))
 }
 
-// placingVMs returns how many VMs this VM should assume to place generations of
-// a model. The coordinator assumes that only it does. Any other VM places
+// placingVMs returns how many VMs place generations of a model, as far as this VM
+// has to assume. The coordinator assumes that only it does. Any other VM places
 // generations itself only when the coordinator does not respond, and then all
 // live VMs do.
 func (v *VM) placingVMs(m ident.Model) int {
-	home, ok := sched.CoordinatorOf(m, v.fleet.View().Live)
-	if ok && home.Name == v.cfg.Name {
+	coordinator, ok := sched.CoordinatorOf(m, v.fleet.View().Live)
+	if ok && coordinator.Name == v.cfg.Name {
 		return 1
 	}
 	_, n := v.fleet.Rank()
@@ -207,8 +209,8 @@
 // than the model's coordinator read it less often, because the coordinator
 // places for all VMs.
 func (v *VM) loadInterval(m ident.Model) time.Duration {
-	home, ok := sched.CoordinatorOf(m, v.fleet.View().Live)
-	if ok && home.Name != v.cfg.Name {
+	coordinator, ok := sched.CoordinatorOf(m, v.fleet.View().Live)
+	if ok && coordinator.Name != v.cfg.Name {
 		return remoteLoadFactor * v.cfg.Limits.LoadInterval
 	}
 	return v.cfg.Limits.LoadInterval
--- a/internal/proc/sink/sink_test.go
+++ b/internal/proc/sink/sink_test.go
@@ -27,7 +27,7 @@
 	}
 	assert.Assert(t, time.Since(start) < 2*time.Second)
 	_, dropped := w.Counts()
-	assert.Assert(t, dropped > 1000, "%d lines left out", dropped)
+	assert.Assert(t, dropped > 1000, "%d lines dropped", dropped)
 	w.Close()
 	assert.NilError(t, pr.Close())
 	assert.NilError(t, pw.Close())
@@ -47,13 +47,13 @@
 	}
 	for range 40 {
 		calls.Warn("failed")
-		log.Info("belief")
+		log.Info("state")
 	}
 	w.Close()
 	_ = g.Wait()
 	count := func(text string) int { return strings.Count(out.String(), text) }
 	assert.Assert(t, count("routine") <= 52, "%d", count("routine"))
-	assert.Assert(t, count("failed")+count("belief") >= 48, "%d", count("failed")+count("belief"))
+	assert.Assert(t, count("failed")+count("state") >= 48, "%d", count("failed")+count("state"))
 	written, dropped := w.Counts()
 	assert.Equal(t, written+dropped, uint64(1080), "each line is written or counted")
 }
