--- a/internal/test/check/check.go
+++ b/internal/test/check/check.go
@@ -16,14 +16,15 @@
 )
 
 // Invariants fails the test if any invariant was violated.
-func Invariants(t testing.TB, b *invar.Checker) {
+func Invariants(t testing.TB, checker *invar.Checker) {
 	t.Helper()
 	for _, n := range invar.All() {
-		assert.Equal(t, b.Count(n), uint64(0), "violations of %s", n)
+		assert.Equal(t, checker.Count(n), uint64(0), "violations of %s", n)
 	}
 }
 
-// Refusal fails the test unless r has the given reason and execution status.
+// Refusal fails the test unless r has the given reason and states ran as whether the
+// request ran.
 func Refusal(t testing.TB, r *refuse.Refusal, reason refuse.Reason, ran refuse.Ran) {
 	t.Helper()
 	assert.Assert(t, r != nil, "no refusal")
@@ -36,9 +37,9 @@
 func FieldError(t testing.TB, err error, path, want string) {
 	t.Helper()
 	var f *config.FieldError
-	assert.Assert(t, errors.As(err, &f), "%v names no field", err)
+	assert.Assert(t, errors.As(err, &f), "%v is not a FieldError", err)
 	assert.Equal(t, f.Path, path, f.Want)
-	assert.Assert(t, strings.Contains(f.Want, want), "%q does not say %q", f.Want, want)
+	assert.Assert(t, strings.Contains(f.Want, want), "%q does not contain %q", f.Want, want)
 }
 
 // Eventually polls ok and fails the test unless it returns true within d.
--- a/internal/test/style/style_test.go
+++ b/internal/test/style/style_test.go
@@ -66,7 +66,7 @@
 
 // TestNoTagsOnDomainTypes fails if a domain type has struct tags. Tags are allowed
 // only on codec types, whose names end in Wire, on types in tests, and on the output
-// types of the load driver.
+// types of the load generator.
 func TestNoTagsOnDomainTypes(t *testing.T) {
 	walkSources(t, func(path string, file *ast.File, fset *token.FileSet) {
 		if strings.HasSuffix(path, "_test.go") || strings.Contains(path, "internal/load/") {
