--- a/internal/fake/store/meter.go
+++ b/internal/fake/store/meter.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// callMeter counts the calls of each caller and in the busiest second.
+// callMeter counts the calls of each client and in the busiest second.
 type callMeter struct {
 	mu            sync.Mutex
 	calls         map[string]int
@@ -16,10 +16,10 @@
 	peakPerSecond int
 }
 
-func (m *callMeter) recordCall(caller string, at time.Time) {
+func (m *callMeter) recordCall(client string, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.calls[caller]++
+	m.calls[client]++
 	if s := at.Unix(); s != m.currentSecond {
 		m.currentSecond, m.currentCalls = s, 0
 	}
@@ -35,7 +35,7 @@
 
 // Counts holds the numbers of calls that the store has received.
 type Counts struct {
-	Calls         map[string]int // by caller
+	Calls         map[string]int // by client
 	PeakPerSecond int            // in the busiest second
 	Refused       int            // over the rate limit
 }
--- a/internal/load/drive/client.go
+++ b/internal/load/drive/client.go
@@ -164,8 +164,8 @@
 }
 
 // httpRequest returns the method, path and body of the request. Package net/http
-// itself retries a GET when a reused connection breaks, as callers' HTTP clients
-// do.
+// itself retries a GET when a reused connection breaks, as the HTTP libraries of
+// real clients do.
 func (s *session) httpRequest() (string, string, []byte) {
 	r := &s.request
 	if r.Plain {
--- a/internal/load/drive/result.go
+++ b/internal/load/drive/result.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is the result of a request as its caller sees it.
+// Outcome is the result of a request as its client sees it.
 type Outcome uint8
 
 // The outcomes of a request.
--- a/internal/load/fault/kinds.go
+++ b/internal/load/fault/kinds.go
@@ -12,7 +12,7 @@
 // Kind is one kind of fault.
 type Kind struct {
 	Name string
-	// AffectsVM says that a VM is killed or paused, so that callers may see broken
+	// AffectsVM says that a VM is killed or paused, so that clients may see broken
 	// connections.
 	AffectsVM bool
 	// Start injects the fault and returns how to undo it and how long it should
--- a/internal/load/plan/fleet.go
+++ b/internal/load/plan/fleet.go
@@ -66,7 +66,7 @@
 type Fleet struct {
 	Dir          string
 	Profile      Profile
-	VMs          []Endpoint // VMs, addresses for callers
+	VMs          []Endpoint // VMs, addresses for clients
 	Operators    []Endpoint // the same VMs, addresses for operators
 	Peers        []Endpoint // the same VMs, addresses for other VMs
 	Engines      []Endpoint
@@ -131,7 +131,7 @@
 	Lookups   = "lookups"   // retryable plain calls
 )
 
-// CallerKey returns the API key of a workspace's callers.
+// CallerKey returns the API key of a workspace's clients.
 func CallerKey(workspace string) string { return "caller-of-" + workspace }
 
 // OperatorKey returns the key of the operators of a workspace, or of the whole
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -28,7 +28,7 @@
 type Scenario struct {
 	Name        string
 	Description string
-	// Graceful says that no VM is killed or paused. Then no caller may see a broken
+	// Graceful says that no VM is killed or paused. Then no client may see a broken
 	// connection.
 	Graceful          bool
 	ConcurrentUpdates bool // operators update settings concurrently during the run
@@ -193,7 +193,7 @@
 	return s
 }
 
-// readMetrics reads the measures that matter to callers, and the bytes of calls
+// readMetrics reads the measures that matter to clients, and the bytes of calls
 // between VMs, from the VMs' metrics.
 func (r *Result) readMetrics(ctx context.Context, f *plan.Fleet) {
 	for _, vm := range f.VMs {
--- a/internal/proc/burn/meter.go
+++ b/internal/proc/burn/meter.go
@@ -52,11 +52,11 @@
 	return &Meter{vm: vm, rows: map[key]*[numObjectives]windowCounts{}}
 }
 
-// Gap implements result.Recorder. It does nothing, because Done counts late tokens
-// with their request.
+// RecordGap implements result.Recorder. It does nothing, because RecordRequest counts
+// late tokens with their request.
 func (m *Meter) Gap(time.Duration) {}
 
-// Done implements result.Recorder.
+// RecordRequest implements result.Recorder.
 func (m *Meter) Done(r *result.Record) {
 	if r.Workspace == "" || r.Service == "" {
 		return
--- a/internal/proc/conf/node.go
+++ b/internal/proc/conf/node.go
@@ -17,7 +17,7 @@
 type Node struct {
 	Name         ident.VM
 	Domain       ident.FailureDomain
-	Callers      netip.AddrPort // HTTP for callers
+	Callers      netip.AddrPort // HTTP for clients
 	Operators    netip.AddrPort // HTTP for operators
 	Peers        netip.AddrPort // UDP and TCP for other VMs
 	Store        netip.AddrPort
@@ -34,13 +34,13 @@
 
 // Limits holds limits on sizes and times.
 type Limits struct {
-	MaxBodyBytes      int           // of a caller's request
-	MaxHeaderBytes    int           // of a caller's request
+	MaxBodyBytes      int           // of a client's request
+	MaxHeaderBytes    int           // of a client's request
 	MaxResponseBytes  int           // of a plain server's response
-	MaxConns          int           // of callers
-	ReadTimeout       time.Duration // time for a caller to send a request
+	MaxConns          int           // of clients
+	ReadTimeout       time.Duration // time for a client to send a request
 	IdleTimeout       time.Duration // time between two requests on a connection
-	WriteTimeout      time.Duration // time a caller may go without reading
+	WriteTimeout      time.Duration // time a client may go without reading
 	ConnectTimeout    time.Duration // for connections to backend servers
 	EngineIdleTimeout time.Duration // longest time without data on an engine connection
 	LoadInterval      time.Duration // time between two reads of an engine's load report
--- a/internal/proc/edge/recorder.go
+++ b/internal/proc/edge/recorder.go
@@ -16,7 +16,7 @@
 	metricSet *metrics.Set
 }
 
-// Ended implements task.Counter.
+// RecordResult implements task.Recorder.
 func (r *recorder) Ended(res *task.Result) {
 	kind, reason, ran := "", "", ""
 	if res.Route != nil {
--- a/internal/proc/record/recorder.go
+++ b/internal/proc/record/recorder.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Gap implements result.Recorder.
+// RecordGap implements result.Recorder.
 func (r *Recorder) Gap(d time.Duration) {
 	r.gaps.Update(d.Seconds())
 	if r.next != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Done implements result.Recorder.
+// RecordRequest implements result.Recorder.
 func (r *Recorder) Done(rec *result.Record) {
 	r.count(rec)
 	r.logRecord(rec)
--- a/internal/proc/serve/vm.go
+++ b/internal/proc/serve/vm.go
@@ -55,7 +55,7 @@
 	peerTimeout = 3 * time.Second
 )
 
-// VM is an entry VM: the components that serve callers, operators and other VMs.
+// VM is an entry VM: the components that serve clients, operators and other VMs.
 type VM struct {
 	cfg            *conf.Node
 	log            *zap.Logger
@@ -184,7 +184,7 @@
 }
 
 // httpLog adapts the log to fasthttp. The library's messages are mostly about
-// callers' broken connections and help only in debugging, so they are logged at
+// clients' broken connections and help only in debugging, so they are logged at
 // debug level.
 type httpLog struct{ log *zap.Logger }
 
--- a/internal/test/inproc/fleet.go
+++ b/internal/test/inproc/fleet.go
@@ -157,7 +157,7 @@
 	})
 }
 
-// WaitReady waits until VM i is ready for callers.
+// WaitReady waits until VM i is ready for clients.
 func (f *Fleet) WaitReady(i int) {
 	f.t.Helper()
 	check.Eventually(f.t, 20*time.Second, "VM ready", func() bool {
@@ -178,18 +178,18 @@
 	<-f.done[i]
 }
 
-// URL returns the URL of a path of VM i's caller API.
+// URL returns the URL of a path of VM i's client API.
 func (f *Fleet) URL(i int, path string) string {
 	return "http://" + f.Layout.VMs[i].Address.String() + path
 }
 
-// Get requests a path of VM i's caller API as a caller of the workspace.
+// Get requests a path of VM i's client API as a client of the workspace.
 func (f *Fleet) Get(i int, path, workspace string) (int, string) {
 	code, body, _ := f.Call(i, http.MethodGet, path, workspace, "")
 	return code, body
 }
 
-// Call sends a request to VM i's caller API as a caller of the workspace. The
+// Call sends a request to VM i's client API as a client of the workspace. The
 // status code is 0 if the exchange failed. headers holds names and values in turn.
 func (f *Fleet) Call(i int, method, path, workspace, body string, headers ...string) (int, string, http.Header) {
 	return f.Do(method, f.URL(i, path), plan.CallerKey(workspace), body, headers...)
