--- a/internal/load/plan/fleet.go
+++ b/internal/load/plan/fleet.go
@@ -34,8 +34,8 @@
 	EngineStep     time.Duration // time of one step of an engine
 }
 
-// Profiles returns the known deployments: the two that the requirements describe,
-// with small engines, and a smaller one for demonstrations.
+// Profiles returns the known profiles: the two deployments that the requirements
+// describe, with small engines, and a smaller one for demonstrations.
 func Profiles() []Profile {
 	return []Profile{
 		{Name: "demo", FailureDomains: 3, Engines: 4, PlainServers: 2, EngineMemory: 6000, EngineBatch: 64, EngineStep: 4 * time.Millisecond},
@@ -66,7 +66,7 @@
 type Fleet struct {
 	Dir          string
 	Profile      Profile
-	VMs          []Endpoint // VMs, addresses for callers
+	VMs          []Endpoint // VMs, addresses for clients
 	Operators    []Endpoint // the same VMs, addresses for operators
 	Peers        []Endpoint // the same VMs, addresses for other VMs
 	Engines      []Endpoint
@@ -131,7 +131,7 @@
 	Lookups   = "lookups"   // retryable plain calls
 )
 
-// CallerKey returns the API key of a workspace's callers.
+// CallerKey returns the API key of a workspace's clients.
 func CallerKey(workspace string) string { return "caller-of-" + workspace }
 
 // OperatorKey returns the key of the operators of a workspace, or of the whole
--- a/internal/load/scene/scene.go
+++ b/internal/load/scene/scene.go
@@ -24,11 +24,11 @@
 	"umberladder/internal/policy/retry"
 )
 
-// Scenario is one scenario of a load test.
+// Scenario defines the faults of a load test and the conditions under which it passes.
 type Scenario struct {
 	Name        string
 	Description string
-	// Graceful says that no VM is killed or paused. Then no caller may see a broken
+	// Graceful says that no VM is killed or paused. Then no client may see a broken
 	// connection.
 	Graceful          bool
 	ConcurrentUpdates bool // operators update settings concurrently during the run
@@ -158,8 +158,8 @@
 	drive.Summary
 	ConnectionBreaks int `json:"cut-off"`   // requests with a broken connection though no VM was killed or paused
 	LateRequests     int `json:"late-work"` // generations offered to engines more than 3 s after these began to drain
-	// StallPerRequest (in milliseconds) and PreemptedPer1000 leave out the metrics
-	// that were lost with killed VMs.
+	// StallPerRequest (in milliseconds) and PreemptedPer1000 do not include the
+	// metrics that were lost with killed VMs.
 	StallPerRequest     float64   `json:"stall-ms-per-request"`
 	PreemptedPer1000    float64   `json:"preempted-per-1000"`
 	CallBytesPerRequest float64   `json:"peer-call-bytes-per-request"`
@@ -193,7 +193,7 @@
 	return s
 }
 
-// readMetrics reads the measures that matter to callers, and the bytes of calls
+// readMetrics reads the measures that matter to clients, and the bytes of calls
 // between VMs, from the VMs' metrics.
 func (r *Result) readMetrics(ctx context.Context, f *plan.Fleet) {
 	for _, vm := range f.VMs {
--- a/internal/proc/record/recorder.go
+++ b/internal/proc/record/recorder.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Gap implements result.Recorder.
+// RecordGap implements result.Recorder.
 func (r *Recorder) Gap(d time.Duration) {
 	r.gaps.Update(d.Seconds())
 	if r.next != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Done implements result.Recorder.
+// RecordRequest implements result.Recorder.
 func (r *Recorder) Done(rec *result.Record) {
 	r.count(rec)
 	r.logRecord(rec)
@@ -89,12 +89,13 @@
 		zap.Int("bytes", rec.Bytes),
 	}
 	if rec.Refusal != nil {
-		fields = append(fields, refusal(rec.Refusal)...)
+		fields = append(fields, refusalFields(rec.Refusal)...)
 	}
 	r.log.Info("request", fields...)
 }
 
-func refusal(r *refuse.Refusal) []zap.Field {
+// refusalFields returns the log fields of a refusal.
+func refusalFields(r *refuse.Refusal) []zap.Field {
 	return []zap.Field{
 		zap.Stringer("reason", r.Reason),
 		zap.String("detail", r.Detail),
