--- a/internal/peer/caller/stream.go
+++ b/internal/peer/caller/stream.go
@@ -18,9 +18,9 @@
 	ctx.Response.Header.Set(headerRequest, string(st.Request()))
 	ctx.Response.Header.Set(headerResume, st.Handle())
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		c := &eventWriter{w: w, encoder: openai.NewEncoder(st.Request(), st.Service(), st.Chat(), time.Now())}
-		disconnected := s.copyEvents(c, st)
-		st.Close(disconnected, c.bytes)
+		events := &eventWriter{w: w, encoder: openai.NewEncoder(st.Request(), st.Service(), st.Chat(), time.Now())}
+		disconnected := s.copyEvents(events, st)
+		st.Close(disconnected, events.bytes)
 	})
 }
 
@@ -31,27 +31,27 @@
 	bytes   int
 }
 
-func (c *eventWriter) write(event []byte) error {
-	c.bytes += len(event)
-	if _, err := c.w.Write(event); err != nil {
+func (e *eventWriter) write(event []byte) error {
+	e.bytes += len(event)
+	if _, err := e.w.Write(event); err != nil {
 		return err
 	}
-	return c.w.Flush()
+	return e.w.Flush()
 }
 
 // copyEvents sends all tokens of the stream and reports whether the caller
 // disconnected before the end. A stream that fails ends with an event "error",
 // without [DONE].
-func (s *Server) copyEvents(c *eventWriter, st Stream) bool {
+func (s *Server) copyEvents(events *eventWriter, st Stream) bool {
 	for {
 		t, refusal := st.Next()
 		switch {
 		case refusal != nil:
-			return c.write(s.errorEvent(refusal)) != nil
+			return events.write(s.errorEvent(refusal)) != nil
 		case t.FinishReason != "":
-			return c.write(c.encoder.Finish(t)) != nil
+			return events.write(events.encoder.Finish(t)) != nil
 		}
-		if c.write(c.encoder.Token(t)) != nil {
+		if events.write(events.encoder.Token(t)) != nil {
 			return true
 		}
 	}
--- a/internal/peer/engine/client.go
+++ b/internal/peer/engine/client.go
@@ -125,7 +125,7 @@
 	resp := &fasthttp.Response{}
 	body, err := c.dialer.DoStream(ctx, addr, req, resp, httpc.Options{NewConn: true, MaxBody: maxResponse})
 	if err != nil {
-		return nil, linkError(err)
+		return nil, transportError(err)
 	}
 	if resp.StatusCode() == fasthttp.StatusOK {
 		return NewStream(body), nil
@@ -135,13 +135,13 @@
 }
 
 // linkError classifies a failed exchange by whether the request may have run.
-func linkError(err error) *Error {
-	fault := OutcomeUnknown
-	var le *httpc.Error
-	if errors.As(err, &le) && le.Unsent() {
-		fault = Unsent
+func transportError(err error) *Error {
+	kind := OutcomeUnknown
+	var httpErr *httpc.Error
+	if errors.As(err, &httpErr) && httpErr.Unsent() {
+		kind = Unsent
 	}
-	return &Error{Kind: fault, Err: err}
+	return &Error{Kind: kind, Err: err}
 }
 
 // responseError classifies a response other than 200 by the member "started".
--- a/internal/peer/engine/error.go
+++ b/internal/peer/engine/error.go
@@ -19,8 +19,8 @@
 	Invalid                         // the response violates the protocol
 )
 
-func (f ErrorKind) String() string {
-	return [...]string{"unsent", "refused", "unknown", "maybe", "broken", "silent", "invalid"}[f]
+func (k ErrorKind) String() string {
+	return [...]string{"unsent", "refused", "unknown", "maybe", "broken", "silent", "invalid"}[k]
 }
 
 // Error is a failed call to an engine.
--- a/internal/peer/front/front_test.go
+++ b/internal/peer/front/front_test.go
@@ -28,8 +28,8 @@
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	reject := func(w *ResponseWriter, f ErrorKind, detail string) {
-		_ = w.WriteResponse(statuses[f], nil, []byte(detail))
+	reject := func(w *ResponseWriter, kind ErrorKind, detail string) {
+		_ = w.WriteResponse(statuses[kind], nil, []byte(detail))
 	}
 	s := New(h, reject, func() Limits { return limits }, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -67,12 +67,12 @@
 
 func TestRequests(t *testing.T) {
 	_, dial := startServer(t, echo)
-	const last = "Connection: close\r\n\r\n"
+	const closeHeader = "Connection: close\r\n\r\n"
 	for name, tc := range map[string]struct{ raw, want string }{
-		"no body":                        {"GET /a/b?c=%41 HTTP/1.1\r\nHost: h\r\n" + last, `GET /a/b?c=%41 h "" 0`},
-		"a length":                       {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + last + "abc", `"abc"`},
-		"a chunked body":                 {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + last + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", `"abc"`},
-		"a get with a body":              {"GET /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + last + "abc", `GET /a/ h "abc" 0`},
+		"no body":                        {"GET /a/b?c=%41 HTTP/1.1\r\nHost: h\r\n" + closeHeader, `GET /a/b?c=%41 h "" 0`},
+		"a length":                       {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + closeHeader + "abc", `"abc"`},
+		"a chunked body":                 {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n" + closeHeader + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", `"abc"`},
+		"a get with a body":              {"GET /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n" + closeHeader + "abc", `GET /a/ h "abc" 0`},
 		"connection-specific fields":     {"GET /a/ HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nX-B: 2\r\nKeep-Alive: 5\r\nConnection: close, X-B\r\n\r\n", `"" 1`},
 		"two lengths":                    {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "400"},
 		"a length and chunked coding":    {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
@@ -87,9 +87,9 @@
 		"a long chunked body":            {"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + "3e9\r\n" + strings.Repeat("x", 1001) + "\r\n0\r\n\r\n", "413"},
 		"an incomplete header section":   {"GET /a/ HTTP/1.1\r\nHost: h\r\n", "408"},
 		"not HTTP":                       {"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", "400"},
-		"a body after 100 Continue":      {"POST /a/ HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n" + last + "abc", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"},
+		"a body after 100 Continue":      {"POST /a/ HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 3\r\n" + closeHeader + "abc", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"},
 		"a truncated body":               {"", ""},
-		"two pipelined requests":         {"GET /1/ HTTP/1.1\r\nHost: h\r\n\r\nGET /2/ HTTP/1.1\r\nHost: h\r\n" + last, "GET /2/ h"},
+		"two pipelined requests":         {"GET /1/ HTTP/1.1\r\nHost: h\r\n\r\nGET /2/ HTTP/1.1\r\nHost: h\r\n" + closeHeader, "GET /2/ h"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if tc.raw == "" {
--- a/internal/peer/front/response.go
+++ b/internal/peer/front/response.go
@@ -27,7 +27,7 @@
 	chunked    io.WriteCloser
 }
 
-func newReply(c *conn) *ResponseWriter { return &ResponseWriter{c: c} }
+func newResponseWriter(c *conn) *ResponseWriter { return &ResponseWriter{c: c} }
 
 // writeContinue sends the interim response 100 (Continue), which asks the
 // client to send the request body.
--- a/internal/peer/front/server.go
+++ b/internal/peer/front/server.go
@@ -121,10 +121,10 @@
 		return false
 	}
 	c.growReadBuffer(limits.MaxHeaderBytes)
-	w := newReply(c)
+	w := newResponseWriter(c)
 	r, rerr := readRequest(c, limits, w)
 	if rerr != nil {
-		s.log.Info("request not readable", zap.Stringer("client", c.remote), zap.String("fault", rerr.Error()))
+		s.log.Info("cannot read request", zap.Stringer("client", c.remote), zap.String("fault", rerr.Error()))
 		if rerr.canRespond() {
 			w.closeAfter = true
 			s.handleError(w, rerr.ErrorKind, rerr.Error())
