--- a/internal/peer/gossip/agent.go
+++ b/internal/peer/gossip/agent.go
@@ -39,18 +39,19 @@
 	// Clock returns this VM's time, which is sent in a report as its request time.
 	Clock() uint64
 	// VersionReply returns the reply to a report with the given request time.
-	VersionReply(ask uint64) *wire.VersionReply
-	// HandlePlacementRequest handles a placement request of another VM, and responds to
-	// it by reply.
-	HandlePlacementRequest(a coord.Request, reply func(coord.Response))
+	VersionReply(requestTime uint64) *wire.VersionReply
+	// HandlePlacementRequest handles another VM's placement request and passes the
+	// response to reply.
+	HandlePlacementRequest(req coord.Request, reply func(coord.Response))
 	// HandlePlacementResponse handles the response to a placement request of this VM.
-	HandlePlacementResponse(a coord.Response)
+	HandlePlacementResponse(resp coord.Response)
 	// StateChanged returns a channel that receives a value when there is a change to
 	// announce to all VMs.
 	StateChanged() <-chan struct{}
 	// LoadsChanged returns a channel that receives a value when this VM's loads change.
 	LoadsChanged() <-chan struct{}
-	// Coordinators returns the addresses of the VMs that decide placement by the loads.
+	// Coordinators returns the addresses of the VMs that decide placements based on the
+	// reported loads.
 	Coordinators() []netip.AddrPort
 }
 
@@ -60,15 +61,15 @@
 // The kinds of messages, and their number.
 const (
 	Reports    Kind = iota // a VM's own state, to hubs and coordinators
-	Responses              // of hubs, to reports and unsolicited
+	Responses              // a hub's, to a report or unsolicited
 	Placements             // placement requests and responses
 	NumKinds
 )
 
-// String returns the kind's name, as metrics have it.
+// String returns the kind's name in metrics.
 func (k Kind) String() string { return [...]string{"reports", "answers", "seats"}[k] }
 
-// Traffic is a number of sent messages and their size.
+// Traffic is a number of sent messages and their total size in bytes.
 type Traffic struct {
 	Messages uint64
 	Bytes    uint64
@@ -89,13 +90,13 @@
 	conn     udpConn
 	delegate Delegate
 	hubs     *hubs.Tracker
-	sendNow  chan struct{} // has an element if a report is to be sent at once
+	sendNow  chan struct{} // holds a value when a report is to be sent at once
 	sent     [NumKinds]struct{ messages, bytes atomic.Uint64 }
 	log      *zap.Logger
 }
 
-// New returns an agent that listens at addr. The boot number must rise with each start
-// of the VM.
+// New returns an agent that listens at addr. The boot number must increase with each
+// start of the VM.
 func New(vm ident.VM, boot uint64, addr netip.AddrPort, delegate Delegate, h *hubs.Tracker, log *zap.Logger) (*Agent, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
@@ -110,30 +111,30 @@
 }
 
 // Sent returns the messages of a kind that were sent since the start.
-func (g *Agent) Sent(k Kind) Traffic {
-	return Traffic{Messages: g.sent[k].messages.Load(), Bytes: g.sent[k].bytes.Load()}
+func (a *Agent) Sent(k Kind) Traffic {
+	return Traffic{Messages: a.sent[k].messages.Load(), Bytes: a.sent[k].bytes.Load()}
 }
 
 // RunSender sends reports, and announcements of changes, until ctx ends. It then closes
 // the socket.
-func (g *Agent) RunSender(ctx context.Context) {
+func (a *Agent) RunSender(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
 		var n int
 		select {
 		case <-ctx.Done():
-			_ = g.conn.Close()
+			_ = a.conn.Close()
 			return
 		case <-t.C:
-			n = g.sendReports(time.Now(), false)
-			t.Reset(g.hubs.NextReport(time.Now()))
-		case <-g.sendNow:
-			n = g.sendReports(time.Now(), true)
-		case <-g.delegate.StateChanged():
-			n = g.announce(time.Now())
-		case <-g.delegate.LoadsChanged():
-			n = g.sendLoads(time.Now())
+			n = a.sendReports(time.Now(), false)
+			t.Reset(a.hubs.NextReport(time.Now()))
+		case <-a.sendNow:
+			n = a.sendReports(time.Now(), true)
+		case <-a.delegate.StateChanged():
+			n = a.announce(time.Now())
+		case <-a.delegate.LoadsChanged():
+			n = a.sendLoads(time.Now())
 		}
 		select {
 		case <-ctx.Done():
@@ -142,124 +143,126 @@
 	}
 }
 
-// ReportNow has RunSender report to the hubs without waiting for the report interval.
-func (g *Agent) ReportNow() {
+// ReportNow makes RunSender report to the hubs without waiting for the report interval.
+func (a *Agent) ReportNow() {
 	select {
-	case g.sendNow <- struct{}{}:
+	case a.sendNow <- struct{}{}:
 	default:
 	}
 }
 
 // newReport returns a message with this VM's own state.
-func (g *Agent) newReport(now time.Time) *wire.Message {
-	g.seq++
-	m := &wire.Message{VM: g.vm, Boot: g.boot, Seq: g.seq}
-	g.delegate.FillReport(m, now)
+func (a *Agent) newReport(now time.Time) *wire.Message {
+	a.seq++
+	m := &wire.Message{VM: a.vm, Boot: a.boot, Seq: a.seq}
+	a.delegate.FillReport(m, now)
 	return m
 }
 
-// sendReports reports to the hubs, to all or only to those that are due, and requests
-// their responses. It returns the number of hubs.
-func (g *Agent) sendReports(now time.Time, all bool) int {
-	targets := g.hubs.Targets(now, all)
+// sendReports sends a report to all hubs, or only to those whose report is due, and
+// requests a response. It returns the number of hubs.
+func (a *Agent) sendReports(now time.Time, all bool) int {
+	targets := a.hubs.Targets(now, all)
 	if len(targets) == 0 {
 		return 0
 	}
-	m := g.newReport(now)
+	m := a.newReport(now)
 	for _, c := range targets {
-		m.RequestTime = g.delegate.Clock()
-		m.CandidateDigest = g.hubs.CandidateDigest(c.VM)
-		g.write(Reports, m, c.Addr)
+		m.RequestTime = a.delegate.Clock()
+		m.CandidateDigest = a.hubs.CandidateDigest(c.VM)
+		a.write(Reports, m, c.Addr)
 	}
 	return len(targets)
 }
 
 // announce sends this VM's state to the hubs and, if this VM is a hub, to all VMs that
 // report to it. It returns the number of receivers.
-func (g *Agent) announce(now time.Time) int {
-	n := g.sendReports(now, true)
-	reporters := g.hubs.Reporters(now)
-	digest := hubs.Digest(g.hubs.LiveCandidates(now)) // leaves out the candidates; VMs get new ones with the next response
+func (a *Agent) announce(now time.Time) int {
+	n := a.sendReports(now, true)
+	reporters := a.hubs.Reporters(now)
+	digest := hubs.Digest(a.hubs.LiveCandidates(now)) // equal to the current one, so that the candidates are left out; VMs get new ones with the response to their next report
 	for _, c := range reporters {
-		g.respond(c.VM, c.Addr, &wire.Message{VM: g.vm, Boot: g.boot}, digest, now)
+		a.respond(c.VM, c.Addr, &wire.Message{VM: a.vm, Boot: a.boot}, digest, now)
 	}
 	return n + len(reporters)
 }
 
 // sendLoads reports this VM's loads to the coordinators. It returns their number.
-func (g *Agent) sendLoads(now time.Time) int {
-	m := g.newReport(now)
+func (a *Agent) sendLoads(now time.Time) int {
+	m := a.newReport(now)
 	m.ServerUpdate = nil
-	list := g.delegate.Coordinators()
-	for _, addr := range list {
-		g.write(Reports, m, addr)
+	addrs := a.delegate.Coordinators()
+	for _, addr := range addrs {
+		a.write(Reports, m, addr)
 	}
-	return len(list)
+	return len(addrs)
 }
 
 // respond sends the combined state of all VMs to a VM that reports to this one. It
 // leaves out the candidates if the digest shows that the VM has the current ones.
-func (g *Agent) respond(to ident.VM, addr netip.AddrPort, m *wire.Message, digest uint64, now time.Time) {
-	names := g.hubs.LiveCandidates(now)
-	m.Hub = &wire.HubResponse{CandidateDigest: hubs.Digest(names)}
+func (a *Agent) respond(to ident.VM, addr netip.AddrPort, m *wire.Message, digest uint64, now time.Time) {
+	candidates := a.hubs.LiveCandidates(now)
+	m.Hub = &wire.HubResponse{CandidateDigest: hubs.Digest(candidates)}
 	if digest != m.Hub.CandidateDigest {
-		m.Hub.Candidates = names
+		m.Hub.Candidates = candidates
 	}
-	g.delegate.FillResponse(m, to, now)
-	g.write(Responses, m, addr)
+	a.delegate.FillResponse(m, to, now)
+	a.write(Responses, m, addr)
 }
 
 // write sends a message, in parts if it is too large for one datagram.
-func (g *Agent) write(k Kind, m *wire.Message, to netip.AddrPort) {
+func (a *Agent) write(k Kind, m *wire.Message, to netip.AddrPort) {
 	for _, b := range m.EncodeParts(maxDatagram) {
-		if _, err := g.conn.WriteToUDPAddrPort(b, to); err != nil {
-			g.log.Debug("message not sent", zap.Stringer("kind", k), zap.Stringer("to", to), zap.Error(err))
+		if _, err := a.conn.WriteToUDPAddrPort(b, to); err != nil {
+			a.log.Debug("message not sent", zap.Stringer("kind", k), zap.Stringer("to", to), zap.Error(err))
 			continue
 		}
-		g.sent[k].messages.Add(1)
-		g.sent[k].bytes.Add(uint64(len(b)))
+		a.sent[k].messages.Add(1)
+		a.sent[k].bytes.Add(uint64(len(b)))
 	}
 }
 
 // SendRequest sends a placement request to another VM.
-func (g *Agent) SendRequest(to netip.AddrPort, req coord.Request) {
-	g.write(Placements, &wire.Message{VM: g.vm, PlacementRequest: &req}, to)
+func (a *Agent) SendRequest(to netip.AddrPort, req coord.Request) {
+	a.write(Placements, &wire.Message{VM: a.vm, PlacementRequest: &req}, to)
 }
 
 // handle passes a message to the delegate's method for its kind.
-func (g *Agent) handle(m *wire.Message, from netip.AddrPort) {
+func (a *Agent) handle(m *wire.Message, from netip.AddrPort) {
 	switch {
-	case m.VM == g.vm:
+	case m.VM == a.vm:
 	case m.PlacementRequest != nil:
-		g.delegate.HandlePlacementRequest(*m.PlacementRequest, func(a coord.Response) { g.write(Placements, &wire.Message{VM: g.vm, PlacementResponse: &a}, from) })
+		a.delegate.HandlePlacementRequest(*m.PlacementRequest, func(resp coord.Response) {
+			a.write(Placements, &wire.Message{VM: a.vm, PlacementResponse: &resp}, from)
+		})
 	case m.PlacementResponse != nil:
-		g.delegate.HandlePlacementResponse(*m.PlacementResponse)
+		a.delegate.HandlePlacementResponse(*m.PlacementResponse)
 	case m.Hub != nil:
-		g.delegate.HandleResponse(m, from, time.Now())
+		a.delegate.HandleResponse(m, from, time.Now())
 	default:
-		g.delegate.HandleReport(m, from, time.Now())
+		a.delegate.HandleReport(m, from, time.Now())
 		if m.RequestTime != 0 {
-			g.respond(m.VM, from, &wire.Message{VM: g.vm, Boot: g.boot, Reply: g.delegate.VersionReply(m.RequestTime)}, m.CandidateDigest, time.Now())
+			a.respond(m.VM, from, &wire.Message{VM: a.vm, Boot: a.boot, Reply: a.delegate.VersionReply(m.RequestTime)}, m.CandidateDigest, time.Now())
 		}
 	}
 }
 
 // RunReceiver handles messages until the socket is closed.
-func (g *Agent) RunReceiver(ctx context.Context) {
+func (a *Agent) RunReceiver(ctx context.Context) {
 	buf := make([]byte, maxDatagram)
 	for {
-		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := a.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() == nil {
-				g.log.Error("gossip receiver stopped", zap.Error(err))
+				a.log.Error("gossip receiver stopped", zap.Error(err))
 			}
 			return
 		}
 		m, err := wire.Decode(buf[:n])
 		if err != nil {
-			g.log.Warn("message not decoded", zap.Stringer("from", from), zap.Error(err))
+			a.log.Warn("message not decoded", zap.Stringer("from", from), zap.Error(err))
 			continue
 		}
-		g.handle(m, from)
+		a.handle(m, from)
 	}
 }
--- a/internal/peer/gossip/expiry_test.go
+++ b/internal/peer/gossip/expiry_test.go
@@ -154,8 +154,8 @@
 		if hub == nil || hub.servers == nil {
 			continue
 		}
-		if n, ok := hub.servers.Snapshot(); ok {
-			return n, nil
+		if update, ok := hub.servers.Snapshot(); ok {
+			return update, nil
 		}
 	}
 	return follow.Update{}, follow.ErrNoPeer
@@ -217,11 +217,11 @@
 		"hubs reach the store last, 5 s":   {before: 5 * time.Second, late: hubsOf},
 		"hubs reach the store last, 5.4 s": {before: 5400 * time.Millisecond, late: hubsOf},
 	} {
-		t.Run(name, func(t *testing.T) { testLapse(t, tc.before, tc.late) })
+		t.Run(name, func(t *testing.T) { testEntryExpiry(t, tc.before, tc.late) })
 	}
 }
 
-func testLapse(t *testing.T, before time.Duration, late func(v *node) []ident.VM) {
+func testEntryExpiry(t *testing.T, before time.Duration, late func(v *node) []ident.VM) {
 	const outage = 4500 * time.Millisecond
 	r := newRegistry()
 	runFleetWithServers(t, min(vms, 80), 0.04, r, func(t *testing.T, f *fleet) {
--- a/internal/peer/gossip/findings_test.go
+++ b/internal/peer/gossip/findings_test.go
@@ -19,7 +19,7 @@
 	maxLearnTime = 3 * time.Second
 )
 
-// reportCrash has a VM observe a crash of server n under the fatal request.
+// reportCrash makes a VM observe a crash of server n under the fatal request.
 func reportCrash(v *node, n int) {
 	v.poison.Crashed(fatalRequest, ident.Server(fmt.Sprint("i-", n)), time.Now())
 }
--- a/internal/peer/gossip/freeze_test.go
+++ b/internal/peer/gossip/freeze_test.go
@@ -46,8 +46,8 @@
 				for n := range 3 {
 					reportCrash(running[n], n)
 				}
-				for _, f := range thaw {
-					f()
+				for _, resume := range thaw {
+					resume()
 				}
 				time.Sleep(maxAgreeTime)
 				f.assertAgreed(t, fmt.Sprint(name, ", after it resumed"))
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -164,10 +164,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-v.outbox:
-			retry.Sleep(ctx, time.Until(p.at))
+		case d := <-v.outbox:
+			retry.Sleep(ctx, time.Until(d.at))
 			select {
-			case p.to <- p.datagram:
+			case d.to <- d.datagram:
 			default: // the receiver's buffer is full
 			}
 		}
@@ -201,8 +201,8 @@
 	if v.servers == nil {
 		return
 	}
-	if n, ok := v.servers.RecentChanges(now); ok {
-		m.ServerUpdate = &n
+	if update, ok := v.servers.RecentChanges(now); ok {
+		m.ServerUpdate = &update
 	}
 }
 
@@ -277,8 +277,8 @@
 }
 
 func (v *node) Clock() uint64 { return 1 }
-func (v *node) VersionReply(ask uint64) *wire.VersionReply {
-	return &wire.VersionReply{RequestTime: ask, Version: v.version.Load()}
+func (v *node) VersionReply(requestTime uint64) *wire.VersionReply {
+	return &wire.VersionReply{RequestTime: requestTime, Version: v.version.Load()}
 }
 func (v *node) HandlePlacementRequest(coord.Request, func(coord.Response)) {}
 func (v *node) HandlePlacementResponse(coord.Response)                     {}
@@ -296,14 +296,14 @@
 }
 
 // Quarantine implements hubreg.Registry.
-func (v *node) Quarantine(_ context.Context, e poison.Quarantine) error {
+func (v *node) Quarantine(_ context.Context, q poison.Quarantine) error {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	if v.storeUnreachable.Load() || v.net.storeDown {
 		return fmt.Errorf("store unreachable")
 	}
 	v.net.calls += 2
-	v.net.quarantined = append(v.net.quarantined, e)
+	v.net.quarantined = append(v.net.quarantined, q)
 	return nil
 }
 
--- a/internal/peer/httpc/conn.go
+++ b/internal/peer/httpc/conn.go
@@ -21,11 +21,11 @@
 	w           *bufio.Writer
 }
 
-func newConn(c net.Conn, idleTimeout time.Duration) *conn {
-	k := &conn{Conn: c, idleTimeout: idleTimeout}
-	k.r = bufio.NewReaderSize(k, bufferSize)
-	k.w = bufio.NewWriterSize(k, bufferSize)
-	return k
+func newConn(nc net.Conn, idleTimeout time.Duration) *conn {
+	c := &conn{Conn: nc, idleTimeout: idleTimeout}
+	c.r = bufio.NewReaderSize(c, bufferSize)
+	c.w = bufio.NewWriterSize(c, bufferSize)
+	return c
 }
 
 func (c *conn) Read(p []byte) (int, error) {
--- a/internal/peer/httpc/dialer.go
+++ b/internal/peer/httpc/dialer.go
@@ -16,7 +16,7 @@
 
 // Options are the options of one request.
 type Options struct {
-	NewConn     bool          // dial a new connection, since a failure of a stale one would look like a lost response
+	NewConn     bool          // always dial: on an idle connection that the server has closed, the failure would look like a lost response
 	MaxBody     int           // maximum size of a response body that is read as a whole, in bytes
 	IdleTimeout time.Duration // maximum time without data; zero: that of the dialer
 }
@@ -144,12 +144,12 @@
 func (d *Dialer) popIdle(addr netip.AddrPort) *conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.idleConns[addr]
-	if len(s) == 0 {
+	conns := d.idleConns[addr]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := s[len(s)-1]
-	d.idleConns[addr] = s[:len(s)-1]
+	c := conns[len(conns)-1]
+	d.idleConns[addr] = conns[:len(conns)-1]
 	return c
 }
 
@@ -168,7 +168,8 @@
 }
 
 // cause returns the context's cause if ctx has ended, because the connection
-// was then closed for that reason, and err otherwise.
+// was then closed for that reason. Otherwise it returns err, or
+// io.ErrUnexpectedEOF if err is nil.
 func cause(ctx context.Context, err error) error {
 	if e := context.Cause(ctx); e != nil {
 		return e
@@ -181,7 +182,7 @@
 
 // IsTimeout reports whether err was caused by a deadline.
 func IsTimeout(err error) bool {
-	// The codec's own timeout error does not implement net.Error.
+	// The timeout error of fasthttp does not implement net.Error.
 	var n interface{ Timeout() bool }
 	return errors.As(err, &n) && n.Timeout()
 }
--- a/internal/peer/httpc/doc.go
+++ b/internal/peer/httpc/doc.go
@@ -1,4 +1,5 @@
-// Package httpc is an HTTP client that reports how far a failed request came.
+// Package httpc is an HTTP client that reports at which stage a request failed
+// and how many of its bytes were written.
 //
 // It uses the HTTP codec of fasthttp, but not its client, because that retries
 // requests, and may reuse a connection on which a response is still arriving.
--- a/internal/peer/httpc/httpc_test.go
+++ b/internal/peer/httpc/httpc_test.go
@@ -69,7 +69,7 @@
 func newDialer() *Dialer { return New(netip.Addr{}, time.Second, 300*time.Millisecond, 4) }
 
 // TestLateAnswer guards against a late response that is taken for that of the
-// next request. The server responds to a request after the request has timed out.
+// next request. The server responds after the request has timed out.
 func TestLateAnswer(t *testing.T) {
 	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
@@ -143,21 +143,21 @@
 }
 
 func TestErrors(t *testing.T) {
-	var le *Error
+	var httpErr *Error
 	t.Run("no connection", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		addr := ln.Addr().(*net.TCPAddr).AddrPort()
 		_ = ln.Close()
 		_, err = do(newDialer(), addr, "/", Options{})
-		assert.Assert(t, errors.As(err, &le))
-		assert.Assert(t, le.Unsent() && le.Stage == Connect)
+		assert.Assert(t, errors.As(err, &httpErr))
+		assert.Assert(t, httpErr.Unsent() && httpErr.Stage == Connect)
 	})
 	t.Run("closed without a response", func(t *testing.T) {
 		addr := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = readRequest(r) })
 		_, err := do(newDialer(), addr, "/", Options{})
-		assert.Assert(t, errors.As(err, &le))
-		assert.Assert(t, !le.Unsent() && le.Stage == Read && le.Written > 0)
+		assert.Assert(t, errors.As(err, &httpErr))
+		assert.Assert(t, !httpErr.Unsent() && httpErr.Stage == Read && httpErr.Written > 0)
 	})
 	t.Run("closed in the body", func(t *testing.T) {
 		addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -165,8 +165,8 @@
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"))
 		})
 		_, err := do(newDialer(), addr, "/", Options{})
-		assert.Assert(t, errors.As(err, &le))
-		assert.Equal(t, le.Stage, Read)
+		assert.Assert(t, errors.As(err, &httpErr))
+		assert.Equal(t, httpErr.Stage, Read)
 	})
 	t.Run("the caller's context ends", func(t *testing.T) {
 		addr := startServer(t, func(_ int, _ net.Conn, r *bufio.Reader) {
--- a/internal/peer/httpc/raw.go
+++ b/internal/peer/httpc/raw.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a peer that is gone
-	// without notice within 4 s.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect within 4 s a peer that
+	// vanished without closing the connection.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
@@ -29,14 +29,14 @@
 
 // DoRaw sends a request with the given header and body unchanged, over a new
 // connection, and reads the header of the response.
-func (d *Dialer) DoRaw(ctx context.Context, addr netip.AddrPort, head *fasthttp.RequestHeader, body []byte, o Options) (*Response, error) {
+func (d *Dialer) DoRaw(ctx context.Context, addr netip.AddrPort, header *fasthttp.RequestHeader, body []byte, o Options) (*Response, error) {
 	o.NewConn = true
 	c, err := d.get(ctx, addr, o)
 	if err != nil {
 		return nil, &Error{Stage: Connect, Err: cause(ctx, err)}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	resp, exchangeErr := c.roundTrip(head, body)
+	resp, exchangeErr := c.roundTrip(header, body)
 	if exchangeErr != nil {
 		stop()
 		_ = c.Close()
@@ -47,8 +47,8 @@
 	return resp, nil
 }
 
-func (c *conn) roundTrip(head *fasthttp.RequestHeader, body []byte) (*Response, *Error) {
-	_, err := c.w.Write(head.Header())
+func (c *conn) roundTrip(header *fasthttp.RequestHeader, body []byte) (*Response, *Error) {
+	_, err := c.w.Write(header.Header())
 	if err == nil {
 		_, err = c.w.Write(body)
 	}
@@ -59,16 +59,16 @@
 		return nil, &Error{Stage: Write, Written: c.written, Err: err}
 	}
 	resp := &Response{}
-	if err := c.readHead(&resp.Header); err != nil {
+	if err := c.readHeader(&resp.Header); err != nil {
 		return nil, &Error{Stage: Read, Written: c.written, Err: err}
 	}
-	resp.Body = io.NopCloser(c.body(&resp.Header, head.IsHead()))
+	resp.Body = io.NopCloser(c.body(&resp.Header, header.IsHead()))
 	return resp, nil
 }
 
-// readHead reads the header of the final response. It skips informational
+// readHeader reads the header of the final response. It skips informational
 // responses.
-func (c *conn) readHead(h *fasthttp.ResponseHeader) error {
+func (c *conn) readHeader(h *fasthttp.ResponseHeader) error {
 	h.DisableNormalizing()
 	for {
 		if err := h.Read(c.r); err != nil {
@@ -90,7 +90,7 @@
 	case n == -1:
 		return httputil.NewChunkedReader(c.r)
 	case n > 0:
-		return &limitedBody{r: c.r, left: n}
+		return &limitedBody{r: c.r, remaining: n}
 	default:
 		return c.r // the body ends when the peer closes the connection
 	}
@@ -102,20 +102,20 @@
 
 // limitedBody reads a body of known length.
 type limitedBody struct {
-	r    io.Reader
-	left int
+	r         io.Reader
+	remaining int
 }
 
 func (b *limitedBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	if len(p) > b.left {
-		p = p[:b.left]
+	if len(p) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	b.left -= n
-	if errors.Is(err, io.EOF) && b.left > 0 {
+	b.remaining -= n
+	if errors.Is(err, io.EOF) && b.remaining > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
--- a/internal/peer/httpc/raw_test.go
+++ b/internal/peer/httpc/raw_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestSendBytes checks that a request arrives byte for byte.
-func TestSendBytes(t *testing.T) {
+// TestRequestUnchanged checks that a request arrives byte for byte.
+func TestRequestUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	addr := startServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		b := make([]byte, 4096)
--- a/internal/peer/nodes/codec.go
+++ b/internal/peer/nodes/codec.go
@@ -21,29 +21,29 @@
 	}
 }
 
-func decodeMember(w *proto.Member) (member.Member, error) {
-	addr, err := netip.ParseAddrPort(w.GetAddress())
+func decodeMember(pm *proto.Member) (member.Member, error) {
+	addr, err := netip.ParseAddrPort(pm.GetAddress())
 	if err != nil {
-		return member.Member{}, trace.BadParameter("invalid member address %q", w.GetAddress())
+		return member.Member{}, trace.BadParameter("invalid member address %q", pm.GetAddress())
 	}
-	if err := ident.CheckName(w.GetName()); err != nil {
+	if err := ident.CheckName(pm.GetName()); err != nil {
 		return member.Member{}, trace.Wrap(err)
 	}
-	if w.GetState() > uint32(member.Dead) {
-		return member.Member{}, trace.BadParameter("invalid member state %d", w.GetState())
+	if pm.GetState() > uint32(member.Dead) {
+		return member.Member{}, trace.BadParameter("invalid member state %d", pm.GetState())
 	}
 	return member.Member{
-		Name:        ident.VM(w.GetName()),
+		Name:        ident.VM(pm.GetName()),
 		Address:     addr,
-		Domain:      ident.FailureDomain(w.GetDomain()),
-		Incarnation: w.GetIncarnation(),
-		State:       member.State(w.GetState()),
+		Domain:      ident.FailureDomain(pm.GetDomain()),
+		Incarnation: pm.GetIncarnation(),
+		State:       member.State(pm.GetState()),
 	}, nil
 }
 
 // encodePacket encodes a packet as a protocol buffers message.
 func encodePacket(p *member.Packet) ([]byte, error) {
-	w := &proto.Packet{
+	pp := &proto.Packet{
 		Kind:             uint32(p.Kind),
 		Sequence:         p.Sequence,
 		From:             encodeMember(&p.From),
@@ -52,33 +52,33 @@
 		SettingsAhead:    p.SettingsVersion.Ahead,
 	}
 	for i := range p.Updates {
-		w.Updates = append(w.Updates, encodeMember(&p.Updates[i]))
+		pp.Updates = append(pp.Updates, encodeMember(&p.Updates[i]))
 	}
-	data, err := pb.Marshal(w)
+	data, err := pb.Marshal(pp)
 	return data, trace.Wrap(err)
 }
 
 // decodePacket decodes a packet.
 func decodePacket(data []byte) (member.Packet, error) {
-	var w proto.Packet
-	if err := pb.Unmarshal(data, &w); err != nil {
+	var pp proto.Packet
+	if err := pb.Unmarshal(data, &pp); err != nil {
 		return member.Packet{}, trace.Wrap(err)
 	}
-	if w.GetKind() > uint32(member.Announcement) {
-		return member.Packet{}, trace.BadParameter("invalid packet kind %d", w.GetKind())
+	if pp.GetKind() > uint32(member.Announcement) {
+		return member.Packet{}, trace.BadParameter("invalid packet kind %d", pp.GetKind())
 	}
-	from, err := decodeMember(w.GetFrom())
+	from, err := decodeMember(pp.GetFrom())
 	if err != nil {
 		return member.Packet{}, trace.Wrap(err)
 	}
 	p := member.Packet{
-		Kind:            member.Kind(w.GetKind()),
-		Sequence:        w.GetSequence(),
+		Kind:            member.Kind(pp.GetKind()),
+		Sequence:        pp.GetSequence(),
 		From:            from,
-		Target:          ident.VM(w.GetTarget()),
-		SettingsVersion: member.SettingsVersion{Revision: w.GetSettingsRevision(), Ahead: w.GetSettingsAhead()},
+		Target:          ident.VM(pp.GetTarget()),
+		SettingsVersion: member.SettingsVersion{Revision: pp.GetSettingsRevision(), Ahead: pp.GetSettingsAhead()},
 	}
-	for _, u := range w.GetUpdates() {
+	for _, u := range pp.GetUpdates() {
 		m, err := decodeMember(u)
 		if err != nil {
 			return member.Packet{}, trace.Wrap(err)
--- a/internal/peer/nodes/rpc.go
+++ b/internal/peer/nodes/rpc.go
@@ -52,14 +52,14 @@
 	return &ClientPool{http: c, clients: map[netip.AddrPort]proto.Nodes{}}
 }
 
-// To returns the client of the VM at addr.
-func (c *ClientPool) To(addr netip.AddrPort) proto.Nodes {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := c.clients[addr]
+// Get returns the client of the VM at addr.
+func (p *ClientPool) Get(addr netip.AddrPort) proto.Nodes {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := p.clients[addr]
 	if n == nil {
-		n = proto.NewNodesProtobufClient("http://"+addr.String(), c.http)
-		c.clients[addr] = n
+		n = proto.NewNodesProtobufClient("http://"+addr.String(), p.http)
+		p.clients[addr] = n
 	}
 	return n
 }
--- a/internal/peer/nodes/server.go
+++ b/internal/peer/nodes/server.go
@@ -16,7 +16,8 @@
 	"umberladder/internal/state/term"
 )
 
-// Claimer manages claims for other VMs.
+// Claimer manages claims on idempotency keys for other VMs, and accepts shards
+// that they hand over.
 type Claimer interface {
 	Claim(shard int, key string, created time.Time, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer)
 	Finish(shard int, key string, r ident.Request, ran bool, response *proto.Answer)
@@ -29,14 +30,16 @@
 }
 
 // Coordinator places generations on engines for other VMs and keeps their
-// reservations.
+// reservations. Its methods have the names of the calls that they serve: Seat
+// responds to a request for a reservation, and News handles reports on the state
+// of generations with a reservation.
 type Coordinator interface {
-	Seat(ctx context.Context, ask *proto.SeatAsk) *proto.SeatReply
-	News(news *proto.SeatNews)
+	Seat(ctx context.Context, req *proto.SeatAsk) *proto.SeatReply
+	News(update *proto.SeatNews)
 }
 
-// Reporter provides this VM's report on service-level burn, and a workspace's
-// usage at this VM.
+// Reporter provides this VM's report on the burn rate of service-level
+// objectives, and a workspace's usage at this VM.
 type Reporter interface {
 	Report() []byte
 	Usage(w ident.Workspace) (limits.Usage, bool)
@@ -124,16 +127,16 @@
 
 // Client calls other VMs.
 type Client struct {
-	clients *ClientPool
+	pool *ClientPool
 }
 
-// NewClient returns a client that uses the connections of c.
-func NewClient(c *ClientPool) *Client { return &Client{clients: c} }
+// NewClient returns a client that uses the connections of pool.
+func NewClient(pool *ClientPool) *Client { return &Client{pool: pool} }
 
 // Pull fetches the documents of another VM that are newer than a revision, and
 // returns them with the revision up to which they are complete.
-func (p *Client) Pull(ctx context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
-	reply, err := p.clients.To(from.Address).Pull(ctx, &proto.PullRequest{Revision: after})
+func (c *Client) Pull(ctx context.Context, from member.Member, after uint64) ([]config.Document, uint64, error) {
+	reply, err := c.pool.Get(from.Address).Pull(ctx, &proto.PullRequest{Revision: after})
 	if err != nil {
 		return nil, 0, callError(from, err)
 	}
@@ -144,9 +147,9 @@
 	return out, reply.GetRevision(), nil
 }
 
-// Claim requests a claim on a key from the holder of its shard.
-func (p *Client) Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer, error) {
-	reply, err := p.clients.To(to.Address).Claim(ctx, &proto.ClaimRequest{
+// Claim requests a claim on an idempotency key from the holder of its shard.
+func (c *Client) Claim(ctx context.Context, to member.Member, shard int, key string, fingerprint [32]byte, r ident.Request) (term.Decision, *proto.Answer, error) {
+	reply, err := c.pool.Get(to.Address).Claim(ctx, &proto.ClaimRequest{
 		Shard:       uint32(shard),
 		Key:         key,
 		Fingerprint: fingerprint[:],
@@ -158,9 +161,9 @@
 	return term.Decision(reply.GetVerdict()), reply.GetAnswer(), nil
 }
 
-// Finish reports the end of a request to the holder of a shard.
-func (p *Client) Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error {
-	_, err := p.clients.To(to.Address).Finish(ctx, &proto.FinishRequest{
+// Finish reports the end of a request to the holder of its key's shard.
+func (c *Client) Finish(ctx context.Context, to member.Member, shard int, key string, r ident.Request, ran bool, response *proto.Answer) error {
+	_, err := c.pool.Get(to.Address).Finish(ctx, &proto.FinishRequest{
 		Shard:   uint32(shard),
 		Key:     key,
 		Request: string(r),
@@ -171,9 +174,9 @@
 }
 
 // Handover hands a shard's term over to its next holder, and reports whether
-// that accepted it.
-func (p *Client) Handover(ctx context.Context, to member.Member, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
-	reply, err := p.clients.To(to.Address).Handover(ctx, &proto.HandoverRequest{
+// the holder accepted it.
+func (c *Client) Handover(ctx context.Context, to member.Member, shard int, revision uint64, start time.Time, claims []*proto.Claim) (bool, error) {
+	reply, err := c.pool.Get(to.Address).Handover(ctx, &proto.HandoverRequest{
 		Shard:       uint32(shard),
 		Revision:    revision,
 		TermStartMs: start.UnixMilli(),
@@ -185,9 +188,10 @@
 	return reply.GetTaken(), nil
 }
 
-// Burn fetches another VM's report on service-level burn.
-func (p *Client) Burn(ctx context.Context, from member.Member) ([]byte, error) {
-	reply, err := p.clients.To(from.Address).Burn(ctx, &proto.BurnRequest{})
+// Burn fetches another VM's report on the burn rate of service-level
+// objectives.
+func (c *Client) Burn(ctx context.Context, from member.Member) ([]byte, error) {
+	reply, err := c.pool.Get(from.Address).Burn(ctx, &proto.BurnRequest{})
 	if err != nil {
 		return nil, callError(from, err)
 	}
@@ -195,8 +199,8 @@
 }
 
 // Usage fetches a workspace's usage at another VM.
-func (p *Client) Usage(ctx context.Context, from member.Member, w ident.Workspace) (limits.Usage, error) {
-	reply, err := p.clients.To(from.Address).Usage(ctx, &proto.UsageRequest{Workspace: string(w)})
+func (c *Client) Usage(ctx context.Context, from member.Member, w ident.Workspace) (limits.Usage, error) {
+	reply, err := c.pool.Get(from.Address).Usage(ctx, &proto.UsageRequest{Workspace: string(w)})
 	if err != nil {
 		return limits.Usage{}, callError(from, err)
 	}
@@ -210,14 +214,14 @@
 }
 
 // Seat requests a reservation from a model's coordinator.
-func (p *Client) Seat(ctx context.Context, to member.Member, ask *proto.SeatAsk) (*proto.SeatReply, error) {
-	reply, err := p.clients.To(to.Address).Seat(ctx, ask)
+func (c *Client) Seat(ctx context.Context, to member.Member, req *proto.SeatAsk) (*proto.SeatReply, error) {
+	reply, err := c.pool.Get(to.Address).Seat(ctx, req)
 	return reply, callError(to, err)
 }
 
 // News reports the state of generations with a reservation to a model's
 // coordinator.
-func (p *Client) News(ctx context.Context, to member.Member, news *proto.SeatNews) error {
-	_, err := p.clients.To(to.Address).News(ctx, news)
+func (c *Client) News(ctx context.Context, to member.Member, update *proto.SeatNews) error {
+	_, err := c.pool.Get(to.Address).News(ctx, update)
 	return callError(to, err)
 }
--- a/internal/peer/openai/encode.go
+++ b/internal/peer/openai/encode.go
@@ -26,32 +26,32 @@
 }
 
 // Encode returns the body of the unary response to g.
-func (w *Completion) Encode(g *Request, now time.Time) []byte {
+func (c *Completion) Encode(req *Request, now time.Time) []byte {
 	var a fastjson.Arena
 	o, choice, usage := a.NewObject(), a.NewObject(), a.NewObject()
 	choice.Set("index", a.NewNumberInt(0))
-	choice.Set("finish_reason", a.NewString(w.FinishReason))
-	if g.Chat {
+	choice.Set("finish_reason", a.NewString(c.FinishReason))
+	if req.Chat {
 		m := a.NewObject()
 		m.Set("role", a.NewString("assistant"))
-		m.Set("content", a.NewString(w.Text))
+		m.Set("content", a.NewString(c.Text))
 		choice.Set("message", m)
-		o.Set("id", a.NewString("chatcmpl-"+string(w.Request)))
+		o.Set("id", a.NewString("chatcmpl-"+string(c.Request)))
 		o.Set("object", a.NewString("chat.completion"))
 	} else {
-		choice.Set("text", a.NewString(w.Text))
+		choice.Set("text", a.NewString(c.Text))
 		choice.Set("logprobs", a.NewNull())
-		o.Set("id", a.NewString("cmpl-"+string(w.Request)))
+		o.Set("id", a.NewString("cmpl-"+string(c.Request)))
 		o.Set("object", a.NewString("text_completion"))
 	}
 	o.Set("created", a.NewNumberString(strconv.FormatInt(now.Unix(), 10)))
-	o.Set("model", a.NewString(string(g.Service)))
+	o.Set("model", a.NewString(string(req.Service)))
 	list := a.NewArray()
 	list.SetArrayItem(0, choice)
 	o.Set("choices", list)
-	usage.Set("prompt_tokens", a.NewNumberInt(w.PromptTokens))
-	usage.Set("completion_tokens", a.NewNumberInt(w.CompletionTokens))
-	usage.Set("total_tokens", a.NewNumberInt(w.PromptTokens+w.CompletionTokens))
+	usage.Set("prompt_tokens", a.NewNumberInt(c.PromptTokens))
+	usage.Set("completion_tokens", a.NewNumberInt(c.CompletionTokens))
+	usage.Set("total_tokens", a.NewNumberInt(c.PromptTokens+c.CompletionTokens))
 	o.Set("usage", usage)
 	return o.MarshalTo(nil)
 }
--- a/internal/peer/openai/parse.go
+++ b/internal/peer/openai/parse.go
@@ -29,27 +29,27 @@
 // Parse parses the body of a request for a completion or, with chat, for a chat
 // completion. A refusal names the invalid member.
 func Parse(body []byte, chat bool) (Request, *refuse.Refusal) {
-	g := Request{Chat: chat}
+	req := Request{Chat: chat}
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
-		return g, badInput("the body is not valid JSON: %.120s", err)
+		return req, badInput("the body is not valid JSON: %.120s", err)
 	}
 	if v.Type() != fastjson.TypeObject {
-		return g, badInput("the body must be a JSON object")
+		return req, badInput("the body must be a JSON object")
 	}
-	return g, g.decode(v)
+	return req, req.decode(v)
 }
 
-func (g *Request) decode(v *fastjson.Value) *refuse.Refusal {
+func (req *Request) decode(v *fastjson.Value) *refuse.Refusal {
 	model := v.Get("model")
 	if model == nil || model.Type() != fastjson.TypeString || ident.CheckName(string(model.GetStringBytes())) != nil {
 		return badInput("model: want the name of a service, as a string")
 	}
-	g.Service = ident.Service(model.GetStringBytes())
-	if r := g.decodePrompt(v); r != nil {
+	req.Service = ident.Service(model.GetStringBytes())
+	if r := req.decodePrompt(v); r != nil {
 		return r
 	}
-	if r := g.decodeMaxTokens(v); r != nil {
+	if r := req.decodeMaxTokens(v); r != nil {
 		return r
 	}
 	if s := v.Get("stream"); s != nil && s.Type() != fastjson.TypeNull {
@@ -57,7 +57,7 @@
 		if err != nil {
 			return badInput("stream: want true or false")
 		}
-		g.Stream = b
+		req.Stream = b
 	}
 	if n := v.Get("n"); n != nil && n.Type() != fastjson.TypeNull {
 		if k, err := n.Int(); err != nil || k != 1 {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (g *Request) decodeMaxTokens(v *fastjson.Value) *refuse.Refusal {
+func (req *Request) decodeMaxTokens(v *fastjson.Value) *refuse.Refusal {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		m := v.Get(name)
 		if m == nil || m.Type() == fastjson.TypeNull {
@@ -77,14 +77,14 @@
 		if err != nil || f != math.Trunc(f) || f < 1 || f > MaxTokens {
 			return badInput("%s: want a whole number from 1 to %d", name, MaxTokens)
 		}
-		g.MaxTokens = int(f)
+		req.MaxTokens = int(f)
 	}
 	return nil
 }
 
-func (g *Request) decodePrompt(v *fastjson.Value) *refuse.Refusal {
-	if g.Chat {
-		return g.decodeMessages(v.Get("messages"))
+func (req *Request) decodePrompt(v *fastjson.Value) *refuse.Refusal {
+	if req.Chat {
+		return req.decodeMessages(v.Get("messages"))
 	}
 	p := v.Get("prompt")
 	if p != nil && p.Type() == fastjson.TypeArray && len(p.GetArray()) == 1 {
@@ -93,11 +93,11 @@
 	if p == nil || p.Type() != fastjson.TypeString {
 		return badInput("prompt: want one string")
 	}
-	g.Prompt = string(p.GetStringBytes())
+	req.Prompt = string(p.GetStringBytes())
 	return nil
 }
 
-func (g *Request) decodeMessages(m *fastjson.Value) *refuse.Refusal {
+func (req *Request) decodeMessages(m *fastjson.Value) *refuse.Refusal {
 	if m == nil || m.Type() != fastjson.TypeArray || len(m.GetArray()) == 0 {
 		return badInput("messages: want a list of at least one message")
 	}
@@ -116,7 +116,7 @@
 		b.WriteString(text)
 		b.WriteByte('\n')
 	}
-	g.Prompt = b.String()
+	req.Prompt = b.String()
 	return nil
 }
 
