--- a/internal/peer/oper/server.go
+++ b/internal/peer/oper/server.go
@@ -145,10 +145,10 @@
 	if !authorizePath(ctx, p, config.WorkspacePath(name)) {
 		return
 	}
-	c, cancel := context.WithTimeout(context.Background(), callTimeout)
+	callCtx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var a fastjson.Arena
-	v := s.vm.WorkspaceUsage(c, &a, name)
+	v := s.vm.WorkspaceUsage(callCtx, &a, name)
 	if v == nil {
 		writeProblem(ctx, fasthttp.StatusNotFound, "not-found", "there is no workspace "+string(name))
 		return
@@ -157,9 +157,9 @@
 }
 
 func (s *Server) burnReport(ctx *fasthttp.RequestCtx, p *principal) {
-	c, cancel := context.WithTimeout(context.Background(), callTimeout)
+	callCtx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	data, err := s.vm.BurnReport(c, ctx.QueryArgs().GetBool("merged"), p.workspace)
+	data, err := s.vm.BurnReport(callCtx, ctx.QueryArgs().GetBool("merged"), p.workspace)
 	if err != nil {
 		writeProblem(ctx, fasthttp.StatusInternalServerError, "report", trace.UserMessage(err))
 		return
--- a/internal/peer/oper/settings.go
+++ b/internal/peer/oper/settings.go
@@ -98,10 +98,10 @@
 	if c.ID == "" {
 		c.ID = uuid.Must(uuid.NewV7()).String()
 	}
-	call, cancel := context.WithTimeout(context.Background(), callTimeout)
+	callCtx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	ctx.Response.Header.Set(headerChange, c.ID)
-	res, err := s.editor.Apply(call, c)
+	res, err := s.editor.Apply(callCtx, c)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -118,11 +118,11 @@
 }
 
 func operatorName(ctx *fasthttp.RequestCtx, p *principal) string {
-	who := string(ctx.Request.Header.Peek(headerOperator))
-	if who == "" {
+	name := string(ctx.Request.Header.Peek(headerOperator))
+	if name == "" {
 		return p.historyName
 	}
-	return p.historyName + " (" + who[:min(len(who), maxOperatorName)] + ")"
+	return p.historyName + " (" + name[:min(len(name), maxOperatorName)] + ")"
 }
 
 // expectedVersion returns the version that the change is based on, from the
@@ -140,9 +140,9 @@
 	if !authorizePath(ctx, p, path) {
 		return
 	}
-	call, cancel := context.WithTimeout(context.Background(), callTimeout)
+	callCtx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	v, version, err := s.editor.Read(call, path)
+	v, version, err := s.editor.Read(callCtx, path)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -176,12 +176,12 @@
 		writeProblem(ctx, fasthttp.StatusBadRequest, "bad-input", "from: want the version that the change was made from")
 		return
 	}
-	call, cancel := context.WithTimeout(context.Background(), callTimeout)
+	callCtx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("change", a.NewString(id))
-	o.Set("status", a.NewString(s.editor.ChangeStatus(call, path, id, from).String()))
+	o.Set("status", a.NewString(s.editor.ChangeStatus(callCtx, path, id, from).String()))
 	writeJSON(ctx, o)
 }
 
--- a/internal/peer/plain/client.go
+++ b/internal/peer/plain/client.go
@@ -104,9 +104,9 @@
 }
 
 func newError(ctx context.Context, err error) *Error {
-	var le *httpc.Error
+	var httpErr *httpc.Error
 	switch {
-	case errors.As(err, &le) && le.Unsent():
+	case errors.As(err, &httpErr) && httpErr.Unsent():
 		return &Error{Kind: Unsent, Err: err}
 	case ctx.Err() != nil || httpc.IsTimeout(err):
 		return &Error{Kind: Timeout, Err: err}
--- a/internal/peer/share/client.go
+++ b/internal/peer/share/client.go
@@ -28,10 +28,11 @@
 	idleTimeout = 400 * time.Millisecond
 )
 
-// ErrNotAvailable is returned if the VM does not have the requested data.
+// ErrNotAvailable is returned if the VM does not have the requested data, or not
+// yet.
 var ErrNotAvailable = errors.New("share: the VM does not have the requested data")
 
-// BusyError is returned by a VM that has reached the limit of what it sends.
+// BusyError is returned if the VM has reached its send limit.
 type BusyError struct {
 	Alternatives []netip.AddrPort // VMs that the VM has sent the same data to
 }
@@ -131,10 +132,10 @@
 	if err != nil {
 		return follow.Update{}, trace.Wrap(err)
 	}
-	n, err := wire.DecodeServerUpdate(data)
+	update, err := wire.DecodeServerUpdate(data)
 	if err != nil {
 		return follow.Update{}, trace.Wrap(err)
 	}
-	n.Age = age
-	return *n, nil
+	update.Age = age
+	return *update, nil
 }
--- a/internal/peer/share/doc.go
+++ b/internal/peer/share/doc.go
@@ -6,7 +6,7 @@
 // store fetches from its peers as well, so that VMs can start to serve during an outage
 // of the store.
 //
-// A VM limits what it sends to a fraction of its link's rate, whatever the size. Once
-// the limit is reached, it responds with the addresses of VMs that it has sent the same
-// data to, and those send it on.
+// A VM limits the rate at which it sends to a fraction of its link's rate, but sends data
+// of any size. Once the limit is reached, it responds with the addresses of VMs that it
+// has sent the same data to, and those send it on.
 package share
--- a/internal/peer/share/fetch.go
+++ b/internal/peer/share/fetch.go
@@ -43,7 +43,9 @@
 
 // nextCandidates returns the VMs to try after the fetch from a VM failed with err. It
 // drops that VM, unless it is an alternative that may still be receiving the data, or a
-// busy VM that lists no alternatives. It adds the alternatives of a busy VM.
+// busy VM that lists no alternatives. An initial VM without the data is dropped, because
+// it should have had the data and is not about to receive it. The alternatives of a busy
+// VM are added.
 func nextCandidates(candidates []netip.AddrPort, from netip.AddrPort, err error, initial bool) []netip.AddrPort {
 	if errors.Is(err, ErrNotAvailable) && !initial {
 		return candidates
--- a/internal/peer/share/quota.go
+++ b/internal/peer/share/quota.go
@@ -21,8 +21,8 @@
 )
 
 // quota limits the rate at which a VM sends to other VMs. A body larger than the rate
-// is sent as well, and nothing is sent after it until the excess has been paid back. It
-// is safe for concurrent use.
+// is sent as well; it leaves a debt in the bucket, and nothing is sent after it until the
+// debt is refilled. It is safe for concurrent use.
 type quota struct {
 	mu     sync.Mutex
 	bucket *limit.Bucket
--- a/internal/peer/share/server.go
+++ b/internal/peer/share/server.go
@@ -71,15 +71,15 @@
 
 // encode returns n encoded and compressed. It reuses the last result for the same
 // revision within cacheTime.
-func (c *cachedList) encode(n *follow.Update, now time.Time) ([]byte, error) {
+func (c *cachedList) encode(update *follow.Update, now time.Time) ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.rev == n.Rev && now.Sub(c.at) < cacheTime {
+	if c.rev == update.Rev && now.Sub(c.at) < cacheTime {
 		return c.body, nil
 	}
-	body, err := routes.NewDocument(wire.EncodeServerUpdate(n)).Compressed()
+	body, err := routes.NewDocument(wire.EncodeServerUpdate(update)).Compressed()
 	if err == nil {
-		c.rev, c.at, c.body = n.Rev, now, body
+		c.rev, c.at, c.body = update.Rev, now, body
 	}
 	return body, err
 }
@@ -128,26 +128,26 @@
 		ctx.Error(argMinVersion+": want a version of the settings", fasthttp.StatusBadRequest)
 		return
 	}
-	set, ok := s.src.Settings()
-	if !ok || set.Version < minVersion {
+	settings, ok := s.src.Settings()
+	if !ok || settings.Version < minVersion {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	if !s.admit(ctx, &s.settings, set.Version, len(set.Compressed)) {
+	if !s.admit(ctx, &s.settings, settings.Version, len(settings.Compressed)) {
 		return
 	}
-	ctx.Response.Header.Set(headerVersion, strconv.FormatUint(set.Version, 10))
-	ctx.Response.Header.Set(headerAge, strconv.FormatInt(int64(set.Age), 10))
-	ctx.SetBody(set.Compressed)
+	ctx.Response.Header.Set(headerVersion, strconv.FormatUint(settings.Version, 10))
+	ctx.Response.Header.Set(headerAge, strconv.FormatInt(int64(settings.Age), 10))
+	ctx.SetBody(settings.Compressed)
 }
 
 func (s *Server) sendServers(ctx *fasthttp.RequestCtx) {
-	n, ok := s.src.Servers()
+	update, ok := s.src.Servers()
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	body, err := s.serverList.encode(&n, time.Now())
+	body, err := s.serverList.encode(&update, time.Now())
 	if err != nil {
 		s.log.Error("server list not compressed", zap.Error(err))
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
@@ -156,7 +156,7 @@
 	// The version is always 0: any earlier recipient can serve the list, because a VM
 	// that was sent it keeps it up to date with later changes.
 	if s.admit(ctx, &s.servers, 0, len(body)) {
-		ctx.Response.Header.Set(headerAge, strconv.FormatInt(int64(n.Age), 10))
+		ctx.Response.Header.Set(headerAge, strconv.FormatInt(int64(update.Age), 10))
 		ctx.SetBody(body)
 	}
 }
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -122,12 +122,12 @@
 	})
 }
 
-// fakeFleet simulates VMs of which some hold 62 KB of settings. A link of 10 Mbit/s
+// fakeFleet simulates VMs of which those in upToDate have 62 KB of settings. A link of 10 Mbit/s
 // carries them in 50 ms (transferTime). A fetch takes transferTime * quotaBytes / size,
 // which is 197 ms.
 type fakeFleet struct {
 	mu       sync.Mutex
-	holders  map[netip.AddrPort]bool
+	upToDate map[netip.AddrPort]bool
 	vms      map[netip.AddrPort]*fakePeer
 	requests int
 }
@@ -142,7 +142,7 @@
 	const transferTime = 50 * time.Millisecond
 	f.mu.Lock()
 	f.requests++
-	ok, vm := f.holders[from], f.vms[from]
+	ok, vm := f.upToDate[from], f.vms[from]
 	f.mu.Unlock()
 	if !ok {
 		return struct{}{}, ErrNotAvailable
@@ -154,7 +154,7 @@
 	time.Sleep(transferTime * quotaBytes / size)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.holders[to] = true
+	f.upToDate[to] = true
 	return struct{}{}, nil
 }
 
@@ -168,7 +168,7 @@
 			addr := func(i int) netip.AddrPort {
 				return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 1)
 			}
-			f := &fakeFleet{holders: map[netip.AddrPort]bool{addr(0): true}, vms: make(map[netip.AddrPort]*fakePeer)}
+			f := &fakeFleet{upToDate: map[netip.AddrPort]bool{addr(0): true}, vms: make(map[netip.AddrPort]*fakePeer)}
 			for i := range n {
 				f.vms[addr(i)] = &fakePeer{quota: newQuota(linkRate, time.Now())}
 			}
--- a/internal/peer/store/client.go
+++ b/internal/peer/store/client.go
@@ -36,8 +36,8 @@
 	BudgetExhausted                  // the call budget of this VM is exhausted: nothing was sent
 )
 
-func (f ErrorKind) String() string {
-	return [...]string{"down", "conflict", "missing", "unknown", "budget"}[f]
+func (k ErrorKind) String() string {
+	return [...]string{"down", "conflict", "missing", "unknown", "budget"}[k]
 }
 
 // Error describes a failed call.
@@ -51,9 +51,9 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Is reports whether err is or wraps an *Error of the kind.
-func Is(err error, f ErrorKind) bool {
+func Is(err error, k ErrorKind) bool {
 	var e *Error
-	return errors.As(err, &e) && e.Kind == f
+	return errors.As(err, &e) && e.Kind == k
 }
 
 // Item is a stored value. Value is empty if the item is deleted.
@@ -217,8 +217,8 @@
 // transportError classifies a call without a response. A read has no effect, and
 // neither has a write of which nothing was sent.
 func transportError(err error, isRead bool) *Error {
-	var le *httpc.Error
-	if isRead || errors.As(err, &le) && le.Unsent() {
+	var httpErr *httpc.Error
+	if isRead || errors.As(err, &httpErr) && httpErr.Unsent() {
 		return &Error{Kind: Unavailable, Err: err}
 	}
 	return &Error{Kind: OutcomeUnknown, Err: err}
--- a/internal/peer/wire/finding.go
+++ b/internal/peer/wire/finding.go
@@ -29,7 +29,8 @@
 	return now.Add(-time.Duration(min(age-1, maxAge)) * time.Millisecond)
 }
 
-// maxAge is the maximum age that is decoded, in milliseconds. Older ones are cut to it.
+// maxAge is the maximum age that is decoded, in milliseconds. Higher ones are reduced to
+// it.
 const maxAge = uint64(24 * time.Hour / time.Millisecond)
 
 func (m *Message) appendFindings(b []byte, now time.Time) []byte {
--- a/internal/peer/wire/finding_test.go
+++ b/internal/peer/wire/finding_test.go
@@ -11,8 +11,8 @@
 	"umberladder/internal/policy/poison"
 )
 
-// TestFinding guards against points in time that the encoding changes: they are sent as
-// ages, so that the time in transit, here 300 ms, is added to them.
+// TestFinding guards against findings that are lost or changed by the encoding. Points in
+// time are sent as ages, so that they arrive later by the time in transit, here 300 ms.
 func TestFinding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
--- a/internal/peer/wire/hub.go
+++ b/internal/peer/wire/hub.go
@@ -42,8 +42,8 @@
 	}
 	b = appendNumber(b, hubKnown, uint64(h.Known))
 	b = appendNumber(b, hubReporting, uint64(h.Reporting))
-	for name, n := range h.PeerAttempts {
-		b = appendBytes(b, hubPeerAttempts, encodeAttempts(name, n))
+	for name, attempts := range h.PeerAttempts {
+		b = appendBytes(b, hubPeerAttempts, encodeAttempts(name, attempts))
 	}
 	return b
 }
@@ -72,9 +72,9 @@
 			h.Reporting = int(min(v, math.MaxInt32))
 		case hubPeerAttempts:
 			var name ident.Service
-			var sent retry.Attempts
-			name, sent, err = decodeAttempts(data)
-			h.PeerAttempts[name] = sent
+			var attempts retry.Attempts
+			name, attempts, err = decodeAttempts(data)
+			h.PeerAttempts[name] = attempts
 		}
 		return err
 	})
--- a/internal/peer/wire/message.go
+++ b/internal/peer/wire/message.go
@@ -20,7 +20,7 @@
 // Message is a message of one VM to another.
 type Message struct {
 	VM       ident.VM
-	Boot     uint64 // number of the process; a higher one invalidates all earlier messages
+	Boot     uint64 // number of the VM's process, rises with each start; a higher one invalidates all earlier messages
 	Seq      uint64 // number of the message within its boot
 	Part     int    // number of the part of the loads; parts with the same Boot and Seq belong together
 	Loads    map[ident.Server]alloc.Load
@@ -32,7 +32,7 @@
 	SettingsVersion uint64           // of the settings in force
 	Store           hubs.StoreStatus // the VM's connection to the store
 	ServerUpdate    *follow.Update   // changes of servers; nil: none sent
-	// Findings are the evidence about requests under which servers crash.
+	// Findings are the evidence about requests that crash the servers that run them.
 	Findings         []poison.Finding
 	QuarantineDigest uint64 // of the VM's quarantine decisions; zero: it has none
 	// Limits are the rate limits that servers have announced. Their request counts cover
@@ -111,8 +111,8 @@
 	for id, l := range m.Loads {
 		b = appendBytes(b, fieldLoad, encodeLoad(id, l))
 	}
-	for name, n := range m.Attempts {
-		b = appendBytes(b, fieldAttempts, encodeAttempts(name, n))
+	for name, attempts := range m.Attempts {
+		b = appendBytes(b, fieldAttempts, encodeAttempts(name, attempts))
 	}
 	for _, id := range m.Retired {
 		b = appendString(b, fieldRetired, string(id))
@@ -175,10 +175,10 @@
 	return appendNumber(b, loadCopiesOut, uint64(l.CopiesOut))
 }
 
-func encodeAttempts(name ident.Service, n retry.Attempts) []byte {
+func encodeAttempts(name ident.Service, attempts retry.Attempts) []byte {
 	b := appendString(nil, attemptsService, string(name))
-	b = appendNumber(b, attemptsFirst, uint64(n.First))
-	return appendNumber(b, attemptsRetries, uint64(n.Retries))
+	b = appendNumber(b, attemptsFirst, uint64(attempts.First))
+	return appendNumber(b, attemptsRetries, uint64(attempts.Retries))
 }
 
 func appendString(b []byte, n protowire.Number, s string) []byte {
@@ -218,9 +218,9 @@
 		m.Loads[id] = l
 	case fieldAttempts:
 		var name ident.Service
-		var sent retry.Attempts
-		name, sent, err = decodeAttempts(data)
-		m.Attempts[name] = sent
+		var attempts retry.Attempts
+		name, attempts, err = decodeAttempts(data)
+		m.Attempts[name] = attempts
 	case fieldRetired:
 		m.Retired = append(m.Retired, ident.Server(data))
 	case fieldDraining:
@@ -316,19 +316,19 @@
 
 func decodeAttempts(b []byte) (ident.Service, retry.Attempts, error) {
 	var name ident.Service
-	var sent retry.Attempts
+	var attempts retry.Attempts
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case attemptsService:
 			name = ident.Service(data)
 		case attemptsFirst:
-			sent.First = int(v)
+			attempts.First = int(v)
 		case attemptsRetries:
-			sent.Retries = int(v)
+			attempts.Retries = int(v)
 		}
 		return nil
 	})
-	return name, sent, err
+	return name, attempts, err
 }
 
 // forEachField calls f for each field of an encoded message, with its bytes or its number.
--- a/internal/peer/wire/message_test.go
+++ b/internal/peer/wire/message_test.go
@@ -30,19 +30,19 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "loads") {
 		m.Loads[ident.Server(name.Draw(t, "server"))] = alloc.Load{
-			Calls: n.Draw(t, "seats"), Tokens: n.Draw(t, "tokens"), Backlog: n.Draw(t, "backlog"), CopiesIn: n.Draw(t, "copies"), CopiesOut: n.Draw(t, "sends"),
+			Calls: n.Draw(t, "calls"), Tokens: n.Draw(t, "tokens"), Backlog: n.Draw(t, "backlog"), CopiesIn: n.Draw(t, "copies-in"), CopiesOut: n.Draw(t, "copies-out"),
 		}
-		m.Attempts[ident.Service(name.Draw(t, "service"))] = retry.Attempts{First: n.Draw(t, "first"), Retries: n.Draw(t, "again")}
-		m.Retired = append(m.Retired, ident.Server(name.Draw(t, "leaving")))
+		m.Attempts[ident.Service(name.Draw(t, "service"))] = retry.Attempts{First: n.Draw(t, "first"), Retries: n.Draw(t, "retries")}
+		m.Retired = append(m.Retired, ident.Server(name.Draw(t, "retired")))
 		m.Draining = append(m.Draining, ident.Server(name.Draw(t, "draining")))
 	}
 	if rapid.Bool().Draw(t, "watching") {
 		m.Store = hubs.StoreStatus{Watching: true, Age: time.Duration(n.Draw(t, "age"))}
-		m.ServerUpdate = &follow.Update{Base: 3, Rev: 9, Age: time.Duration(n.Draw(t, "news-age")), Changes: []follow.Change{
+		m.ServerUpdate = &follow.Update{Base: 3, Rev: 9, Age: time.Duration(n.Draw(t, "update-age")), Changes: []follow.Change{
 			{Rev: 4, Gone: true, Entry: srvtab.Entry{ID: "gone"}, Grace: time.Duration(n.Draw(t, "gone-grace"))},
 			{Rev: 9, Grace: time.Duration(n.Draw(t, "grace")), Entry: srvtab.Entry{
 				ID: "came", Service: "s", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Domain: "a",
-				Slots: n.Draw(t, "slots"), Leaving: rapid.Bool().Draw(t, "leaves"),
+				Slots: n.Draw(t, "slots"), Leaving: rapid.Bool().Draw(t, "leaving"),
 			}},
 		}}
 	}
@@ -58,8 +58,8 @@
 	}
 	if rapid.Bool().Draw(t, "placement") {
 		m.PlacementRequest = &coord.Request{VM: m.VM, ID: 8, Run: pick.Request{
-			Service: "s", Purpose: pick.Migration, Rank: n.Draw(t, "rank"), Need: n.Draw(t, "need"), Prefill: n.Draw(t, "read"), EngineMemory: n.Draw(t, "memory"),
-			From: "a", Source: "s", Exclude: []ident.Server{"x", "y"}, Unreachable: []ident.Server{"z"}, Backup: rapid.Bool().Draw(t, "backup"), MaxWait: time.Duration(n.Draw(t, "wait")), TargetWait: time.Second, RetryKey: rapid.Uint64().Draw(t, "mark"),
+			Service: "s", Purpose: pick.Migration, Rank: n.Draw(t, "rank"), Need: n.Draw(t, "need"), Prefill: n.Draw(t, "prefill"), EngineMemory: n.Draw(t, "memory"),
+			From: "a", Source: "s", Exclude: []ident.Server{"x", "y"}, Unreachable: []ident.Server{"z"}, Backup: rapid.Bool().Draw(t, "backup"), MaxWait: time.Duration(n.Draw(t, "wait")), TargetWait: time.Second, RetryKey: rapid.Uint64().Draw(t, "retry-key"),
 		}}
 		m.PlacementResponse = &coord.Response{ID: 9, State: coord.NoCapacity, Server: "e", Backup: "b", Ahead: n.Draw(t, "ahead"), RetryAfter: time.Second}
 	}
--- a/internal/peer/wire/parts.go
+++ b/internal/peer/wire/parts.go
@@ -33,6 +33,7 @@
 }
 
 // updatePart is the part number of a message with an update of servers and without loads.
+// Receivers must not take it for a report that the VM has no loads.
 const updatePart = 1 << 20
 
 // HasLoads reports whether the message holds the VM's loads or a part of them.
--- a/internal/peer/wire/placement.go
+++ b/internal/peer/wire/placement.go
@@ -38,67 +38,67 @@
 )
 
 func encodePlacementRequest(req *coord.Request) []byte {
-	w := &req.Run
+	run := &req.Run
 	b := appendNumber(nil, requestID, req.ID)
-	b = appendString(b, requestService, string(w.Service))
-	b = appendNumber(b, requestPurpose, uint64(w.Purpose))
-	b = appendNumber(b, requestRank, uint64(w.Rank))
-	b = appendNumber(b, requestNeed, uint64(w.Need))
-	b = appendNumber(b, requestPrefill, uint64(w.Prefill))
-	b = appendNumber(b, requestEngineMemory, uint64(w.EngineMemory))
-	b = appendString(b, requestFrom, string(w.From))
-	for _, id := range w.Exclude {
+	b = appendString(b, requestService, string(run.Service))
+	b = appendNumber(b, requestPurpose, uint64(run.Purpose))
+	b = appendNumber(b, requestRank, uint64(run.Rank))
+	b = appendNumber(b, requestNeed, uint64(run.Need))
+	b = appendNumber(b, requestPrefill, uint64(run.Prefill))
+	b = appendNumber(b, requestEngineMemory, uint64(run.EngineMemory))
+	b = appendString(b, requestFrom, string(run.From))
+	for _, id := range run.Exclude {
 		b = appendString(b, requestExclude, string(id))
 	}
-	for _, id := range w.Unreachable {
+	for _, id := range run.Unreachable {
 		b = appendString(b, requestUnreachable, string(id))
 	}
-	if w.Source != "" {
-		b = appendString(b, requestSource, string(w.Source))
+	if run.Source != "" {
+		b = appendString(b, requestSource, string(run.Source))
 	}
-	if w.Backup {
+	if run.Backup {
 		b = appendNumber(b, requestBackup, 1)
 	}
-	b = appendNumber(b, requestTargetWait, uint64(w.TargetWait))
-	b = appendNumber(b, requestRetryKey, w.RetryKey)
-	return appendNumber(b, requestMaxWait, uint64(w.MaxWait))
+	b = appendNumber(b, requestTargetWait, uint64(run.TargetWait))
+	b = appendNumber(b, requestRetryKey, run.RetryKey)
+	return appendNumber(b, requestMaxWait, uint64(run.MaxWait))
 }
 
 func decodePlacementRequest(vm ident.VM, b []byte) (*coord.Request, error) {
 	req := &coord.Request{VM: vm}
-	w := &req.Run
+	run := &req.Run
 	err := forEachField(b, func(n protowire.Number, data []byte, v uint64) error {
 		switch n {
 		case requestID:
 			req.ID = v
 		case requestService:
-			w.Service = ident.Service(data)
+			run.Service = ident.Service(data)
 		case requestPurpose:
-			w.Purpose = pick.Purpose(min(v, math.MaxUint8))
+			run.Purpose = pick.Purpose(min(v, math.MaxUint8))
 		case requestRank:
-			w.Rank = int(v)
+			run.Rank = int(v)
 		case requestNeed:
-			w.Need = int(v)
+			run.Need = int(v)
 		case requestPrefill:
-			w.Prefill = int(v)
+			run.Prefill = int(v)
 		case requestEngineMemory:
-			w.EngineMemory = int(v)
+			run.EngineMemory = int(v)
 		case requestFrom:
-			w.From = ident.FailureDomain(data)
+			run.From = ident.FailureDomain(data)
 		case requestExclude:
-			w.Exclude = append(w.Exclude, ident.Server(data))
+			run.Exclude = append(run.Exclude, ident.Server(data))
 		case requestUnreachable:
-			w.Unreachable = append(w.Unreachable, ident.Server(data))
+			run.Unreachable = append(run.Unreachable, ident.Server(data))
 		case requestSource:
-			w.Source = ident.Server(data)
+			run.Source = ident.Server(data)
 		case requestBackup:
-			w.Backup = v != 0
+			run.Backup = v != 0
 		case requestRetryKey:
-			w.RetryKey = v
+			run.RetryKey = v
 		case requestTargetWait:
-			w.TargetWait = time.Duration(v)
+			run.TargetWait = time.Duration(v)
 		case requestMaxWait:
-			w.MaxWait = time.Duration(v)
+			run.MaxWait = time.Duration(v)
 		}
 		return nil
 	})
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -31,11 +31,11 @@
 )
 
 // EncodeServerUpdate encodes an update of servers.
-func EncodeServerUpdate(n *follow.Update) []byte {
-	b := appendNumber(nil, updateBase, uint64(n.Base))
-	b = appendNumber(b, updateRev, uint64(n.Rev))
-	b = appendNumber(b, updateAge, uint64(n.Age))
-	for _, c := range n.Changes {
+func EncodeServerUpdate(update *follow.Update) []byte {
+	b := appendNumber(nil, updateBase, uint64(update.Base))
+	b = appendNumber(b, updateRev, uint64(update.Rev))
+	b = appendNumber(b, updateAge, uint64(update.Age))
+	for _, c := range update.Changes {
 		b = appendBytes(b, updateChange, encodeChange(c))
 	}
 	return b
@@ -62,25 +62,25 @@
 
 // DecodeServerUpdate decodes an update of servers.
 func DecodeServerUpdate(b []byte) (*follow.Update, error) {
-	n := &follow.Update{}
+	update := &follow.Update{}
 	err := forEachField(b, func(num protowire.Number, data []byte, v uint64) error {
 		switch num {
 		case updateBase:
-			n.Base = follow.Revision(v)
+			update.Base = follow.Revision(v)
 		case updateRev:
-			n.Rev = follow.Revision(v)
+			update.Rev = follow.Revision(v)
 		case updateAge:
-			n.Age = time.Duration(v)
+			update.Age = time.Duration(v)
 		case updateChange:
 			c, err := decodeChange(data)
 			if err != nil {
 				return err
 			}
-			n.Changes = append(n.Changes, c)
+			update.Changes = append(update.Changes, c)
 		}
 		return nil
 	})
-	return n, err
+	return update, err
 }
 
 func decodeChange(b []byte) (follow.Change, error) {
