--- a/internal/peer/caller/doc.go
+++ b/internal/peer/caller/doc.go
@@ -1,10 +1,10 @@
-// Package caller implements the HTTP server for callers, the clients of the
-// API: the OpenAI-compatible interface for completions and chat completions,
-// calls to plain services under a path, resumption of interrupted streams and
-// explanation of refusal codes.
+// Package caller implements the HTTP server for clients of the API, which the
+// settings call callers: the OpenAI-compatible interface for completions and
+// chat completions, calls to plain services under a path, resumption of
+// interrupted streams and explanation of refusal codes.
 //
 // It converts HTTP requests to calls of a Handler, and the results to HTTP
 // responses. Refusals are sent as problem documents (RFC 9457). Every read and
 // write has its own deadline, so that a stream may last indefinitely while a
-// caller that stops reading is disconnected.
+// client that stops reading is disconnected.
 package caller
--- a/internal/peer/caller/handler.go
+++ b/internal/peer/caller/handler.go
@@ -8,7 +8,7 @@
 	"umberladder/internal/peer/openai"
 )
 
-// GenerationRequest is a caller's request for a completion or chat completion.
+// GenerationRequest is a client's request for a completion or chat completion.
 type GenerationRequest struct {
 	openai.Request
 	Key            string      // bearer key
@@ -23,7 +23,7 @@
 	Next   uint64 // index of the first token to send
 }
 
-// PlainRequest is a caller's call to a plain service.
+// PlainRequest is a client's call to a plain service.
 type PlainRequest struct {
 	Key            string // bearer key
 	Service        ident.Service
@@ -43,7 +43,7 @@
 }
 
 // Stream is a generation in progress. Handle returns its resume handle. Next
-// blocks until the next token. Close is called once, with whether the caller
+// blocks until the next token. Close is called once, with whether the client
 // disconnected before it got the complete response, and with the number of
 // bytes sent.
 type Stream interface {
@@ -55,7 +55,7 @@
 	Close(disconnected bool, bytes int)
 }
 
-// Handler serves the requests of callers. Every refusal it returns has its
+// Handler serves the requests of clients. Every refusal it returns has its
 // request identifier and time set.
 type Handler interface {
 	Stream(ctx context.Context, g GenerationRequest) (Stream, *refuse.Refusal)
@@ -68,6 +68,6 @@
 	// Code returns the code of a refusal. Explain returns the refusal of a code.
 	Code(r *refuse.Refusal) string
 	Explain(code string) (*refuse.Refusal, error)
-	// Ready reports whether the load balancer should send callers to this VM.
+	// Ready reports whether the load balancer should send clients to this VM.
 	Ready() bool
 }
--- a/internal/peer/caller/server.go
+++ b/internal/peer/caller/server.go
@@ -42,7 +42,7 @@
 	Log            fasthttp.Logger
 }
 
-// Server is the HTTP server for callers. It passes requests to a Handler.
+// Server is the HTTP server for clients. It passes requests to a Handler.
 type Server struct {
 	cfg      Config
 	handler  Handler
@@ -114,24 +114,24 @@
 	case path == pathMetrics:
 		s.metrics(ctx)
 	default:
-		s.reject(ctx, refuse.New(refuse.NotFound, "there is nothing at %.100s", path))
+		s.refuse(ctx, refuse.New(refuse.NotFound, "there is nothing at %.100s", path))
 	}
 }
 
-// reject responds with a refusal made before the request reached the handler.
-func (s *Server) reject(ctx *fasthttp.RequestCtx, r *refuse.Refusal) {
+// refuse responds with a refusal made before the request reached the handler.
+func (s *Server) refuse(ctx *fasthttp.RequestCtx, r *refuse.Refusal) {
 	s.writeRefusal(ctx, s.handler.RecordRefusal(r))
 }
 
 func (s *Server) generate(ctx *fasthttp.RequestCtx, chat bool) {
 	if !ctx.IsPost() {
 		ctx.Response.Header.Set(fasthttp.HeaderAllow, fasthttp.MethodPost)
-		s.reject(ctx, badInput("%s takes POST, not %s", ctx.Path(), ctx.Method()))
+		s.refuse(ctx, badInput("%s takes POST, not %s", ctx.Path(), ctx.Method()))
 		return
 	}
 	g, refusal := parseGeneration(ctx, chat)
 	if refusal != nil {
-		s.reject(ctx, refusal)
+		s.refuse(ctx, refusal)
 		return
 	}
 	if !g.Stream {
@@ -162,7 +162,7 @@
 	if last := string(ctx.Request.Header.Peek(headerLastEventID)); last != "" {
 		n, err := strconv.ParseUint(last, 10, 63)
 		if err != nil {
-			s.reject(ctx, badInput("the header %s must be the index of the last token held", headerLastEventID))
+			s.refuse(ctx, badInput("the header %s must be the index of the last token held", headerLastEventID))
 			return
 		}
 		next = n + 1
@@ -178,12 +178,12 @@
 func (s *Server) plain(ctx *fasthttp.RequestCtx, rest string) {
 	name, _, _ := strings.Cut(rest, "/")
 	if err := ident.CheckName(name); err != nil {
-		s.reject(ctx, badInput("service: %s", trace.UserMessage(err)))
+		s.refuse(ctx, badInput("service: %s", trace.UserMessage(err)))
 		return
 	}
 	key, refusal := idempotencyKey(ctx)
 	if refusal != nil {
-		s.reject(ctx, refusal)
+		s.refuse(ctx, refusal)
 		return
 	}
 	uri := strings.TrimPrefix(string(ctx.RequestURI()), pathServices+name)
@@ -222,7 +222,7 @@
 func (s *Server) explain(ctx *fasthttp.RequestCtx, code string) {
 	r, err := s.handler.Explain(code)
 	if err != nil {
-		s.reject(ctx, refuse.New(refuse.NotFound, "%s", trace.UserMessage(err)))
+		s.refuse(ctx, refuse.New(refuse.NotFound, "%s", trace.UserMessage(err)))
 		return
 	}
 	var a fastjson.Arena
@@ -247,12 +247,12 @@
 	var timeout interface{ Timeout() bool }
 	switch {
 	case errors.As(err, &tooSmall):
-		s.reject(ctx, refuse.New(refuse.HeaderTooLarge, "the header section is over %d bytes", s.cfg.MaxHeaderBytes))
+		s.refuse(ctx, refuse.New(refuse.HeaderTooLarge, "the header section is over %d bytes", s.cfg.MaxHeaderBytes))
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		s.reject(ctx, refuse.New(refuse.TooLarge, "the body is over %d bytes", s.cfg.MaxBodyBytes))
+		s.refuse(ctx, refuse.New(refuse.TooLarge, "the body is over %d bytes", s.cfg.MaxBodyBytes))
 	case errors.As(err, &timeout) && timeout.Timeout():
-		s.reject(ctx, refuse.New(refuse.CallerStalled, "the request was not sent whole within %s", s.cfg.ReadTimeout))
+		s.refuse(ctx, refuse.New(refuse.CallerStalled, "the request was not sent whole within %s", s.cfg.ReadTimeout))
 	default:
-		s.reject(ctx, badInput("the request is not valid HTTP"))
+		s.refuse(ctx, badInput("the request is not valid HTTP"))
 	}
 }
--- a/internal/peer/caller/stream.go
+++ b/internal/peer/caller/stream.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// eventWriter writes server-sent events to a caller and counts their bytes.
+// eventWriter writes server-sent events to a client and counts their bytes.
 type eventWriter struct {
 	w       *bufio.Writer
 	encoder *openai.Encoder
@@ -39,7 +39,7 @@
 	return e.w.Flush()
 }
 
-// copyEvents sends all tokens of the stream and reports whether the caller
+// copyEvents sends all tokens of the stream and reports whether the client
 // disconnected before the end. A stream that fails ends with an event "error",
 // without [DONE].
 func (s *Server) copyEvents(events *eventWriter, st Stream) bool {
--- a/internal/peer/engine/client.go
+++ b/internal/peer/engine/client.go
@@ -134,7 +134,7 @@
 	return nil, responseError(resp)
 }
 
-// linkError classifies a failed exchange by whether the request may have run.
+// transportError classifies a failed exchange by whether the request may have run.
 func transportError(err error) *Error {
 	kind := OutcomeUnknown
 	var httpErr *httpc.Error
--- a/internal/peer/front/request.go
+++ b/internal/peer/front/request.go
@@ -18,19 +18,19 @@
 
 // Request is a request as the client sent it.
 type Request struct {
-	Method     string
-	Target     string // path and query, byte for byte
-	Path       string
-	Host       string
-	Fields     []call.Field // without connection-specific fields
-	Body       []byte
-	Arrived    time.Time
-	closeAfter bool // the client closes the connection after the response
+	Method       string
+	Target       string // path and query, byte for byte
+	Path         string
+	Host         string
+	HeaderFields []call.Field // without connection-specific fields
+	Body         []byte
+	Arrived      time.Time
+	closeAfter   bool // the client closes the connection after the response
 }
 
-// Field returns the value of the first header field with the name, or "".
-func (r *Request) Field(name string) string {
-	for _, f := range r.Fields {
+// HeaderField returns the value of the first header field with the name, or "".
+func (r *Request) HeaderField(name string) string {
+	for _, f := range r.HeaderFields {
 		if strings.EqualFold(f.Name, name) {
 			return f.Value
 		}
@@ -157,7 +157,7 @@
 			rerr = err
 		}
 		if !connectionSpecific[lower] {
-			r.Fields = append(r.Fields, call.Field{Name: name, Value: value})
+			r.HeaderFields = append(r.HeaderFields, call.Field{Name: name, Value: value})
 		}
 	}
 	switch {
@@ -201,13 +201,13 @@
 
 func (r *Request) removeFields(names []string) {
 	for _, n := range names {
-		kept := r.Fields[:0]
-		for _, f := range r.Fields {
+		kept := r.HeaderFields[:0]
+		for _, f := range r.HeaderFields {
 			if !strings.EqualFold(f.Name, n) {
 				kept = append(kept, f)
 			}
 		}
-		r.Fields = kept
+		r.HeaderFields = kept
 	}
 }
 
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -48,7 +48,7 @@
 	maxAgreeTime = 2 * time.Second
 	// domains is the number of failure domains of a fleet.
 	domains = 3
-	// maxControlRate is the maximum control traffic of a VM, in bytes per second.
+	// maxControlRate is the maximum control-plane traffic of a VM, in bytes per second.
 	maxControlRate = 3000
 )
 
--- a/internal/peer/httpc/dialer.go
+++ b/internal/peer/httpc/dialer.go
@@ -36,7 +36,7 @@
 // New returns a dialer that waits up to connectTimeout for a connection and up
 // to idleTimeout for each read or write, and keeps up to maxIdle idle
 // connections per address. Connections are made from localAddr, so that a peer
-// can tell VMs apart. The system chooses the address if localAddr is invalid or
+// can distinguish VMs. The system chooses the address if localAddr is invalid or
 // unspecified.
 func New(localAddr netip.Addr, connectTimeout, idleTimeout time.Duration, maxIdle int) *Dialer {
 	return &Dialer{localAddr: localAddr, connectTimeout: connectTimeout, idleTimeout: idleTimeout, maxIdle: maxIdle, idleConns: make(map[netip.AddrPort][]*conn)}
--- a/internal/peer/nodes/server.go
+++ b/internal/peer/nodes/server.go
@@ -30,9 +30,8 @@
 }
 
 // Coordinator places generations on engines for other VMs and keeps their
-// reservations. Its methods have the names of the calls that they serve: Seat
-// responds to a request for a reservation, and News handles reports on the state
-// of generations with a reservation.
+// reservations. It serves the calls Seat, which request a reservation, and News,
+// which report the state of generations with a reservation.
 type Coordinator interface {
 	Seat(ctx context.Context, req *proto.SeatAsk) *proto.SeatReply
 	News(update *proto.SeatNews)
@@ -213,13 +212,13 @@
 	}, nil
 }
 
-// Seat requests a reservation from a model's coordinator.
+// Reserve requests a reservation from a model's coordinator.
 func (c *Client) Seat(ctx context.Context, to member.Member, req *proto.SeatAsk) (*proto.SeatReply, error) {
 	reply, err := c.pool.Get(to.Address).Seat(ctx, req)
 	return reply, callError(to, err)
 }
 
-// News reports the state of generations with a reservation to a model's
+// SendUpdates reports the state of generations with a reservation to a model's
 // coordinator.
 func (c *Client) News(ctx context.Context, to member.Member, update *proto.SeatNews) error {
 	_, err := c.pool.Get(to.Address).News(ctx, update)
--- a/internal/peer/openai/parse.go
+++ b/internal/peer/openai/parse.go
@@ -10,14 +10,14 @@
 	"umberladder/internal/core/refuse"
 )
 
-// MaxTokens is the largest value that a caller may set for max_tokens.
+// MaxTokens is the largest value that a client may set for max_tokens.
 const MaxTokens = 1_000_000
 
 // Request is a parsed request for a completion or chat completion.
 type Request struct {
 	Service   ident.Service // the member "model"
 	Prompt    string
-	MaxTokens int // zero: the caller sets no limit
+	MaxTokens int // zero: the client sets no limit
 	Stream    bool
 	Chat      bool
 }
--- a/internal/peer/wire/message.go
+++ b/internal/peer/wire/message.go
@@ -32,7 +32,7 @@
 	SettingsVersion uint64           // of the settings in force
 	Store           hubs.StoreStatus // the VM's connection to the store
 	ServerUpdate    *follow.Update   // changes of servers; nil: none sent
-	// Findings are the evidence about requests that crash the servers that run them.
+	// Findings are what the VM knows of requests that crash the servers that run them.
 	Findings         []poison.Finding
 	QuarantineDigest uint64 // of the VM's quarantine decisions; zero: it has none
 	// Limits are the rate limits that servers have announced. Their request counts cover
--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -19,15 +19,15 @@
 	updateChange = 3
 	updateAge    = 4
 
-	changeRev     = 1
-	changeServer  = 2
-	changeGone    = 3
-	changeService = 4
-	changeAddr    = 5
-	changeDomain  = 6
-	changeSlots   = 7
-	changeLeaving = 8
-	changeGrace   = 9
+	changeRev      = 1
+	changeServer   = 2
+	changeGone     = 3
+	changeService  = 4
+	changeAddr     = 5
+	changeDomain   = 6
+	changeSlots    = 7
+	changeDraining = 8
+	changeGrace    = 9
 )
 
 // EncodeServerUpdate encodes an update of servers.
@@ -55,7 +55,7 @@
 	b = appendString(b, changeDomain, string(c.Entry.Domain))
 	b = appendNumber(b, changeSlots, uint64(c.Entry.Slots))
 	if c.Entry.Leaving {
-		b = appendNumber(b, changeLeaving, 1)
+		b = appendNumber(b, changeDraining, 1)
 	}
 	return b
 }
@@ -108,7 +108,7 @@
 			e.Slots = int(v)
 		case changeGrace:
 			c.Grace = time.Duration(v)
-		case changeLeaving:
+		case changeDraining:
 			e.Leaving = v != 0
 		}
 		return nil
