--- a/internal/peer/gossip/agent.go
+++ b/internal/peer/gossip/agent.go
@@ -180,7 +180,9 @@
 func (a *Agent) announce(now time.Time) int {
 	n := a.sendReports(now, true)
 	reporters := a.hubs.Reporters(now)
-	digest := hubs.Digest(a.hubs.LiveCandidates(now)) // equal to the current one, so that the candidates are left out; VMs get new ones with the response to their next report
+	// With the current digest, respond leaves out the candidates. VMs get changed ones with
+	// the response to their next report.
+	digest := hubs.Digest(a.hubs.LiveCandidates(now))
 	for _, c := range reporters {
 		a.respond(c.VM, c.Addr, &wire.Message{VM: a.vm, Boot: a.boot}, digest, now)
 	}
