--- a/internal/peer/wire/update.go
+++ b/internal/peer/wire/update.go
@@ -19,23 +19,23 @@
 	updateChange = 3
 	updateAge    = 4
 
-	changeRev     = 1
-	changeServer  = 2
-	changeGone    = 3
-	changeService = 4
-	changeAddr    = 5
-	changeDomain  = 6
-	changeSlots   = 7
-	changeLeaving = 8
-	changeGrace   = 9
+	changeRev      = 1
+	changeServer   = 2
+	changeGone     = 3
+	changeService  = 4
+	changeAddr     = 5
+	changeDomain   = 6
+	changeSlots    = 7
+	changeDraining = 8
+	changeGrace    = 9
 )
 
 // EncodeServerUpdate encodes an update of servers.
-func EncodeServerUpdate(n *follow.Update) []byte {
-	b := appendNumber(nil, updateBase, uint64(n.Base))
-	b = appendNumber(b, updateRev, uint64(n.Rev))
-	b = appendNumber(b, updateAge, uint64(n.Age))
-	for _, c := range n.Changes {
+func EncodeServerUpdate(update *follow.Update) []byte {
+	b := appendNumber(nil, updateBase, uint64(update.Base))
+	b = appendNumber(b, updateRev, uint64(update.Rev))
+	b = appendNumber(b, updateAge, uint64(update.Age))
+	for _, c := range update.Changes {
 		b = appendBytes(b, updateChange, encodeChange(c))
 	}
 	return b
@@ -55,32 +55,32 @@
 	b = appendString(b, changeDomain, string(c.Entry.Domain))
 	b = appendNumber(b, changeSlots, uint64(c.Entry.Slots))
 	if c.Entry.Leaving {
-		b = appendNumber(b, changeLeaving, 1)
+		b = appendNumber(b, changeDraining, 1)
 	}
 	return b
 }
 
 // DecodeServerUpdate decodes an update of servers.
 func DecodeServerUpdate(b []byte) (*follow.Update, error) {
-	n := &follow.Update{}
+	update := &follow.Update{}
 	err := forEachField(b, func(num protowire.Number, data []byte, v uint64) error {
 		switch num {
 		case updateBase:
-			n.Base = follow.Revision(v)
+			update.Base = follow.Revision(v)
 		case updateRev:
-			n.Rev = follow.Revision(v)
+			update.Rev = follow.Revision(v)
 		case updateAge:
-			n.Age = time.Duration(v)
+			update.Age = time.Duration(v)
 		case updateChange:
 			c, err := decodeChange(data)
 			if err != nil {
 				return err
 			}
-			n.Changes = append(n.Changes, c)
+			update.Changes = append(update.Changes, c)
 		}
 		return nil
 	})
-	return n, err
+	return update, err
 }
 
 func decodeChange(b []byte) (follow.Change, error) {
@@ -108,7 +108,7 @@
 			e.Slots = int(v)
 		case changeGrace:
 			c.Grace = time.Duration(v)
-		case changeLeaving:
+		case changeDraining:
 			e.Leaving = v != 0
 		}
 		return nil
