--- a/internal/core/ident/server.go
+++ b/internal/core/ident/server.go
@@ -13,13 +13,13 @@
 
 // NewServer returns the identifier of one instance of the server with the given name. A
 // restarted server has lost its state, so nothing that is known of an earlier instance
-// applies to it. start is zero for a server that does not report its start time; such a
-// server has a new name after each restart. The name must pass CheckServer.
-func NewServer(name string, start time.Time) Server {
-	if start.IsZero() {
+// applies to it. startTime is zero for a server that does not report it; such a server has a
+// new name after each restart. The name must pass CheckServer.
+func NewServer(name string, startTime time.Time) Server {
+	if startTime.IsZero() {
 		return Server(name)
 	}
-	return Server(name + startSeparator + strconv.FormatInt(start.UnixMilli(), 10))
+	return Server(name + startSeparator + strconv.FormatInt(startTime.UnixMilli(), 10))
 }
 
 // CheckServer returns an error if s is not a valid name of a server. A name with the
--- a/internal/core/refuse/code_test.go
+++ b/internal/core/refuse/code_test.go
@@ -37,7 +37,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, want)
 	})
-	t.Run("altered code is rejected", func(t *testing.T) {
+	t.Run("altered code is not decoded", func(t *testing.T) {
 		for i := range code {
 			b := []byte(code)
 			b[i] ^= 1
--- a/internal/core/seal/ring_test.go
+++ b/internal/core/seal/ring_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-func TestNewRejects(t *testing.T) {
+func TestNewInvalidSecrets(t *testing.T) {
 	for name, s := range map[string][]Secret{
 		"none":    nil,
 		"three":   {secret(1, 1), secret(2, 2), secret(3, 3)},
--- a/internal/policy/admit/admit.go
+++ b/internal/policy/admit/admit.go
@@ -22,8 +22,8 @@
 	// every 3 s, and a refused client should have time left to retry.
 	maxLateWait  = 3 * time.Second
 	maxLateShare = 0.125
-	// retryShare is the largest fraction of a client's remaining time that it is told to
-	// wait before a retry.
+	// retryShare is the largest fraction of a client's remaining time that is suggested to it
+	// as the wait before a retry.
 	retryShare = 1.0 / 3
 )
 
--- a/internal/policy/length/estimator.go
+++ b/internal/policy/length/estimator.go
@@ -16,8 +16,8 @@
 	rebuildInterval = 32
 )
 
-// Estimator estimates the length distribution of one service and class. It is safe for
-// concurrent use.
+// Estimator estimates the length distribution of the streams that are recorded in it. It
+// is safe for concurrent use.
 type Estimator struct {
 	mu           sync.Mutex
 	atRisk       [Buckets]float64
--- a/internal/policy/poison/share.go
+++ b/internal/policy/poison/share.go
@@ -14,21 +14,21 @@
 
 // hubResponse is a hub's last response.
 type hubResponse struct {
-	start  uint64 // identifies the start of the hub's process
-	digest uint64 // of its quarantines
-	at     time.Time
+	instance uint64 // identifies the instance of the hub's process
+	digest   uint64 // of its quarantines
+	at       time.Time
 }
 
-// HandleResponse records a hub's response: the start of the hub and the digest of its
+// HandleResponse records a hub's response: the instance of the hub and the digest of its
 // quarantines. A restarted hub may hold no findings, so all findings are announced again
 // for announcePeriod.
-func (d *Detector) HandleResponse(vm ident.VM, start, digest uint64, now time.Time) {
+func (d *Detector) HandleResponse(vm ident.VM, instance, digest uint64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.hubs[vm].start != start {
+	if d.hubs[vm].instance != instance {
 		d.announceAllUntil = now.Add(announcePeriod)
 	}
-	d.hubs[vm] = hubResponse{start: start, digest: digest, at: now}
+	d.hubs[vm] = hubResponse{instance: instance, digest: digest, at: now}
 }
 
 // Digest returns a hash of the set of quarantined requests, or zero if it is empty.
--- a/internal/policy/retry/backoff.go
+++ b/internal/policy/retry/backoff.go
@@ -7,7 +7,7 @@
 
 // Backoff returns the delay before attempt n, counted from 1. The delay doubles with each
 // attempt from base up to limit, and is drawn uniformly from its upper half, so that
-// callers that failed at the same time do not retry at the same time.
+// operations that failed at the same time are not retried at the same time.
 func Backoff(rng *rand.Rand, n int, base, limit time.Duration) time.Duration {
 	d := limit
 	if n < 1 {
--- a/internal/route/alloc/tracker.go
+++ b/internal/route/alloc/tracker.go
@@ -47,7 +47,7 @@
 
 type peer struct {
 	receivedAt time.Time
-	boot       uint64
+	instance   uint64
 	seq        uint64
 	load       map[ident.Server]Load
 }
@@ -158,14 +158,15 @@
 }
 
 // UpdatePeer replaces another VM's loads, unless the same or a later report was
-// received before. A report may arrive in several parts with the same sequence
-// number: the loads of the parts after the first are added.
-func (t *Tracker) UpdatePeer(vm ident.VM, boot, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
+// received before. A higher instance means that the VM has restarted since. A
+// report may arrive in several parts with the same sequence number: the loads of
+// the parts after the first are added.
+func (t *Tracker) UpdatePeer(vm ident.VM, instance, seq uint64, part int, load map[ident.Server]Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.peers[vm]
-	continued := boot == p.boot && seq == p.seq && part > 0
-	if boot < p.boot || boot == p.boot && seq <= p.seq && !continued {
+	continued := instance == p.instance && seq == p.seq && part > 0
+	if instance < p.instance || instance == p.instance && seq <= p.seq && !continued {
 		return
 	}
 	for s, l := range load {
@@ -176,7 +177,7 @@
 	} else {
 		t.subtract(p)
 	}
-	t.peers[vm] = peer{receivedAt: now, boot: boot, seq: seq, load: load}
+	t.peers[vm] = peer{receivedAt: now, instance: instance, seq: seq, load: load}
 	t.signalChanged()
 }
 
--- a/internal/route/entry/claims.go
+++ b/internal/route/entry/claims.go
@@ -10,7 +10,7 @@
 )
 
 // maxStoredResponse is the size, in bytes, of the largest response stored for
-// callers that repeat an idempotency key.
+// clients that repeat an idempotency key.
 const maxStoredResponse = 64 << 10
 
 // Claims decides which requests with an idempotency key may run.
@@ -64,7 +64,7 @@
 func (c *claim) hasStoredResponse() bool { return c != nil && c.stored != nil }
 
 // finish reports how the request ended, with its response unless that is too
-// large to store. The caller's context is not used, since the caller may have
+// large to store. The client's context is not used, since the client may have
 // disconnected.
 func (c *claim) finish(ran bool, response *proto.Answer) {
 	if !c.active() {
--- a/internal/route/entry/generate.go
+++ b/internal/route/entry/generate.go
@@ -56,7 +56,7 @@
 func promptTokens(prompt string) int { return len(prompt)/bytesPerToken + 1 }
 
 // open checks a request, places it on an engine and waits for its first token.
-func (h *Handler) open(ctx context.Context, g caller.GenerationRequest) (*callerStream, *refuse.Refusal) {
+func (h *Handler) open(ctx context.Context, g caller.GenerationRequest) (*clientStream, *refuse.Refusal) {
 	rec := &result.Record{}
 	info, refusal := h.resolve(g.Key, g.Service, config.ModelService, g.Class)
 	if refusal != nil {
@@ -66,7 +66,7 @@
 	if refusal != nil {
 		return nil, h.recordRefusal(&info, rec, refusal)
 	}
-	s := &callerStream{handler: h, info: info, permit: permit, chat: g.Chat}
+	s := &clientStream{handler: h, info: info, permit: permit, chat: g.Chat}
 	if s.claim, refusal = h.acquireClaim(ctx, &info, g.IdempotencyKey, fingerprint(string(g.Service), g.Prompt)); refusal != nil {
 		return nil, s.refuse(refusal)
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, h.recordRefusal(&info, rec, refuse.New(refuse.NotFound, "the handle names no engine"))
 	}
-	s := &callerStream{handler: h, info: info, chat: rh.GetChat()}
+	s := &clientStream{handler: h, info: info, chat: rh.GetChat()}
 	call := infer.Call{Request: info.request, Service: info.service, Class: info.class}
 	s.stream, refusal = h.runner.Reattach(ctx, call, addr, ident.Generation(rh.GetGeneration()), r.Next)
 	if refusal != nil {
@@ -130,10 +130,10 @@
 	return rh, trace.Wrap(pb.Unmarshal(data, rh))
 }
 
-// callerStream is the stream of one generation to its caller. It implements
-// caller.Stream and ends exactly once: complete, refused, or abandoned by its
-// caller.
-type callerStream struct {
+// clientStream is the stream of one generation to its client. It implements
+// caller.Stream and ends exactly once: complete, refused, or abandoned by the
+// client.
+type clientStream struct {
 	handler  *Handler
 	info     callInfo
 	permit   *limits.Permit
@@ -143,20 +143,20 @@
 	ended    bool // Next returned the end of the response
 	closed   bool
 	text     []byte        // with an idempotency key: the text sent so far; incomplete if longer than maxStoredResponse
-	response *proto.Answer // stored for callers that repeat the idempotency key
+	response *proto.Answer // stored for clients that repeat the idempotency key
 }
 
 // Request implements caller.Stream.
-func (s *callerStream) Request() ident.Request { return s.info.request }
+func (s *clientStream) Request() ident.Request { return s.info.request }
 
 // Service implements caller.Stream.
-func (s *callerStream) Service() ident.Service { return s.info.service.Name }
+func (s *clientStream) Service() ident.Service { return s.info.service.Name }
 
 // Chat implements caller.Stream.
-func (s *callerStream) Chat() bool { return s.chat }
+func (s *clientStream) Chat() bool { return s.chat }
 
 // Handle implements caller.Stream.
-func (s *callerStream) Handle() string {
+func (s *clientStream) Handle() string {
 	if s.stream == nil {
 		return ""
 	}
@@ -180,7 +180,7 @@
 }
 
 // Next implements caller.Stream.
-func (s *callerStream) Next() (openai.Token, *refuse.Refusal) {
+func (s *clientStream) Next() (openai.Token, *refuse.Refusal) {
 	if s.claim.hasStoredResponse() {
 		return s.replay(), nil
 	}
@@ -195,7 +195,7 @@
 
 // replay returns the next token of a stored response: its text as one token,
 // then its end.
-func (s *callerStream) replay() openai.Token {
+func (s *clientStream) replay() openai.Token {
 	stored := s.claim.stored
 	if s.text == nil && len(stored.GetBody()) > 0 {
 		s.text = stored.GetBody()
@@ -207,7 +207,7 @@
 
 // bufferText collects the text of a stream with an idempotency key and sets the
 // response to store when the stream ends.
-func (s *callerStream) bufferText(t infer.Token) {
+func (s *clientStream) bufferText(t infer.Token) {
 	if !s.claim.active() || len(s.text) > maxStoredResponse {
 		return
 	}
@@ -218,10 +218,10 @@
 }
 
 // Close implements caller.Stream.
-func (s *callerStream) Close(callerLeft bool, bytes int) {
+func (s *clientStream) Close(clientDisconnected bool, bytes int) {
 	switch {
 	case s.closed:
-	case s.ended && !callerLeft:
+	case s.ended && !clientDisconnected:
 		s.complete(bytes)
 	default:
 		s.end(result.Abandoned, nil, bytes)
@@ -229,17 +229,17 @@
 }
 
 // complete ends the stream as delivered in full.
-func (s *callerStream) complete(bytes int) { s.end(result.Complete, nil, bytes) }
+func (s *clientStream) complete(bytes int) { s.end(result.Complete, nil, bytes) }
 
 // refuse ends the stream with a refusal.
-func (s *callerStream) refuse(r *refuse.Refusal) *refuse.Refusal {
+func (s *clientStream) refuse(r *refuse.Refusal) *refuse.Refusal {
 	s.handler.annotate(&s.info, r)
 	s.end(result.Refused, r, 0)
 	return r
 }
 
 // end releases what the stream holds and records its outcome.
-func (s *callerStream) end(o result.Outcome, r *refuse.Refusal, bytes int) {
+func (s *clientStream) end(o result.Outcome, r *refuse.Refusal, bytes int) {
 	if !s.handler.markEnded(&s.closed, &s.info) {
 		return
 	}
--- a/internal/route/entry/handler.go
+++ b/internal/route/entry/handler.go
@@ -28,7 +28,7 @@
 	// prompt's size is used only for placement; engines count the tokens
 	// themselves.
 	bytesPerToken = 4
-	// closeTimeout is how long streams whose callers have disconnected may take
+	// closeTimeout is how long streams whose clients have disconnected may take
 	// to end.
 	closeTimeout = 3 * time.Second
 )
@@ -38,7 +38,7 @@
 	Load() *config.Snapshot
 }
 
-// Handler serves the requests of callers. It implements caller.Handler and is
+// Handler serves the requests of clients. It implements caller.Handler and is
 // safe for concurrent use.
 type Handler struct {
 	vm         ident.VM
@@ -90,7 +90,7 @@
 func (h *Handler) MarkReady() { h.ready.Store(true) }
 
 // Drain makes Ready report false, so that the load balancer sends no new
-// callers.
+// clients.
 func (h *Handler) Drain() { h.draining.Store(true) }
 
 // Ready implements caller.Handler.
@@ -209,7 +209,7 @@
 }
 
 // AssertIdle asserts at shutdown that no request is open. It first waits up to
-// closeTimeout, because the disconnection of a caller is noticed only when the
+// closeTimeout, because the disconnection of a client is noticed only when the
 // next token is written.
 func (h *Handler) AssertIdle() {
 	for end := time.Now().Add(closeTimeout); h.pending.Load() > 0 && time.Now().Before(end); {
--- a/internal/route/entry/plain.go
+++ b/internal/route/entry/plain.go
@@ -42,7 +42,7 @@
 	if claim.stored != nil {
 		rec.Bytes = len(claim.stored.GetBody())
 		h.recordEnd(&info, rec)
-		return callerResponse(info.request, claim.stored), nil
+		return clientResponse(info.request, claim.stored), nil
 	}
 	response, server, refusal := h.plain.Do(ctx, info.request, info.service, info.plainCall(p))
 	rec.Server = server
@@ -81,8 +81,8 @@
 	return c
 }
 
-// callerResponse returns a stored response in the form for the caller.
-func callerResponse(r ident.Request, a *proto.Answer) caller.PlainResponse {
+// clientResponse returns a stored response in the form for the client.
+func clientResponse(r ident.Request, a *proto.Answer) caller.PlainResponse {
 	return caller.PlainResponse{
 		Request:     r,
 		Status:      int(a.GetStatus()),
--- a/internal/route/infer/doc.go
+++ b/internal/route/infer/doc.go
@@ -3,6 +3,6 @@
 // A Stream delivers each token once, in order, and all from one generation. After
 // a broken connection it resumes at the next token. If the engine is lost, the
 // generation is run again on another engine, but only while no token has reached
-// the caller and the call may be repeated; otherwise the stream ends with a refusal
+// the client and the call may be repeated; otherwise the stream ends with a refusal
 // that states how much of it ran.
 package infer
--- a/internal/route/infer/runner.go
+++ b/internal/route/infer/runner.go
@@ -64,7 +64,7 @@
 	Acquire(ctx context.Context, req *pool.Request) (Reservation, *refuse.Refusal)
 }
 
-// Call describes a generation requested by a caller.
+// Call describes a generation requested by a client.
 type Call struct {
 	Request          ident.Request
 	Service          *config.Service
@@ -75,7 +75,7 @@
 	PlacementRequest pool.Request
 }
 
-// Token is one token for the caller, or the end of the response.
+// Token is one token for the client, or the end of the response.
 type Token struct {
 	Index  uint64
 	Text   string
--- a/internal/route/infer/start.go
+++ b/internal/route/infer/start.go
@@ -71,7 +71,7 @@
 // handleNotStarted handles an engine that provably did not start the generation. It
 // returns nil if another engine should be tried.
 func (s *Stream) handleNotStarted(e *engine.Error) *refuse.Refusal {
-	end := pool.Refused
+	end := pool.Rejected
 	if e.Kind == engine.Unsent {
 		end = pool.EngineLost
 	}
--- a/internal/route/infer/stream.go
+++ b/internal/route/infer/stream.go
@@ -35,16 +35,16 @@
 	nextEvent   func() (engine.Event, error, bool)
 	stopEvents  func()
 
-	shownGeneration ident.Generation // whose tokens the caller has received
-	started         bool             // an engine has received the generation and may have run it
-	delivered       bool             // a token has reached the caller
-	failedResumes   int              // consecutive times that the engine did not respond, or responded incorrectly
-	disconnects     int              // consecutive connections that broke before they delivered a token
-	rejections      int              // number of engines that did not start the generation
-	firstToken      *Token           // fetched by awaitFirst and not returned yet
-	lastTokenAt     time.Time        // time of the last token, or of the start of the stream
-	expectedGap     time.Duration    // expected time to the next token
-	closed          bool
+	deliveredGeneration ident.Generation // whose tokens the client has received
+	started             bool             // an engine has received the generation and may have run it
+	delivered           bool             // a token has reached the client
+	failedResumes       int              // consecutive times that the engine did not respond, or responded incorrectly
+	disconnects         int              // consecutive connections that broke before they delivered a token
+	rejections          int              // number of engines that did not start the generation
+	firstToken          *Token           // fetched by awaitFirst and not returned yet
+	lastTokenAt         time.Time        // time of the last token, or of the start of the stream
+	expectedGap         time.Duration    // expected time to the next token
+	closed              bool
 }
 
 // Engine returns the address of the engine and the generation, for a resume handle.
@@ -73,8 +73,8 @@
 		return t, refusal
 	}
 	g := s.cursor.Generation()
-	s.runner.invariants.Assert(invar.OneGeneration, s.shownGeneration == "" || s.shownGeneration == g, "request %s shows tokens of two generations", s.call.Request)
-	s.shownGeneration = g
+	s.runner.invariants.Assert(invar.OneGeneration, s.deliveredGeneration == "" || s.deliveredGeneration == g, "request %s shows tokens of two generations", s.call.Request)
+	s.deliveredGeneration = g
 	return t, nil
 }
 
@@ -88,7 +88,7 @@
 }
 
 // ReadAll returns the text and finish reason of the complete generation. No token
-// reaches the caller before that, so the generation may be run again if its engine is
+// reaches the client before that, so the generation may be run again if its engine is
 // lost.
 func (s *Stream) ReadAll() (string, string, *refuse.Refusal) {
 	var text strings.Builder
@@ -110,7 +110,7 @@
 }
 
 // Close closes the stream. An unfinished generation continues on its engine for the
-// detach timeout, so that the caller can resume it.
+// detach timeout, so that the client can resume it.
 func (s *Stream) Close(refusal *refuse.Refusal) {
 	if s.closed {
 		return
@@ -147,7 +147,7 @@
 }
 
 // handleEvent handles one event. It returns true if the event yields a token, or the end,
-// for the caller.
+// for the client.
 func (s *Stream) handleEvent(ev engine.Event) (Token, bool) {
 	switch ev.Kind {
 	case engine.Paused:
--- a/internal/route/infer/stream_test.go
+++ b/internal/route/infer/stream_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// stream runs a streaming call to its end and returns the tokens that the caller
+// stream runs a streaming call to its end and returns the tokens that the client
 // received.
 func (h *harness) stream() ([]Token, *refuse.Refusal) {
 	s, refusal := h.runner.Open(context.Background(), localPlacer{h.pool}, h.call)
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestEngineDies(t *testing.T) {
+func TestEngineLost(t *testing.T) {
 	t.Run("before the first token: the generation runs on another engine", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			h := newHarness(firstEngineFails(0))
@@ -308,7 +308,7 @@
 }
 
 func TestStartFails(t *testing.T) {
-	refused := &engine.Error{Kind: engine.Refused, RetryAfter: 7 * time.Second, Err: io.EOF}
+	rejected := &engine.Error{Kind: engine.Refused, RetryAfter: 7 * time.Second, Err: io.EOF}
 	maybe := &engine.Error{Kind: engine.OutcomeUnknown, Err: io.EOF}
 	for name, c := range map[string]struct {
 		err        error
@@ -317,9 +317,9 @@
 		ran        refuse.Ran
 		starts     int
 	}{
-		"every engine refuses":                      {refused, false, refuse.ServerRefused, refuse.RanNo, 3},
+		"every engine rejects":                      {rejected, false, refuse.ServerRefused, refuse.RanNo, 3},
 		"no engine is reachable":                    {errUnreachable, false, refuse.ServerRefused, refuse.RanNo, 3},
-		"refusals of an at-most-once call":          {refused, true, refuse.ServerRefused, refuse.RanNo, 3},
+		"rejections of an at-most-once call":        {rejected, true, refuse.ServerRefused, refuse.RanNo, 3},
 		"no response to an at-most-once call":       {maybe, true, refuse.ServerTimeout, refuse.RanMaybe, 1},
 		"no response from any engine, may have run": {maybe, false, refuse.NoServer, refuse.RanMaybe, 3},
 	} {
@@ -353,7 +353,7 @@
 }
 
 // TestRandomFaults draws a random behaviour for each call to an engine. In every case the
-// caller must receive tokens of one generation in order, a refusal must state correctly
+// client must receive tokens of one generation in order, a refusal must state correctly
 // whether the call ran, an at-most-once call must be given to at most one engine, and the
 // stream must end.
 func TestRandomFaults(t *testing.T) {
--- a/internal/route/migr/migrator.go
+++ b/internal/route/migr/migrator.go
@@ -39,7 +39,7 @@
 
 // ErrBudgetExhausted reports that the run was not migrated because the retry
 // budget is used up. The run stays on its engine.
-var ErrBudgetExhausted = errors.New("mover: the retry budget is used up")
+var ErrBudgetExhausted = errors.New("migr: the retry budget is used up")
 
 // Group starts goroutines.
 type Group interface {
@@ -51,7 +51,7 @@
 	backend port.Backend
 	group   Group
 	run     ident.Request
-	log     func(what string, fields ...zap.Field)
+	log     func(msg string, fields ...zap.Field)
 
 	stopped atomic.Bool
 }
@@ -64,11 +64,11 @@
 	return &Migrator{backend: b, group: g, run: run, log: log}
 }
 
-// Move copies the run's KV cache while the run continues, then stops the run and
+// Migrate copies the run's KV cache while the run continues, then stops the run and
 // copies the rest. Before the stop it repeats the copy of new tokens until one
 // meets no queue or copyPhaseTime is over; the last copy then usually takes 8 ms
 // instead of a median of 0.4 s. The run is stopped only if spend returns true.
-func (m *Migrator) Move(ctx context.Context, from, to *srvtab.Server, spend func() bool) (port.MoveResult, error) {
+func (m *Migrator) Migrate(ctx context.Context, from, to *srvtab.Server, spend func() bool) (port.MoveResult, error) {
 	m.stopped.Store(false)
 	deadline := time.Now().Add(copyPhaseTime)
 	handle := ""
--- a/internal/route/pick/pick.go
+++ b/internal/route/pick/pick.go
@@ -164,7 +164,7 @@
 		known = known || !servers[i].Skip
 		servers[i].Skip = servers[i].Skip || c.isAvoided(s.ID, now) || purpose != Backup && !c.rates.CanGrant(s.ID, now)
 	}
-	if i := assign.ChooseEngine(r.Need, purpose.maxFill(), purpose.crossDomainWeight(), servers, assign.NewRand()); i >= 0 {
+	if i := assign.ChooseEngine(r.Need, purpose.maxFill(), purpose.crossDomainCost(), servers, assign.NewRand()); i >= 0 {
 		return list[i], true
 	}
 	return nil, known
--- a/internal/route/pick/request.go
+++ b/internal/route/pick/request.go
@@ -29,9 +29,9 @@
 	return assign.MaxCallFill
 }
 
-// crossDomainWeight returns the cost weight of an engine in another failure
+// crossDomainCost returns the additional cost of an engine in another failure
 // domain.
-func (p Purpose) crossDomainWeight() float64 {
+func (p Purpose) crossDomainCost() float64 {
 	if p == NewRun {
 		return assign.CrossDomainCallCost
 	}
--- a/internal/route/placer/placer.go
+++ b/internal/route/placer/placer.go
@@ -60,12 +60,13 @@
 }
 
 // New returns a Placer. order returns the VMs that may coordinate a service, in
-// order; coordinator is this VM's own. Request IDs start after boot. count is
-// called with the outcome of each placement.
-func New(vm ident.VM, boot uint64, c *pick.Chooser, coordinator *coord.Coordinator, order func(ident.Service, time.Time) []hubs.CoordinatorCandidate, transport Transport, count func(outcome string), log *zap.Logger) *Placer {
+// order; coordinator is this VM's own. Request IDs start after
+// instance, which identifies the instance of this VM. count is called with the
+// outcome of each placement.
+func New(vm ident.VM, instance uint64, c *pick.Chooser, coordinator *coord.Coordinator, order func(ident.Service, time.Time) []hubs.CoordinatorCandidate, transport Transport, count func(outcome string), log *zap.Logger) *Placer {
 	return &Placer{
 		vm: vm, chooser: c, coordinator: coordinator, order: order, transport: transport, count: count, log: log,
-		lastID: boot, pending: make(map[uint64]chan coord.Response), avoidUntil: make(map[ident.VM]time.Time),
+		lastID: instance, pending: make(map[uint64]chan coord.Response), avoidUntil: make(map[ident.VM]time.Time),
 		coordinators: make(map[ident.Service]ident.VM),
 	}
 }
--- a/internal/route/placer/placer_test.go
+++ b/internal/route/placer/placer_test.go
@@ -225,7 +225,7 @@
 			assert.Assert(t, time.Since(start) < 310*time.Millisecond, "%s", time.Since(start))
 		})
 	})
-	t.Run("a call that cannot start in time is rejected at once when the wait can be estimated", func(t *testing.T) {
+	t.Run("a call that cannot start in time is refused at once when the wait can be estimated", func(t *testing.T) {
 		testFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 			f.fillEngine(t, -1)
 			var g errgroup.Group
@@ -250,13 +250,13 @@
 			var mu sync.Mutex
 			var started []string
 			var g errgroup.Group
-			for _, name := range []string{"long", "urgent", "move"} {
+			for _, name := range []string{"long", "urgent", "migration"} {
 				r := newCall()
 				r.Need = 15_000 // only one fits at a time
 				switch name {
 				case "urgent":
 					r.Rank = 0
-				case "move":
+				case "migration":
 					r.Purpose, r.Prefill = pick.Migration, 0
 				}
 				g.Go(func() error {
@@ -269,7 +269,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			assert.NilError(t, g.Wait())
-			assert.DeepEqual(t, started, []string{"move", "urgent", "long"})
+			assert.DeepEqual(t, started, []string{"migration", "urgent", "long"})
 		})
 	})
 	t.Run("a repeated call yields to calls that can start in time", func(t *testing.T) {
@@ -282,7 +282,7 @@
 			var mu sync.Mutex
 			var started []string
 			var g errgroup.Group
-			for name, r := range map[string]pick.Request{"back": repeated, "new": newCall()} {
+			for name, r := range map[string]pick.Request{"repeated": repeated, "new": newCall()} {
 				r.Need, r.TargetWait, r.MaxWait = 15_000, 2*time.Second, 3*time.Second
 				g.Go(func() error {
 					_, err := f.placeAndHold(f.vms[2], r, 50*time.Millisecond)
@@ -293,7 +293,7 @@
 				})
 			}
 			assert.NilError(t, g.Wait())
-			assert.DeepEqual(t, started, []string{"new", "back"})
+			assert.DeepEqual(t, started, []string{"new", "repeated"})
 		})
 	})
 	t.Run("a wait ends at its limit, also behind other queued calls", func(t *testing.T) {
@@ -473,10 +473,10 @@
 	})
 }
 
-// TestLeavingEngine retires an engine with six runs in 1.8 s whose link
+// TestRetiredEngine retires an engine with six runs in 1.8 s whose link
 // transfers one KV cache in 0.25 s. If the transfers share the link, none
 // completes in time.
-func TestLeavingEngine(t *testing.T) {
+func TestRetiredEngine(t *testing.T) {
 	const (
 		copyTime = 250 * time.Millisecond
 		notice   = 1800 * time.Millisecond
@@ -487,7 +487,7 @@
 	t.Run("its runs migrate one after the other", func(t *testing.T) {
 		testFleet(t, 6, 4, func(t *testing.T, f *fleet) {
 			var g errgroup.Group
-			var copies, maxCopies, moved atomic.Int64
+			var copies, maxCopies, migrated atomic.Int64
 			start := time.Now()
 			for _, v := range f.vms {
 				g.Go(func() error {
@@ -502,14 +502,14 @@
 					link.Release()
 					f.reportLoads(v)
 					if time.Since(start) < notice {
-						moved.Add(1)
+						migrated.Add(1)
 					}
 					return nil
 				})
 			}
 			assert.NilError(t, g.Wait())
 			assert.Equal(t, maxCopies.Load(), int64(1), "caches share the link")
-			assert.Equal(t, moved.Load(), int64(6))
+			assert.Equal(t, migrated.Load(), int64(6))
 		})
 	})
 	t.Run("a migration that waits for the link does not block those of other engines", func(t *testing.T) {
--- a/internal/route/placer/size_test.go
+++ b/internal/route/placer/size_test.go
@@ -30,7 +30,7 @@
 
 func (c *placementCounts) servedShare() float64 { return c.served / c.requested }
 
-// TestLargestPrompts guards against rejecting calls mainly because their prompts are large.
+// TestLargestPrompts guards against refusing calls mainly because their prompts are large.
 // Long runs keep the engines full while short calls request capacity; a tenth of the short calls
 // have prompts of 5,600 tokens, the others of 2,200. The served share of the largest tenth
 // must be at least half of that of all short calls.
--- a/internal/route/pool/engine.go
+++ b/internal/route/pool/engine.go
@@ -88,7 +88,7 @@
 
 // policyView returns the engine as the placement policy sees it. It adds streams
 // of other VMs that are not in the report yet: about unreportedRate per second,
-// since the load balancer spreads callers evenly.
+// since the load balancer spreads clients evenly.
 func (e *engineState) policyView(now time.Time, unreportedRate float64, newForecast *length.Forecast, prefix uint64) place.Engine {
 	view := place.Engine{
 		Memory:         float64(e.report.MemorySize),
--- a/internal/route/pool/pool_test.go
+++ b/internal/route/pool/pool_test.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// TestLeaving starts and drains engines at random while load reports are delayed
+// TestDrainingEngines starts and drains engines at random while load reports are delayed
 // or missing. Three seconds after an engine began to drain, nothing new may be
 // placed on it, whether or not this VM received a report that says so.
-func TestLeaving(t *testing.T) {
+func TestDrainingEngines(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			const engines = 3
@@ -140,7 +140,7 @@
 		assert.Assert(t, refusal.RetryAfter > 0 && refusal.Rule.Observed > 20)
 		_, next := p.Acquire(context.Background(), newRequest("batch", 2, 20*time.Second))
 		perWaiter, _ := p.throughput.predictWait(0, time.Now())
-		assert.Equal(t, next.RetryAfter, refusal.RetryAfter+perWaiter, "callers refused together must get different retry times")
+		assert.Equal(t, next.RetryAfter, refusal.RetryAfter+perWaiter, "clients refused together must get different retry times")
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/route/pool/reservation.go
+++ b/internal/route/pool/reservation.go
@@ -44,7 +44,7 @@
 	r.refreshForecast()
 }
 
-// refreshShare updates the predicted memory of the stream.
+// refreshForecast updates the predicted memory of the stream.
 func (r *Reservation) refreshForecast() {
 	forecast := r.estimator.Curve().Forecast(r.produced, r.prompt)
 	memory := r.prompt + r.produced
@@ -63,9 +63,9 @@
 // The outcomes.
 const (
 	Completed  Outcome = iota // it ran to its end
-	Cancelled                 // it was cancelled or the caller disconnected
+	Cancelled                 // it was cancelled or the client disconnected
 	EngineLost                // the engine was lost or failed
-	Refused                   // the engine refused to start it
+	Rejected                  // the engine did not start it
 )
 
 // Release returns the reserved capacity and records the outcome.
--- a/internal/route/pool/throughput.go
+++ b/internal/route/pool/throughput.go
@@ -19,7 +19,7 @@
 type throughput struct {
 	since  time.Time // zero: the queue is empty
 	placed float64   // waiters placed since then
-	// lastRetryAt is the latest retry time given to a refused caller, by rank.
+	// lastRetryAt is the latest retry time given to a refused client, by rank.
 	lastRetryAt [config.MaxRank + 1]time.Time
 }
 
@@ -39,9 +39,9 @@
 	}
 }
 
-// scheduleRetry returns the retry delay of a refused caller of a rank who could
+// scheduleRetry returns the retry delay of a refused client of a rank that could
 // be served after wait. Retry times are spaced by the time in which the queue
-// places one waiter, so that callers refused together do not return together.
+// places one waiter, so that clients refused together do not return together.
 func (t *throughput) scheduleRetry(rank int, wait time.Duration, now time.Time) time.Duration {
 	at := now.Add(wait)
 	if perWaiter, ok := t.predictWait(0, now); ok && t.lastRetryAt[rank].Add(perWaiter).After(at) {
--- a/internal/route/port/port.go
+++ b/internal/route/port/port.go
@@ -54,7 +54,7 @@
 	Close() error
 }
 
-// MoveResult is the result of an order to copy a run's KV cache.
+// CopyResult is the result of an order to copy a run's KV cache.
 type MoveResult struct {
 	Handle string // identifies the cache at the engine of the run
 	Events int    // produced so far
@@ -89,7 +89,7 @@
 	// Send sends the call and returns once the head of the response has arrived. Its
 	// error is always a *SendError.
 	Send(ctx context.Context, a Attempt) (*Response, error)
-	// Move copies the KV cache of a run to another engine. With stopRun it stops the
+	// CopyCache copies the KV cache of a run to another engine. With stopRun it stops the
 	// run first.
 	Move(ctx context.Context, from *srvtab.Server, id ident.Request, to netip.AddrPort, stopRun bool) (MoveResult, error)
 	// Free frees a copy that is not used.
--- a/internal/route/probe/probe_test.go
+++ b/internal/route/probe/probe_test.go
@@ -19,7 +19,7 @@
 
 const service = ident.Service("s")
 
-var firstStart = ident.NewServer("a", time.UnixMilli(1000))
+var firstInstance = ident.NewServer("a", time.UnixMilli(1000))
 
 // engines responds to all probes in the same way.
 type engines struct {
@@ -45,7 +45,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		tab := srvtab.NewTable(func() {})
-		tab.Put(srvtab.Entry{ID: firstStart, Service: service, Slots: 1})
+		tab.Put(srvtab.Entry{ID: firstInstance, Service: service, Slots: 1})
 		services := func(time.Time) []ident.Service {
 			if !storeDown {
 				return nil
@@ -68,28 +68,28 @@
 		storeUp     bool
 		used        bool
 		unreachable bool
-		asked       int
+		probes      int
 	}{
-		"healthy":            {used: true, asked: 5},
-		"draining":           {engines: engines{report: port.EngineReport{Draining: true}}, asked: 1},
-		"restarted":          {engines: engines{report: port.EngineReport{StartedAt: time.UnixMilli(2000)}}, asked: 1},
-		"same start time":    {engines: engines{report: port.EngineReport{StartedAt: time.UnixMilli(1000)}}, used: true, asked: 5},
-		"connection refused": {engines: engines{err: &port.SendError{Unsent: true, Err: errors.New("refused")}}, used: true, unreachable: true, asked: 5},
-		"no response":        {engines: engines{after: time.Minute}, used: true, asked: 2},
+		"healthy":            {used: true, probes: 5},
+		"draining":           {engines: engines{report: port.EngineReport{Draining: true}}, probes: 1},
+		"restarted":          {engines: engines{report: port.EngineReport{StartedAt: time.UnixMilli(2000)}}, probes: 1},
+		"same start time":    {engines: engines{report: port.EngineReport{StartedAt: time.UnixMilli(1000)}}, used: true, probes: 5},
+		"connection refused": {engines: engines{err: &port.SendError{Unsent: true, Err: errors.New("refused")}}, used: true, unreachable: true, probes: 5},
+		"no response":        {engines: engines{after: time.Minute}, used: true, probes: 2},
 		"store reachable":    {storeUp: true, engines: engines{report: port.EngineReport{Draining: true}}, used: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			used, unreachable := probeForSecond(t, &tc.engines, !tc.storeUp)
 			assert.Equal(t, used, tc.used)
 			assert.Equal(t, len(unreachable) > 0, tc.unreachable)
-			assert.Equal(t, tc.engines.probes, tc.asked)
+			assert.Equal(t, tc.engines.probes, tc.probes)
 		})
 	}
 }
 
-// TestMany has a VM probe thousands of engines: a bounded number per round, and
+// TestManyEngines has a VM probe thousands of engines: a bounded number per round, and
 // all of them in turn.
-func TestMany(t *testing.T) {
+func TestManyEngines(t *testing.T) {
 	const engines = 3000
 	tab := srvtab.NewTable(func() {})
 	var list []srvtab.Entry
--- a/internal/route/relay/crash_test.go
+++ b/internal/route/relay/crash_test.go
@@ -124,9 +124,9 @@
 	})
 }
 
-// TestLeavingServer ends servers that had announced their retirement. This must not count
+// TestDrainingServer ends servers that had announced their drain. This must not count
 // against the calls that it interrupts.
-func TestLeavingServer(t *testing.T) {
+func TestDrainingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 12)
 		for range 5 {
--- a/internal/route/relay/fake_test.go
+++ b/internal/route/relay/fake_test.go
@@ -138,7 +138,7 @@
 	_ = r.out.Close()
 }
 
-func (e *fakeEngines) Move(_ context.Context, from *srvtab.Server, id ident.Request, _ netip.AddrPort, last bool) (port.MoveResult, error) {
+func (e *fakeEngines) Move(_ context.Context, from *srvtab.Server, id ident.Request, _ netip.AddrPort, stopRun bool) (port.MoveResult, error) {
 	e.mu.Lock()
 	r := e.runs[runKey(from.ID, id)]
 	e.migrations++
@@ -156,7 +156,7 @@
 	if noCapacity {
 		return port.MoveResult{}, port.ErrNoCapacity
 	}
-	if last {
+	if stopRun {
 		r.stop()
 	}
 	time.Sleep(wait)
@@ -287,7 +287,7 @@
 
 func (h *harness) Refresh(context.Context, time.Duration) error {
 	if h.refresh == nil {
-		return errors.New("the store does not answer")
+		return errors.New("the store does not respond")
 	}
 	return h.refresh()
 }
--- a/internal/route/relay/plain_test.go
+++ b/internal/route/relay/plain_test.go
@@ -45,7 +45,7 @@
 }
 
 func failSilent() (*port.Response, error) {
-	return nil, &port.SendError{Err: errors.New("closed without an answer")}
+	return nil, &port.SendError{Err: errors.New("closed without a response")}
 }
 
 func TestPlain(t *testing.T) {
@@ -59,20 +59,20 @@
 		attempts  int
 		gone      int // servers removed from use
 	}{
-		"served":                                     {path: "/get/x", responses: []respondFunc{respondOK}, budget: 9, status: 200, attempts: 1},
-		"a failed call is retried":                   {path: "/get/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 200, attempts: 2},
-		"a truncated response is not forwarded":      {path: "/get/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, status: 200, attempts: 2},
-		"the last failure response is forwarded":     {path: "/get/x", responses: []respondFunc{respondError, respondError}, budget: 9, status: 500, attempts: 2},
-		"no retry beyond the budget":                 {path: "/get/x", responses: []respondFunc{respondError, respondOK}, status: 500, attempts: 1},
-		"an unsent call is sent to another server":   {path: "/once/x", responses: []respondFunc{failUnsent, respondOK}, budget: 9, status: 200, attempts: 2},
-		"once: no retry after a truncated response":  {path: "/once/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, reason: refuse.ServerLost, ran: refuse.RanMaybe, attempts: 1},
-		"once: no retry without a response":          {path: "/once/x", responses: []respondFunc{failSilent, respondOK}, budget: 9, reason: refuse.ServerLost, ran: refuse.RanMaybe, attempts: 1},
-		"once: a failure is the server's own":        {path: "/once/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 500, attempts: 1},
-		"once: an overloaded server did not run it":  {path: "/once/x", responses: []respondFunc{respondOverloaded, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1},
-		"may have run, then rejected":                {path: "/get/x", responses: []respondFunc{failSilent, respondOverloaded}, budget: 9, reason: refuse.ServerLost, ran: refuse.RanMaybe, attempts: 2},
-		"no server is reachable":                     {path: "/get/x", responses: []respondFunc{failUnsent, failUnsent, failUnsent, failUnsent}, budget: 9, reason: refuse.NoServer, attempts: 4},
-		"a server that is gone is passed over":       {path: "/get/x", responses: []respondFunc{respondReplaced, respondOK}, budget: 9, status: 200, attempts: 2, gone: 1},
-		"once: a server that is gone did not run it": {path: "/once/x", responses: []respondFunc{respondReplaced, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1, gone: 1},
+		"served":                                    {path: "/get/x", responses: []respondFunc{respondOK}, budget: 9, status: 200, attempts: 1},
+		"a failed call is retried":                  {path: "/get/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 200, attempts: 2},
+		"a truncated response is not forwarded":     {path: "/get/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, status: 200, attempts: 2},
+		"the last failure response is forwarded":    {path: "/get/x", responses: []respondFunc{respondError, respondError}, budget: 9, status: 500, attempts: 2},
+		"no retry beyond the budget":                {path: "/get/x", responses: []respondFunc{respondError, respondOK}, status: 500, attempts: 1},
+		"an unsent call is sent to another server":  {path: "/once/x", responses: []respondFunc{failUnsent, respondOK}, budget: 9, status: 200, attempts: 2},
+		"once: no retry after a truncated response": {path: "/once/x", responses: []respondFunc{respondTruncated, respondOK}, budget: 9, reason: refuse.ServerLost, ran: refuse.RanMaybe, attempts: 1},
+		"once: no retry without a response":         {path: "/once/x", responses: []respondFunc{failSilent, respondOK}, budget: 9, reason: refuse.ServerLost, ran: refuse.RanMaybe, attempts: 1},
+		"once: a failure is the server's own":       {path: "/once/x", responses: []respondFunc{respondError, respondOK}, budget: 9, status: 500, attempts: 1},
+		"once: an overloaded server did not run it": {path: "/once/x", responses: []respondFunc{respondOverloaded, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1},
+		"may have run, then rejected":               {path: "/get/x", responses: []respondFunc{failSilent, respondOverloaded}, budget: 9, reason: refuse.ServerLost, ran: refuse.RanMaybe, attempts: 2},
+		"no server is reachable":                    {path: "/get/x", responses: []respondFunc{failUnsent, failUnsent, failUnsent, failUnsent}, budget: 9, reason: refuse.NoServer, attempts: 4},
+		"a replaced server is skipped":              {path: "/get/x", responses: []respondFunc{respondReplaced, respondOK}, budget: 9, status: 200, attempts: 2, gone: 1},
+		"once: a replaced server did not run it":    {path: "/once/x", responses: []respondFunc{respondReplaced, respondOK}, budget: 9, reason: refuse.ServerRefused, attempts: 1, gone: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -137,7 +137,7 @@
 			h.settings.RecordVersion(2, h.clock())
 			time.Sleep(2400 * time.Millisecond)
 		}},
-		"newest after all": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
+		"settings confirmed as the newest": {path: "/new/x", reason: refuse.NotFound, before: func(h *harness) {
 			h.settings.RecordVersion(2, h.clock())
 			time.Sleep(2400 * time.Millisecond)
 			h.settings.ConfirmNewest(h.clock())
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -178,7 +178,7 @@
 	a.Result.Fingerprint = a.Call.Fingerprint(a.Workspace)
 	name := route.PickService(rand.Float64())
 	if a.Service = snap.Service(name); a.Service == nil {
-		return refuse.New(refuse.NoServer, "route %s leads to service %s, which the settings do not define", route.Name, name).WithRetryAfter(task.NoServerRetry)
+		return refuse.New(refuse.NoServer, "route %s leads to service %s, which the settings do not define", route.Name, name).WithRetryAfter(task.NoServerRetryAfter)
 	}
 	a.Result.Service = name
 	if refusal := a.checkShutdown(); refusal != nil {
--- a/internal/route/relay/stream_test.go
+++ b/internal/route/relay/stream_test.go
@@ -30,7 +30,8 @@
 	time.AfterFunc(d, f)
 }
 
-// retireRunningServer marks the server that currently runs the call as retired.
+// retireRunningServer marks the server that currently runs the call as
+// draining, which retires it.
 func (h *harness) retireRunningServer() {
 	id := h.runningServer()
 	e := h.table.View().Server(id).Entry
@@ -154,7 +155,7 @@
 	})
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 3)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -165,7 +166,7 @@
 	})
 }
 
-func TestStopping(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	for name, tc := range map[string]struct {
 		path      string
 		remaining time.Duration
@@ -220,9 +221,9 @@
 	})
 }
 
-// TestClientLeavesDuringMigration disconnects the client during the last copy of a
+// TestClientDisconnectsDuringMigration disconnects the client during the last copy of a
 // migration. The reservation at the other engine must be released.
-func TestClientLeavesDuringMigration(t *testing.T) {
+func TestClientDisconnectsDuringMigration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, 4)
 		h.engines.copyTime = deltaCopyTime // as fast as a copy without a queue, so that the last copy follows directly
--- a/internal/route/sched/coord.go
+++ b/internal/route/sched/coord.go
@@ -26,7 +26,8 @@
 )
 
 const (
-	// hashPrefix must be the same on all VMs.
+	// hashPrefix precedes the model's name in the rendezvous hash. It must be the
+	// same on all VMs.
 	hashPrefix = "cell/"
 	// holdTime is how long the coordinator holds a request before it responds with
 	// Pending.
@@ -204,7 +205,7 @@
 		t.reservation.Progress(int(s.GetProduced()))
 	}
 	if s.GetEnded() {
-		t.release(pool.Outcome(min(s.GetEnding(), uint32(pool.Refused))), time.Now())
+		t.release(pool.Outcome(min(s.GetEnding(), uint32(pool.Rejected))), time.Now())
 	}
 }
 
--- a/internal/route/sched/placer.go
+++ b/internal/route/sched/placer.go
@@ -102,7 +102,8 @@
 }
 
 // acquireRemote repeats the request until the coordinator decides. It returns false
-// if the coordinator does not respond.
+// if the coordinator does not respond, does not coordinate the model, or chose an
+// engine that this VM's settings do not have.
 func (p *modelPlacer) acquireRemote(ctx context.Context, coordinator member.Member, req *pool.Request) (infer.Reservation, *refuse.Refusal, bool) {
 	msg := p.newSeatAsk(req)
 	for ctx.Err() == nil {
--- a/internal/route/stream/migrate.go
+++ b/internal/route/stream/migrate.go
@@ -86,12 +86,12 @@
 		load.CopiesIn = 1
 		reservation := f.Alloc.Reserve(to.ID, load)
 		linkReservation := f.Alloc.Reserve(from.ID, alloc.Load{CopiesOut: 1})
-		var moved port.MoveResult
-		moved, err = f.migrator.Move(ctx, from, to, f.spendRetry)
+		var copied port.MoveResult
+		copied, err = f.migrator.Migrate(ctx, from, to, f.spendRetry)
 		linkReservation.Release()
 		if err == nil {
 			reservation.Resize(f.load(false))
-			return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.CacheRef{Addr: from.Addr, ID: moved.Handle}}
+			return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.CacheRef{Addr: from.Addr, ID: copied.Handle}}
 		}
 		reservation.Release()
 		f.LogInfo("copy failed", zap.String("from", string(from.ID)), zap.String("to", string(to.ID)), zap.Error(err))
@@ -141,13 +141,13 @@
 		return migration{err: migr.ErrBudgetExhausted}
 	}
 	reservation := f.Alloc.Reserve(to.ID, f.load(false))
-	moved, err := f.migrator.Recover(ctx, f.server, to)
+	copied, err := f.migrator.Recover(ctx, f.server, to)
 	if err != nil {
 		reservation.Release()
 		f.LogInfo("KV cache not recovered", zap.String("server", string(f.server.ID)), zap.Error(err))
 		return migration{err: err}
 	}
-	return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.CacheRef{Addr: f.server.Addr, ID: moved.Handle}}
+	return migration{to: to, backup: placement.Backup, reservation: reservation, copy: port.CacheRef{Addr: f.server.Addr, ID: copied.Handle}}
 }
 
 // continueAt continues the stream at the engine that holds the copy. It first forwards
--- a/internal/route/stream/stream.go
+++ b/internal/route/stream/stream.go
@@ -29,7 +29,7 @@
 type forwarder struct {
 	*task.Task
 	tried           map[ident.Server]bool
-	unreachable     []ident.Server // connections failed since the last placement
+	unreachable     []ident.Server // servers to which the connection failed since the last placement
 	server          *srvtab.Server
 	reservation     *alloc.Reservation
 	backup          *backupCopy
@@ -140,7 +140,7 @@
 		if f.connectFailures++; f.RetryUnsent(f.connectFailures) {
 			return nil
 		}
-		return refuse.New(refuse.NoServer, "no server of service %s could be reached", f.Service.Name).WithRan(f.ran).WithRetryAfter(task.NoServerRetry)
+		return refuse.New(refuse.NoServer, "no server of service %s could be reached", f.Service.Name).WithRan(f.ran).WithRetryAfter(task.NoServerRetryAfter)
 	case f.mayRetry():
 		return nil
 	}
@@ -163,7 +163,7 @@
 		if f.mayRetry() {
 			return nil, false
 		}
-		return refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).WithRan(f.ran).WithRetryAfter(task.NoServerRetry), true
+		return refuse.New(refuse.ServerRefused, "server %s did not take the call, with status %d", s.ID, resp.Status).WithRan(f.ran).WithRetryAfter(task.NoServerRetryAfter), true
 	}
 	f.ran = refuse.RanMaybe
 	if err != nil {
--- a/internal/route/task/task.go
+++ b/internal/route/task/task.go
@@ -18,8 +18,8 @@
 	"umberladder/internal/state/srvtab"
 )
 
-// NoServerRetry is the retry delay of a call refused for lack of a server.
-const NoServerRetry = 500 * time.Millisecond
+// NoServerRetryAfter is the retry delay of a call refused for lack of a server.
+const NoServerRetryAfter = 500 * time.Millisecond
 
 // ErrTimeout is the cause that cancels a call's context at its deadline.
 var ErrTimeout = errors.New("task: the deadline has passed")
@@ -123,7 +123,7 @@
 	if limited > 0 {
 		r.Detail += fmt.Sprintf(", %d of them limit their requests", limited)
 	}
-	return r.WithRetryAfter(max(retryAfter, NoServerRetry))
+	return r.WithRetryAfter(max(retryAfter, NoServerRetryAfter))
 }
 
 // WriteResponse writes a complete response to the client.
--- a/internal/route/task/task_test.go
+++ b/internal/route/task/task_test.go
@@ -19,7 +19,7 @@
 		want      int           // unreachable servers that are tried
 	}{
 		"refused at once": {failAfter: 3 * time.Millisecond, want: maxUnsent},
-		"not answered":    {failAfter: 400 * time.Millisecond, want: alwaysRetryUnsent},
+		"no response":     {failAfter: 400 * time.Millisecond, want: alwaysRetryUnsent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
