--- a/internal/route/placer/placer.go
+++ b/internal/route/placer/placer.go
@@ -60,9 +60,9 @@
 }
 
 // New returns a Placer. order returns the VMs that may coordinate a service, in
-// order; coordinator is this VM's own. Request IDs start after
-// instance, which identifies the instance of this VM. count is called with the
-// outcome of each placement.
+// order; coordinator is this VM's own. Request IDs start after instance, which
+// identifies the instance of this VM. count is called with the outcome of each
+// placement.
 func New(vm ident.VM, instance uint64, c *pick.Chooser, coordinator *coord.Coordinator, order func(ident.Service, time.Time) []hubs.CoordinatorCandidate, transport Transport, count func(outcome string), log *zap.Logger) *Placer {
 	return &Placer{
 		vm: vm, chooser: c, coordinator: coordinator, order: order, transport: transport, count: count, log: log,
@@ -73,11 +73,11 @@
 
 // Outcomes of placements, as in the metrics.
 const (
-	outcomeCoordinator = "by-home"
-	outcomeLocal       = "alone"
-	outcomeNoCapacity  = "no-room"
-	outcomeNoServer    = "no-server"
-	outcomeClientLeft  = "client-left"
+	outcomeCoordinator        = "by-home"
+	outcomeLocal              = "alone"
+	outcomeNoCapacity         = "no-room"
+	outcomeNoServer           = "no-server"
+	outcomeClientDisconnected = "client-left"
 )
 
 // Place returns the placement of a run. Its error is pick.ErrNoServer, a
@@ -91,7 +91,7 @@
 	case errors.Is(err, pick.ErrNoServer):
 		outcome = outcomeNoServer
 	case err != nil:
-		outcome = outcomeClientLeft
+		outcome = outcomeClientDisconnected
 	}
 	p.count(outcome)
 	return placement, err
--- a/internal/route/stream/backup.go
+++ b/internal/route/stream/backup.go
@@ -59,7 +59,7 @@
 	f.backup = &backupCopy{
 		engine:      b,
 		reservation: f.Alloc.Reserve(b.ID, alloc.Load{Tokens: f.tokensNeeded(), CopiesIn: 1}),
-		readyAt:     time.Now().Add(time.Hour),
+		readyAt:     time.Now().Add(time.Hour), // until the first event of the run sets it
 	}
 }
 
