--- a/internal/load/picker/picker.go
+++ b/internal/load/picker/picker.go
@@ -30,7 +30,7 @@
 	ready []plan.Endpoint // VMs that reported ready at the last probe
 }
 
-// New returns a picker that takes all VMs as ready until their first probe.
+// New returns a picker that treats every VM as ready until its first probe.
 func New(vms []plan.Endpoint, seed uint64) *Picker {
 	return &Picker{vms: vms, ready: vms, rng: rand.New(rand.NewPCG(seed, rngStream))}
 }
--- a/internal/load/plan/fleet.go
+++ b/internal/load/plan/fleet.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	callersPort   = 8080
+	clientPort    = 8080
 	operatorsPort = 8081
 	peersPort     = 8082
 	storePort     = 7000
@@ -94,7 +94,7 @@
 	f := &Fleet{Dir: dir, Profile: p, Store: addr(2, 1, storePort), VMList: addr(2, 1, vmListPort), Placement: "predicted"}
 	for i := range numVMs {
 		name, domain := fmt.Sprintf("vm-%d", i+1), failureDomain(i, p.FailureDomains)
-		f.VMs = append(f.VMs, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, callersPort)})
+		f.VMs = append(f.VMs, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, clientPort)})
 		f.Operators = append(f.Operators, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, operatorsPort)})
 		f.Peers = append(f.Peers, Endpoint{Name: name, Domain: domain, Address: addr(1, i+1, peersPort)})
 	}
--- a/internal/load/soak/client.go
+++ b/internal/load/soak/client.go
@@ -111,7 +111,7 @@
 			key:  fmt.Sprintf("key-%d", rng.IntN(numKeys)),
 			vm:   v.name,
 		}
-		r.send(ctx, httpClient, c, v.callersAddr)
+		r.send(ctx, httpClient, c, v.clientAddr)
 		if !errors.Is(ctx.Err(), context.Canceled) {
 			r.addCall(c)
 		}
--- a/internal/load/soak/fatal.go
+++ b/internal/load/soak/fatal.go
@@ -44,7 +44,7 @@
 		defer httpClient.CloseIdleConnections()
 		for n, v := range vms {
 			c := &call{id: fmt.Sprintf("s%d-f%d-%d", r.cfg.Seed, id, n), path: path, key: fmt.Sprintf("key-%d", numKeys-1), vm: v.name, body: fake.FatalBody}
-			r.send(ctx, httpClient, c, v.callersAddr)
+			r.send(ctx, httpClient, c, v.clientAddr)
 			if ctx.Err() == nil {
 				r.addCall(c)
 			}
--- a/internal/load/soak/vm.go
+++ b/internal/load/soak/vm.go
@@ -20,11 +20,11 @@
 
 // vm is one edge VM, which runs as a separate process.
 type vm struct {
-	name        string
-	dir         string
-	program     string
-	callersAddr string
-	readyAddr   string
+	name       string
+	dir        string
+	program    string
+	clientAddr string
+	readyAddr  string
 
 	mu       sync.Mutex
 	cmd      *exec.Cmd
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &vm{name: fmt.Sprintf("vm-%d", n), dir: dir, program: program, callersAddr: ports[0], readyAddr: ports[1]}
+	v := &vm{name: fmt.Sprintf("vm-%d", n), dir: dir, program: program, clientAddr: ports[0], readyAddr: ports[1]}
 	data := fmt.Sprintf(settingsTemplate, v.name, ports[0], ports[1], ports[2], ports[3], storeAddr, stopGrace.String())
 	return v, trace.ConvertSystemError(os.WriteFile(v.path(".json"), []byte(data), 0o600))
 }
--- a/internal/peer/front/conn.go
+++ b/internal/peer/front/conn.go
@@ -50,7 +50,7 @@
 }
 
 const (
-	// lingerTime and lingerBytes bound how much of a rejected request is read and
+	// lingerTime and lingerBytes bound how much of a refused request is read and
 	// discarded before the connection is closed. Closing a connection with unread
 	// data resets it, and the client may lose the response.
 	lingerTime  = 300 * time.Millisecond
--- a/internal/peer/front/doc.go
+++ b/internal/peer/front/doc.go
@@ -4,8 +4,8 @@
 //
 // Header sections are parsed and written by fasthttp, the chunked transfer
 // coding by the standard library. The fasthttp server is not used because it
-// does not tell a handler that the client has disconnected, and because an
+// does not notify a handler that the client has disconnected, and because an
 // interrupted stream must not look complete to the client. To prevent request
-// smuggling, a request whose body length is ambiguous is rejected and its
+// smuggling, a request whose body length is ambiguous is refused and its
 // connection closed.
 package front
--- a/internal/peer/front/request.go
+++ b/internal/peer/front/request.go
@@ -138,7 +138,7 @@
 	return r, nil
 }
 
-// parseFields parses the header fields and rejects ambiguous framing.
+// parseFields parses the header fields and refuses ambiguous framing.
 func (r *Request) parseFields(h *fasthttp.RequestHeader) (framing, *readError) {
 	f := framing{length: -1}
 	hosts := 0
--- a/internal/peer/gossip/agent.go
+++ b/internal/peer/gossip/agent.go
@@ -96,7 +96,7 @@
 }
 
 // New returns an agent that listens at addr. The boot number must increase with each
-// start of the VM.
+// instance of the VM's process.
 func New(vm ident.VM, boot uint64, addr netip.AddrPort, delegate Delegate, h *hubs.Tracker, log *zap.Logger) (*Agent, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -97,7 +97,7 @@
 	changed          chan struct{}
 	down             bool
 	frozen           atomic.Pointer[chan struct{}] // closed when the VM resumes; nil: it is not frozen
-	group            *errgroup.Group               // goroutines of the current start
+	group            *errgroup.Group               // goroutines of the current instance of the VM's process
 }
 
 // freeze suspends the VM until thaw is called.
--- a/internal/peer/nodes/rpc.go
+++ b/internal/peer/nodes/rpc.go
@@ -133,7 +133,7 @@
 }
 
 // requireSeal passes calls on to next if they are sealed with a key of the ring,
-// and rejects and counts all others.
+// and refuses and counts all others.
 func requireSeal(ring *seal.KeyRing, traffic *Traffic, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallSize))
--- a/internal/peer/openai/encode.go
+++ b/internal/peer/openai/encode.go
@@ -25,7 +25,7 @@
 	CompletionTokens int
 }
 
-// Encode returns the body of the unary response to g.
+// Encode returns the body of the unary response to req.
 func (c *Completion) Encode(req *Request, now time.Time) []byte {
 	var a fastjson.Arena
 	o, choice, usage := a.NewObject(), a.NewObject(), a.NewObject()
--- a/internal/peer/share/server.go
+++ b/internal/peer/share/server.go
@@ -69,7 +69,7 @@
 // same time request the same one.
 const cacheTime = 100 * time.Millisecond
 
-// encode returns n encoded and compressed. It reuses the last result for the same
+// encode returns the update encoded and compressed. It reuses the last result for the same
 // revision within cacheTime.
 func (c *cachedList) encode(update *follow.Update, now time.Time) ([]byte, error) {
 	c.mu.Lock()
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// fakeFleet simulates VMs of which those in upToDate have 62 KB of settings. A link of 10 Mbit/s
-// carries them in 50 ms (transferTime). A fetch takes transferTime * quotaBytes / size,
+// fakeFleet simulates VMs of which those in upToDate have 62 KB of settings. A link of
+// 10 Mbit/s carries them in 50 ms (transferTime). A fetch takes transferTime * quotaBytes / size,
 // which is 197 ms.
 type fakeFleet struct {
 	mu       sync.Mutex
--- a/internal/peer/wire/message.go
+++ b/internal/peer/wire/message.go
@@ -20,7 +20,7 @@
 // Message is a message of one VM to another.
 type Message struct {
 	VM       ident.VM
-	Boot     uint64 // rises with each start of the VM's process; a higher one invalidates all earlier messages
+	Boot     uint64 // increases with each instance of the VM's process; a higher one invalidates all earlier messages
 	Seq      uint64 // number of the message within its boot
 	Part     int    // number of the part of the loads; parts with the same Boot and Seq belong together
 	Loads    map[ident.Server]alloc.Load
