--- a/internal/proc/cmds/edge.go
+++ b/internal/proc/cmds/edge.go
@@ -81,7 +81,7 @@
 	logSink := sink.New(os.Stdout, cfg.LogLinesPerSecond, group)
 	defer logSink.Close()
 	log := logSink.Logger(level).With(zap.String("vm", string(cfg.Name)))
-	dialer := httpc.New(cfg.Callers.Addr(), edgeConnectTimeout, time.Minute, 0)
+	dialer := httpc.New(cfg.Clients.Addr(), edgeConnectTimeout, time.Minute, 0)
 	store := platform.NewStore(dialer, cfg.Store, log)
 	vm := edge.New(cfg, edge.Deps{
 		Settings:   store,
--- a/internal/proc/conf/edge.go
+++ b/internal/proc/conf/edge.go
@@ -17,7 +17,7 @@
 type Edge struct {
 	Name              ident.VM
 	Domain            ident.FailureDomain
-	Callers           netip.AddrPort // HTTP for clients
+	Clients           netip.AddrPort // HTTP for clients
 	Ready             netip.AddrPort // HTTP for the balancer's readiness checks
 	Metrics           netip.AddrPort // HTTP for metrics
 	Peers             netip.AddrPort // UDP and HTTP for other VMs
@@ -46,7 +46,7 @@
 type edgeWire struct {
 	Name              string          `json:"name"`
 	Domain            string          `json:"failure-domain"`
-	Callers           string          `json:"callers-address"`
+	Clients           string          `json:"callers-address"`
 	Ready             string          `json:"ready-address"`
 	Metrics           string          `json:"metrics-address"`
 	Peers             string          `json:"peers-address"`
@@ -129,7 +129,7 @@
 	e := &Edge{
 		Name:              ident.VM(f.Name("/name", w.Name)),
 		Domain:            ident.FailureDomain(f.Name("/failure-domain", w.Domain)),
-		Callers:           f.Address("/callers-address", w.Callers),
+		Clients:           f.Address("/callers-address", w.Clients),
 		Ready:             f.Address("/ready-address", w.Ready),
 		Metrics:           f.Address("/metrics-address", w.Metrics),
 		Peers:             f.Address("/peers-address", w.Peers),
--- a/internal/proc/conf/node.go
+++ b/internal/proc/conf/node.go
@@ -17,7 +17,7 @@
 type Node struct {
 	Name         ident.VM
 	Domain       ident.FailureDomain
-	Callers      netip.AddrPort // HTTP for clients
+	Clients      netip.AddrPort // HTTP for clients
 	Operators    netip.AddrPort // HTTP for operators
 	Peers        netip.AddrPort // UDP and TCP for other VMs
 	Store        netip.AddrPort
--- a/internal/proc/conf/wire.go
+++ b/internal/proc/conf/wire.go
@@ -76,7 +76,7 @@
 type nodeWire struct {
 	Name         string          `json:"name"`
 	Domain       string          `json:"failure-domain"`
-	Callers      string          `json:"callers-address"`
+	Clients      string          `json:"callers-address"`
 	Operators    string          `json:"operators-address"`
 	Peers        string          `json:"peers-address"`
 	Store        string          `json:"store-address"`
@@ -95,7 +95,7 @@
 	return &Node{
 		Name:         ident.VM(f.Name("/name", w.Name)),
 		Domain:       ident.FailureDomain(f.Name("/failure-domain", w.Domain)),
-		Callers:      f.Address("/callers-address", w.Callers),
+		Clients:      f.Address("/callers-address", w.Clients),
 		Operators:    f.Address("/operators-address", w.Operators),
 		Peers:        f.Address("/peers-address", w.Peers),
 		Store:        f.Address("/store-address", w.Store),
--- a/internal/proc/edge/reload.go
+++ b/internal/proc/edge/reload.go
@@ -62,7 +62,7 @@
 		return
 	}
 	old := v.cfg.Load()
-	restart := old.Name != cfg.Name || old.Callers != cfg.Callers || old.Ready != cfg.Ready || old.Peers != cfg.Peers ||
+	restart := old.Name != cfg.Name || old.Clients != cfg.Clients || old.Ready != cfg.Ready || old.Peers != cfg.Peers ||
 		old.Store != cfg.Store || old.Metrics != cfg.Metrics || old.Domain != cfg.Domain
 	updated := *old
 	updated.RevokeBound, updated.StopGrace, updated.RetryBudget = cfg.RevokeBound, cfg.StopGrace, cfg.RetryBudget
--- a/internal/proc/edge/reload_test.go
+++ b/internal/proc/edge/reload_test.go
@@ -39,6 +39,6 @@
 		assert.NilError(t, os.WriteFile(path, []byte(strings.Replace(settingsFile, tc.old, tc.new, 1)), 0o600))
 		v.reload(path, "test")
 		assert.Equal(t, v.cfg.Load().RevokeBound, tc.revoke)
-		assert.Equal(t, v.cfg.Load().Callers, cfg.Callers, "an address needs a new start")
+		assert.Equal(t, v.cfg.Load().Clients, cfg.Clients, "a changed address needs a restart")
 	}
 }
--- a/internal/proc/edge/vm.go
+++ b/internal/proc/edge/vm.go
@@ -56,7 +56,7 @@
 // responds to requests that cannot be read.
 type Ingress interface {
 	Handle(ctx context.Context, r *front.Request, w *front.ResponseWriter)
-	Reject(w *front.ResponseWriter, kind front.ErrorKind, detail string)
+	Refuse(w *front.ResponseWriter, kind front.ErrorKind, detail string)
 }
 
 // Backend sends requests to backend servers.
@@ -124,7 +124,7 @@
 		Recorder:  &recorder{log: log.Named(sink.CallsLogger), metricSet: v.metricSet},
 	})
 	ingress := deps.NewIngress(v.relay)
-	v.front = front.New(ingress.Handle, ingress.Reject, v.limits, log)
+	v.front = front.New(ingress.Handle, ingress.Refuse, v.limits, log)
 	v.registerGauges(deps)
 	return v
 }
@@ -158,7 +158,7 @@
 func (v *VM) Run(stop context.Context, group *errgroup.Group) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ln, err := net.Listen("tcp", v.cfg.Load().Callers.String())
+	ln, err := net.Listen("tcp", v.cfg.Load().Clients.String())
 	if err != nil {
 		return trace.Wrap(err, "/callers-address")
 	}
@@ -183,7 +183,7 @@
 		failed <- v.front.Serve(ctx, ln)
 		return nil
 	})
-	v.log.Info("serving", zap.Stringer("callers", v.cfg.Load().Callers))
+	v.log.Info("serving", zap.Stringer("callers", v.cfg.Load().Clients))
 	select {
 	case <-stop.Done():
 	case err := <-failed:
--- a/internal/proc/peers/delegate.go
+++ b/internal/proc/peers/delegate.go
@@ -27,11 +27,11 @@
 	// loadRecipients is how many VMs receive load changes of each service
 	// immediately: its coordinator and the first substitute.
 	loadRecipients = 2
-	// storeSilence is how long the store must not have responded to any VM before
+	// storeTimeout is how long the store must not have responded to any VM before
 	// engines are probed directly for whether they drain. Normally, the servers'
 	// heartbeats end each watch call within 0.2 s, and the hubs receive the result
 	// twice in each report interval.
-	storeSilence = 700 * time.Millisecond
+	storeTimeout = 700 * time.Millisecond
 	// fetchRetryPause is the minimum pause after newer settings could not be fetched.
 	fetchRetryPause = 500 * time.Millisecond
 	// confirmTimeout is how long to wait for the hubs to confirm that the settings are
@@ -328,7 +328,7 @@
 // they drain: those that it coordinates, while the store responds to no VM.
 func (n *Node) ServicesToProbe(now time.Time) []ident.Service {
 	snap := n.Settings.Load()
-	if snap == nil || min(n.ServerFollower.Age(), n.Hubs.PeerDataAge(now)) < storeSilence {
+	if snap == nil || min(n.ServerFollower.Age(), n.Hubs.PeerDataAge(now)) < storeTimeout {
 		return nil
 	}
 	var out []ident.Service
--- a/internal/proc/serve/run.go
+++ b/internal/proc/serve/run.go
@@ -27,7 +27,7 @@
 
 // listeners holds the TCP listeners of a VM.
 type listeners struct {
-	callers, operators, peers net.Listener
+	clients, operators, peers net.Listener
 }
 
 func (v *VM) listen() (*listeners, error) {
@@ -37,7 +37,7 @@
 		addr netip.AddrPort
 		to   *net.Listener
 	}{
-		{"/callers-address", v.cfg.Callers, &l.callers},
+		{"/callers-address", v.cfg.Clients, &l.clients},
 		{"/operators-address", v.cfg.Operators, &l.operators},
 		{"/peers-address", v.cfg.Peers, &l.peers},
 	} {
@@ -59,7 +59,7 @@
 		return trace.Wrap(err)
 	}
 	v.start(l)
-	v.log.Info("serving", zap.String("vm", string(v.cfg.Name)), zap.Stringer("callers", v.cfg.Callers))
+	v.log.Info("serving", zap.String("vm", string(v.cfg.Name)), zap.Stringer("callers", v.cfg.Clients))
 	select {
 	case <-stop.Done():
 	case <-v.drainRequested:
@@ -85,7 +85,7 @@
 		func() error { return v.poller.Run(v.ctx, v.group) },
 		func() error { return v.coordinator.Run(v.ctx) },
 		func() error { return v.placementClient.Run(v.ctx) },
-		func() error { return v.callerServer.Serve(l.callers) },
+		func() error { return v.clientServer.Serve(l.clients) },
 		func() error { return v.operatorServer.Serve(v.ctx, l.operators) },
 		func() error {
 			return nodes.Serve(v.ctx, l.peers, v.keyRing, &v.traffic, nodes.NewServer(v.follower, v.shards, v.coordinator, v))
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(v.ctx, handoverTimeout)
 	v.shards.HandOverAll(ctx)
 	cancel()
-	err := v.callerServer.Shutdown(v.ctx)
+	err := v.clientServer.Shutdown(v.ctx)
 	v.handler.AssertIdle()
 	v.log.Info("shutdown complete")
 	return trace.Wrap(err)
--- a/internal/proc/serve/serve_test.go
+++ b/internal/proc/serve/serve_test.go
@@ -70,7 +70,7 @@
 	t.Run("authorization", func(t *testing.T) { authorization(t, s) })
 	t.Run("completions, chat and models", func(t *testing.T) { completeResponses(t, s) })
 	t.Run("a slow sender is cut off", func(t *testing.T) { slowSender(t, s) })
-	t.Run("a caller that stops reading", func(t *testing.T) { stalledClient(t, s) })
+	t.Run("a client that stops reading", func(t *testing.T) { stalledClient(t, s) })
 	t.Run("a refusal code is explained", func(t *testing.T) { refusalExplained(t, s) })
 	t.Run("resumed through another VM", func(t *testing.T) { resumed(t, s) })
 	t.Run("metrics", func(t *testing.T) {
--- a/internal/proc/serve/usage.go
+++ b/internal/proc/serve/usage.go
@@ -40,11 +40,11 @@
 		return nil
 	}
 	all := v.collectUsage(ctx, name)
-	o, vms, silent := a.NewObject(), a.NewArray(), a.NewArray()
+	o, vms, notResponding := a.NewObject(), a.NewArray(), a.NewArray()
 	open := 0
 	for _, u := range all {
 		if !u.known {
-			silent.SetArrayItem(len(silent.GetArray()), a.NewString(string(u.vm)))
+			notResponding.SetArrayItem(len(notResponding.GetArray()), a.NewString(string(u.vm)))
 			continue
 		}
 		open += u.usage.Open
@@ -54,7 +54,7 @@
 	o.Set("limits", limitsValue(a, w))
 	o.Set("open", a.NewNumberInt(open))
 	o.Set("vms", vms)
-	o.Set("silent", silent)
+	o.Set("silent", notResponding)
 	return o
 }
 
--- a/internal/proc/serve/vm.go
+++ b/internal/proc/serve/vm.go
@@ -73,7 +73,7 @@
 	settings        *syncer.Current
 	store           *store.Client
 	peers           *nodes.Client
-	clients         *nodes.ClientPool
+	peerClients     *nodes.ClientPool
 	socket          *nodes.Socket
 	traffic         nodes.Traffic
 	fleet           *fleet.Membership
@@ -85,7 +85,7 @@
 	coordinator     *sched.Coordinator
 	placementClient *sched.Client
 	handler         *entry.Handler
-	callerServer    *caller.Server
+	clientServer    *caller.Server
 	operatorServer  *oper.Server
 }
 
@@ -131,8 +131,8 @@
 	dialer := httpc.New(cfg.Peers.Addr(), cfg.Limits.ConnectTimeout, peerTimeout, maxIdleConns)
 	v.settings = syncer.NewCurrent(v.invariants)
 	v.store = store.New(dialer, cfg.Store, string(cfg.Name), cfg.StoreBudget.CallsPerSecond, cfg.StoreBudget.Burst)
-	v.clients = nodes.NewClientPool(v.keyRing, peerTimeout)
-	v.peers = nodes.NewClient(v.clients)
+	v.peerClients = nodes.NewClientPool(v.keyRing, peerTimeout)
+	v.peers = nodes.NewClient(v.peerClients)
 	v.follower = syncer.NewFollower(v.settings, v.store, v.peers, v.group, v.log, v.newRand())
 	self := member.Member{
 		Name:        cfg.Name,
@@ -170,7 +170,7 @@
 		Invariants: v.invariants,
 		Recorder:   rec,
 	})
-	v.callerServer = caller.New(v.ctx, caller.Config{
+	v.clientServer = caller.New(v.ctx, caller.Config{
 		MaxBodyBytes:   cfg.Limits.MaxBodyBytes,
 		MaxHeaderBytes: cfg.Limits.MaxHeaderBytes,
 		ReadTimeout:    cfg.Limits.ReadTimeout,
