--- a/internal/state/config/doc.go
+++ b/internal/state/config/doc.go
@@ -4,5 +4,5 @@
 // each request uses throughout.
 //
 // Member names are in kebab-case. An unknown member, a wrong type or an
-// invalid value is rejected with the member's path (RFC 6901).
+// invalid value is refused with the member's path (RFC 6901).
 package config
--- a/internal/state/config/snapshot.go
+++ b/internal/state/config/snapshot.go
@@ -184,7 +184,7 @@
 	return out
 }
 
-// WorkspaceByKey returns the workspace that a caller's bearer key belongs to, or nil.
+// WorkspaceByKey returns the workspace that a client's bearer key belongs to, or nil.
 // The lookup uses the key's hash, so its duration reveals nothing about other keys.
 func (s *Snapshot) WorkspaceByKey(key string) *Workspace {
 	return s.byKey[HashKey(key)]
--- a/internal/state/config/types.go
+++ b/internal/state/config/types.go
@@ -84,7 +84,7 @@
 type Workspace struct {
 	Name      ident.Workspace
 	Version   uint64
-	Keys      []KeyHash // of callers
+	Keys      []KeyHash // of clients
 	Operators []KeyHash // of the workspace's operators
 	Services  []Service
 	Limits    Limits
--- a/internal/state/direct/direct.go
+++ b/internal/state/direct/direct.go
@@ -20,7 +20,7 @@
 	keyRetention = 24 * time.Hour
 	// leaseRotation is how long new keys share one lease.
 	leaseRotation = time.Hour
-	// RetryAfter is the delay after which a caller should retry if its key can't be
+	// RetryAfter is the delay after which a client should retry if its key can't be
 	// claimed or refused now.
 	RetryAfter = time.Second
 )
--- a/internal/state/edit/editor.go
+++ b/internal/state/edit/editor.go
@@ -174,8 +174,9 @@
 }
 
 // checkOutcome reads the document to find out whether the change took effect, and
-// reports whether that is known. It is not known while the document is unchanged, because a write in
-// flight may still arrive; a retry of the write decides the outcome.
+// reports whether that is known. It is not known while the document is unchanged,
+// because a write in flight may still arrive; a retry of the write decides the
+// outcome.
 func (e *Editor) checkOutcome(ctx context.Context, c Change) (uint64, bool, error) {
 	v, version, readErr := e.Read(ctx, c.Path)
 	switch {
--- a/internal/state/edit/editor_test.go
+++ b/internal/state/edit/editor_test.go
@@ -67,8 +67,8 @@
 
 func noFaults(string) string { return "" }
 
-// TestOracle guards against changes that are lost, applied twice, or applied although
-// they were refused. Operators write concurrently to a store with random faults. Each
+// TestApplyWithFaults guards against changes that are lost, applied twice, or applied
+// although they were refused. Operators write concurrently to a store with random faults. Each
 // result is checked against the history in the store, which must contain an accepted
 // change once and a refused one never.
 func TestApplyWithFaults(t *testing.T) {
--- a/internal/state/follow/servers.go
+++ b/internal/state/follow/servers.go
@@ -221,7 +221,7 @@
 
 // Run follows the servers until ctx is done.
 func (s *ServerFollower) Run(ctx context.Context) {
-	l := watch.New(watch.Source[Revision]{
+	w := watch.New(watch.Source[Revision]{
 		Name:            "servers",
 		WatchTimeout:    serversWait,
 		BatchDelay:      s.batchDelay,
@@ -235,7 +235,7 @@
 		ReceivesUpdates: s.receivesUpdates,
 		ProbesStore:     s.probes,
 	}, s.log)
-	l.Run(ctx)
+	w.Run(ctx)
 }
 
 func (s *ServerFollower) batchDelay() time.Duration {
--- a/internal/state/follow/settings.go
+++ b/internal/state/follow/settings.go
@@ -93,7 +93,7 @@
 
 // Run follows the settings until ctx is done.
 func (s *SettingsFollower) Run(ctx context.Context) {
-	l := watch.New(watch.Source[Revision]{
+	w := watch.New(watch.Source[Revision]{
 		Name:            "settings",
 		WatchTimeout:    settingsWait,
 		BatchDelay:      func() time.Duration { return 0 },
@@ -107,7 +107,7 @@
 		ReceivesUpdates: s.receivesUpdates,
 		ProbesStore:     s.probes,
 	}, s.log)
-	l.Run(ctx)
+	w.Run(ctx)
 }
 
 // ErrSlow is returned if a read takes longer than the caller's limit.
--- a/internal/state/hubreg/hubreg.go
+++ b/internal/state/hubreg/hubreg.go
@@ -77,7 +77,7 @@
 // Quarantine holds the quarantined requests. They are also written to the store, so that
 // they survive the loss of all VMs.
 type Quarantine interface {
-	// Stored records which requests the store holds.
+	// MergeStored records which requests the store holds.
 	MergeStored(list []poison.Quarantine, now time.Time)
 	// Unstored returns the requests that were quarantined at least age ago and that have
 	// not been recorded as stored within the duration unconfirmed.
--- a/internal/state/hubs/hubs.go
+++ b/internal/state/hubs/hubs.go
@@ -21,8 +21,8 @@
 	PeerTimeout = time.Second
 	// probeInterval is how often a report is sent to a VM that has not responded.
 	probeInterval = 150 * time.Millisecond
-	// minUnanswered is how many reports a VM must have left unanswered to count as
-	// not responding.
+	// minUnanswered is how many successive reports must have got no response for a VM
+	// to count as not responding.
 	minUnanswered = 4
 	// coalesceWindow is how long before it is due a report may be sent, so that it goes
 	// out with others.
@@ -31,7 +31,8 @@
 	retryInterval = 3 * time.Second
 	// forgetAfter is how long a VM from which nothing is received is still remembered.
 	forgetAfter = 15 * time.Second
-	// DiscoveryTimeout is how long a starting VM looks for others before it acts alone.
+	// DiscoveryTimeout is how long a starting VM looks for others before it acts as
+	// isolated.
 	DiscoveryTimeout = 1500 * time.Millisecond
 	// joinTimeout is how long, after the first message of another VM, a starting VM
 	// waits at most to learn which VMs are the hubs. Until then it does not act as one.
@@ -224,7 +225,8 @@
 	return t.self
 }
 
-// notResponding reports whether a VM has left enough reports unanswered for long enough.
+// notResponding reports whether minUnanswered reports to the VM got no response, the first
+// of them sent at least PeerTimeout ago.
 func (p *peer) notResponding(now time.Time) bool {
 	return p != nil && p.unanswered >= minUnanswered && now.Sub(p.unansweredSince) >= PeerTimeout
 }
--- a/internal/state/hubs/hubs_test.go
+++ b/internal/state/hubs/hubs_test.go
@@ -109,9 +109,9 @@
 	assert.Assert(t, contains(names, "vm-3"), "%s: it has come back", names)
 }
 
-// TestOldUnansweredReports guards against counting reports that were left unanswered long ago, when
-// the other VM may not have been running yet: one more unanswered report must not make it
-// count as not responding.
+// TestOldUnansweredReports guards against counting reports that got no response long ago,
+// when the other VM may not have been running yet: one more unanswered report must not
+// make it count as not responding.
 func TestOldUnansweredReports(t *testing.T) {
 	now := time.Now()
 	tracker := New(candidate(99, 12), nil, now)
@@ -142,8 +142,8 @@
 	// Output: 12 14 13
 }
 
-// TestSpread checks that there is a hub in each failure domain that has a candidate of the
-// highest capacity, and that a VM that knows only a subset of the candidates with the hubs
+// TestSpreadDomains checks that there is a hub in each failure domain that has a candidate
+// of the highest capacity, and that a VM that knows only a subset of the candidates with the hubs
 // chooses the same hubs.
 func TestSpreadDomains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/state/member/table.go
+++ b/internal/state/member/table.go
@@ -105,10 +105,10 @@
 	return out
 }
 
-// MergeList merges the platform's VM list, which may be outdated. An unknown VM is added with
-// incarnation 0, which is lower than any that it may report itself. A VM that is
-// no longer on the list is forgotten once it has been dead or left for four
-// suspicion timeouts.
+// MergeList merges the platform's VM list, which may be outdated. An unknown VM is
+// added with incarnation 0, which is lower than any that it may report itself. A VM
+// that is no longer on the list is forgotten once its state has been Dead or Left for
+// four suspicion timeouts.
 func (t *Table) MergeList(list []Member, now time.Time) {
 	on := make(map[ident.VM]bool, len(list))
 	for _, m := range list {
--- a/internal/state/routes/routes_test.go
+++ b/internal/state/routes/routes_test.go
@@ -51,8 +51,8 @@
 	assert.Assert(t, s.WorkspaceByKey("") == nil)
 }
 
-// TestCurrentNeverDecreases guards against a version in force, or a time at which it was known to be the
-// newest, that decreases when versions arrive in any order.
+// TestCurrentNeverDecreases guards against a version in force, or a time at which it was
+// known to be the newest, that decreases when versions arrive in any order.
 func TestCurrentNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current := NewCurrent(uptime.Now)
--- a/internal/state/shards/manager.go
+++ b/internal/state/shards/manager.go
@@ -298,7 +298,7 @@
 }
 
 // Ready reports whether this VM's term has begun on every shard assigned to it, so that
-// it does not reject a key created now.
+// it does not refuse a key created now.
 func (m *Manager) Ready() bool {
 	live := m.fleet.View().Live
 	m.mu.Lock()
--- a/internal/state/shards/manager_test.go
+++ b/internal/state/shards/manager_test.go
@@ -270,7 +270,7 @@
 			})
 		}
 	})
-	t.Run("reject claims once the lease may have expired", func(t *testing.T) {
+	t.Run("refuse claims once the lease may have expired", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			st := newFakeStore()
 			c := newCluster(st, 1)
--- a/internal/state/srvtab/table.go
+++ b/internal/state/srvtab/table.go
@@ -24,7 +24,7 @@
 	Draining bool
 }
 
-// Server is one start of a backend server; a restarted server has a new ID under the
+// Server is one instance of a backend server; a restarted server has a new ID under the
 // same name. A Server is immutable; a changed entry creates a new Server that shares
 // the channel.
 type Server struct {
@@ -79,7 +79,7 @@
 
 	mu      sync.Mutex
 	servers map[ident.Server]*Server
-	latest  map[string]ident.Server    // the latest start under each name
+	latest  map[string]ident.Server    // the latest instance under each name
 	expired map[ident.Server]time.Time // entries that expired in a store outage, and when they count as gone
 	retired map[ident.Server]time.Time // servers that this VM has seen retire, and when
 	drains  map[ident.Server]*drain    // servers known to drain, even if their entries do not say so
@@ -145,8 +145,8 @@
 	return true
 }
 
-// supersede drops the earlier start under the server's name, if there is one. It
-// reports false if a later start is known, which means that id is outdated.
+// supersede drops the earlier instance under the server's name, if there is one. It
+// reports false if a later instance is known, which means that id is outdated.
 func (t *Table) supersede(id ident.Server) bool {
 	known, ok := t.latest[id.Name()]
 	if !ok || known == id {
--- a/internal/state/srvtab/table_test.go
+++ b/internal/state/srvtab/table_test.go
@@ -107,7 +107,8 @@
 	})
 }
 
-// startEntry returns the entry of server a started at the given Unix time in ms.
+// startEntry returns the entry of the instance of server a that started at the given
+// Unix time in ms.
 func startEntry(ms int64) Entry {
 	return Entry{ID: ident.NewServer("a", time.UnixMilli(ms)), Service: "s", Slots: 6}
 }
@@ -120,15 +121,15 @@
 		tab.Put(first)
 		return tab, tab.View().Server(first.ID)
 	}
-	t.Run("a later start replaces the earlier one", func(t *testing.T) {
+	t.Run("a later instance replaces the earlier one", func(t *testing.T) {
 		tab, old := newTable()
 		assert.Assert(t, tab.Put(second))
 		assertUsable(t, tab, string(second.ID))
-		assert.Assert(t, isRetired(old), "calls running on the earlier start have ended")
+		assert.Assert(t, isRetired(old), "calls running on the earlier instance have ended")
 		assert.Assert(t, !isRetired(tab.View().Server(second.ID)))
 		assert.DeepEqual(t, tab.RetiredToAnnounce(now), []ident.Server{first.ID})
 	})
-	t.Run("late updates about the earlier start are ignored", func(t *testing.T) {
+	t.Run("late updates about the earlier instance are ignored", func(t *testing.T) {
 		tab, _ := newTable()
 		tab.Put(second)
 		assert.Assert(t, !tab.Put(first))
@@ -145,7 +146,7 @@
 		tab.Put(second)
 		assertUsable(t, tab, string(second.ID))
 	})
-	t.Run("an entry that expired in an outage is written again by a later start", func(t *testing.T) {
+	t.Run("an entry that expired in an outage is written again by a later instance", func(t *testing.T) {
 		tab, old := newTable()
 		until := now.Add(ReregisterTime)
 		tab.Remove("a", until, now)
@@ -154,7 +155,7 @@
 		assertUsable(t, tab, string(second.ID))
 		assert.Assert(t, isRetired(old))
 	})
-	t.Run("removal by name applies to any start", func(t *testing.T) {
+	t.Run("removal by name applies to any instance", func(t *testing.T) {
 		tab, _ := newTable()
 		tab.Put(second)
 		tab.Remove("a", time.Time{}, now)
--- a/internal/state/syncer/follower_test.go
+++ b/internal/state/syncer/follower_test.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// TestSpread guards against VMs that revert settings, miss documents or keep old
-// settings. It writes settings while packets are lost, delayed and duplicated, the
+// TestSettingsReachAllVMs guards against VMs that revert settings, miss documents or
+// keep old settings. It writes settings while packets are lost, delayed and duplicated, the
 // store is down or slow, and VMs are paused. No VM may revert a document or lack one
 // up to its revision; after the faults end, the last write must be in force on all
 // VMs in time.
--- a/internal/state/term/shard_test.go
+++ b/internal/state/term/shard_test.go
@@ -95,8 +95,8 @@
 				calls++
 				request := ident.Request(fmt.Sprint(calls))
 				if _, ok := m.created[key]; !ok {
-					// Callers' clocks may be far off. Keys too far ahead are refused.
-					ahead := rapid.SampledFrom([]int{-300, 0, 100, 240, 400, 900}).Draw(t, "caller's skew")
+					// Clients' clocks may be far off. Keys too far ahead are refused.
+					ahead := rapid.SampledFrom([]int{-300, 0, 100, 240, 400, 900}).Draw(t, "client's skew")
 					m.created[key] = m.now.Add(time.Duration(ahead) * time.Millisecond)
 				}
 				shard, clock, created := v.shard, m.clock(v), m.created[key]
